--- a/src/features/layers/common/layerController.ts
+++ b/src/features/layers/common/layerController.ts
@@ -26,55 +26,55 @@
   Service,
 } from '../../traffic/common/trafficConfiguration.js';
 import {
-  chooseLayerSizes,
-  KindCounts,
-  layersWithRoom,
-  largerSizes,
-  LayerSizes,
-  SPARE_ROOM_SHARE,
-} from './layerSize.js';
-import {LayerAssignment, planLayers, withoutSlow} from './planLayers.js';
+  chooseRangeSizes,
+  AcceleratorCounts,
+  maxLayersWithCapacity,
+  maxRangeSizes,
+  RangeSizes,
+  REDUNDANCY_CAPACITY_SHARE,
+} from './rangeSizes.js';
+import {LayerAssignment, planLayers, excludeSlow} from './planLayers.js';
 
-/** Time between two looks at what is held. */
-const PERIOD_MILLISECONDS = 200;
+/** Interval between plans. */
+const PLAN_PERIOD_MILLISECONDS = 200;
 
 /**
- * An upstream whose loss has lasted for so long is replaced: the trial call that began it, of up to 250 ms, was not
- * answered then. A wrong one costs the load of some layers, each 100 ms of waiting what its data centre serves.
+ * Time after which a suspected upstream is replaced. Within it, a late answer to the probe that raised the suspicion
+ * (up to 250 ms) can still clear it. A needless replacement costs the load of some layers; each 100 ms of delay costs
+ * the requests that the data centre could have served.
  */
-const LOST_MILLISECONDS = 300;
+const REPLACEMENT_DELAY_MILLISECONDS = 300;
 
 /**
- * How much each upstream gets depends on all of them, so the first plan waits until no further one
- * has come for a little more than a heartbeat, and begins after this time in any case.
+ * The number of layers for each upstream depends on all upstreams, so the first plan waits until none has been
+ * added for slightly more than a heartbeat interval, but no longer than the limit.
  */
 const SETTLE_MILLISECONDS = 1_500;
 const SETTLE_LIMIT_MILLISECONDS = 4_000;
 
 /**
- * An upstream that comes while no layer is lacking often replaces one that says a moment later that it
- * leaves: for this long it gets no layers, so that it can then take over just those.
+ * An upstream that is added while no layer is missing often replaces one that announces its shutdown a moment
+ * later. It gets no layers for this long, so that it can take over exactly those of the leaving upstream.
  */
-const FRESH_MILLISECONDS = 4_000;
+const NEW_UPSTREAM_DELAY_MILLISECONDS = 4_000;
 
-/** Time of one order; sound upstreams answer in a few milliseconds. */
-const ORDER_MILLISECONDS = 300;
+/** Timeout of an order; healthy upstreams answer within a few milliseconds. */
+const ORDER_TIMEOUT_MILLISECONDS = 300;
 
-/** Steps of the lease are this far apart; it lasts four of them. */
+/** Interval between lease steps; the lease lasts four intervals. */
 export const LEASE_STEP_MILLISECONDS = 600;
 
 /**
- * An order whose layers are not reported counts as lost after the time of loading times this and
- * the time in which reports come round. Many loads at once take longer, and an order may be carried
- * out late.
+ * An order counts as lost if its layers are not reported within the load time multiplied by this factor, plus
+ * the report delay. Concurrent loads take longer, and an order may be executed late.
  */
 const LOAD_TIME_FACTOR = 3;
-const REPORT_MILLISECONDS = 4_000;
+const REPORT_DELAY_MILLISECONDS = 4_000;
 
-/** What was ordered of one upstream. */
-interface Ordered {
+/** An order whose layers are not reported yet. */
+interface PendingOrder {
   readonly range: LayerRange;
-  readonly giveUpAt: number;
+  readonly expiresAt: number;
 }
 
 /** A service whose engines hold layers. */
@@ -84,14 +84,14 @@
   readonly layers: LayerModel;
 }
 
-/** Notices when the upstreams of a service that holds no layers yet have all come. */
-class Arrivals {
-  private readonly seen = new Map<
+/** Detects when all upstreams of a service without any loaded layers have been added. */
+class ArrivalTracker {
+  private readonly arrivalsByService = new Map<
     string,
     {readonly count: number; readonly firstAt: number; readonly lastAt: number}
   >();
 
-  areSettled(
+  haveSettled(
     service: string,
     upstreams: readonly Upstream[],
     now: number,
@@ -100,11 +100,11 @@
       return true;
     }
     const count = upstreams.length;
-    const before = this.seen.get(service);
+    const before = this.arrivalsByService.get(service);
     const isNew = before === undefined || count > before.count;
     const firstAt = before?.firstAt ?? now;
     const lastAt = isNew ? now : before.lastAt;
-    this.seen.set(service, {count, firstAt, lastAt});
+    this.arrivalsByService.set(service, {count, firstAt, lastAt});
     return (
       now - lastAt >= SETTLE_MILLISECONDS ||
       now - firstAt >= SETTLE_LIMIT_MILLISECONDS
@@ -112,17 +112,17 @@
   }
 }
 
-/** While it holds the lease, gives upstreams their layers and replaces those that were lost. */
+/** Assigns layers to upstreams and replaces lost upstreams, on the instance that holds the lease. */
 export class LayerController extends DisposableOwner {
   private readonly task: RepeatingTask;
   private readonly leaseTask: RepeatingTask;
-  private readonly ordered = new Map<string, Ordered>();
+  private readonly pendingOrders = new Map<string, PendingOrder>();
   private readonly orderCounts = new Map<string, number>();
-  private readonly arrivals = new Arrivals();
-  /** Sizes of the first plan, by service. */
-  private readonly firstSizes = new Map<string, LayerSizes>();
-  /** When each upstream was first seen. */
-  private readonly seenAt = new Map<string, number>();
+  private readonly arrivals = new ArrivalTracker();
+  /** Range sizes of the first plan, by service. */
+  private readonly firstSizes = new Map<string, RangeSizes>();
+  /** Monotonic milliseconds at which each upstream was first listed. */
+  private readonly firstSeenAt = new Map<string, number>();
   private isLeaving = false;
   private leaseStep: Promise<void> = Promise.resolve();
 
@@ -137,8 +137,8 @@
     private readonly suspicions: Suspicions,
     private readonly slowness: Slowness,
     private readonly mechanisms: Mechanisms,
-    /** Whether a peer says that it holds the lease: then the row need not be read. */
-    private readonly isHolderHeard: () => boolean,
+    /** Whether a peer recently announced that it holds the lease, so that the lease row need not be read. */
+    private readonly isLeaseHeldByPeer: () => boolean,
   ) {
     super();
     this.register(lease);
@@ -147,61 +147,61 @@
         clock,
         random,
         () => LEASE_STEP_MILLISECONDS,
-        token => this.stepLease(token),
+        token => this.advanceLease(token),
       ),
     );
     this.task = this.register(
       new RepeatingTask(
         clock,
         random,
-        () => PERIOD_MILLISECONDS,
-        token => this.look(token),
+        () => PLAN_PERIOD_MILLISECONDS,
+        token => this.planAll(token),
       ),
     );
-    this.register(lease.onDidChange(state => this.onLease(state)));
+    this.register(lease.onDidChange(state => this.onLeaseChange(state)));
   }
 
-  /** Begins to compete for the lease. */
+  /** Starts to compete for the lease. */
   start(): void {
     this.leaseTask.runNow();
     this.task.runNow();
   }
 
-  /** Gives the lease up for good: an instance that stops would soon leave it to nobody again. */
+  /** Releases the lease and does not take it again: an instance that is stopping would soon abandon it. */
   async leave(token: CancellationToken): Promise<void> {
     this.isLeaving = true;
     await this.leaseStep;
     await this.lease.release(token);
   }
 
-  private async stepLease(token: CancellationToken): Promise<void> {
-    const isElsewhere = this.lease.state === 'idle' && this.isHolderHeard();
+  private async advanceLease(token: CancellationToken): Promise<void> {
+    const isElsewhere = this.lease.state === 'idle' && this.isLeaseHeldByPeer();
     if (!this.isLeaving && !isElsewhere) {
       this.leaseStep = this.lease.advance(token);
       await this.leaseStep;
     }
   }
 
-  private onLease(state: string): void {
+  private onLeaseChange(state: string): void {
     this.logger.decision('layerLease', {state, fencing: this.lease.fencing});
-    this.ordered.clear();
+    this.pendingOrders.clear();
     this.orderCounts.clear();
     this.task.runNow();
   }
 
-  private async look(token: CancellationToken): Promise<void> {
+  private async planAll(token: CancellationToken): Promise<void> {
     const {table} = this.configuration;
     if (this.lease.fencing === undefined || table === undefined) {
       return;
     }
-    this.forgetDone();
+    this.removeFinished();
     const now = this.clock.monotonicMilliseconds();
     const assignments = table.configuration.services
-      .flatMap(toLayered)
+      .flatMap(toLayeredServices)
       .filter(({name}) =>
-        this.arrivals.areSettled(name, this.directory.ofService(name), now),
+        this.arrivals.haveSettled(name, this.directory.ofService(name), now),
       )
-      .flatMap(service => this.plan(service));
+      .flatMap(service => this.planService(service));
     await Promise.all(
       assignments.map(({assignment, service}) =>
         this.order(assignment, service, token),
@@ -209,23 +209,24 @@
     );
   }
 
-  private plan(service: LayeredService) {
+  private planService(service: LayeredService) {
     const upstreams = this.directory
       .ofService(service.name)
       .filter(
         ({id, isLeaving}) =>
-          !isLeaving && !this.suspicions.isSilentFor(id, LOST_MILLISECONDS),
+          !isLeaving &&
+          !this.suspicions.isSilentFor(id, REPLACEMENT_DELAY_MILLISECONDS),
       );
     const sizes = this.sizesOf(service, upstreams);
-    const ordered = new Map(
-      [...this.ordered].map(([id, {range}]) => [id, range]),
+    const orderedRanges = new Map(
+      [...this.pendingOrders].map(([id, {range}]) => [id, range]),
     );
-    const fresh = this.freshAmong(upstreams);
+    const recentlyAdded = this.findRecentlyAdded(upstreams);
     const {layers} = service;
     const limitOf = (upstream: Upstream): number =>
-      takeOverLimit(service, upstream);
+      takeOverLayerLimit(service, upstream);
     const {completedRanges, replacedWhenSlow} = this.mechanisms;
-    const sound = withoutSlow(
+    const healthy = excludeSlow(
       upstreams,
       id => replacedWhenSlow && this.slowness.isSlow(id),
       {layers, limitOf},
@@ -234,24 +235,25 @@
       layers,
       sizes,
       limitOf,
-      roomShareOf: (upstream, count) => roomShareOf(service, upstream, count),
-      canComplete: completedRanges,
-      upstreams: sound,
-      ordered,
-      fresh,
+      capacityShareOf: (upstream, count) =>
+        capacityShareOf(service, upstream, count),
+      canCloseGaps: completedRanges,
+      upstreams: healthy,
+      orderedRanges,
+      recentlyAdded,
     }).map(assignment => ({assignment, service}));
   }
 
   /**
-   * Sizes do not shrink: while upstreams are replaced there are more of them for a time, and with smaller
-   * ranges a new one could not take over what an old one held.
+   * Range sizes do not shrink. During a replacement there are temporarily more upstreams, and with smaller
+   * ranges a new upstream could not take over all layers of the old one.
    */
   private sizesOf(
     service: LayeredService,
     upstreams: readonly Upstream[],
-  ): LayerSizes {
+  ): RangeSizes {
     const {engine, layers, name} = service;
-    const chosen = chooseLayerSizes(
+    const chosen = chooseRangeSizes(
       engine,
       layers,
       countKinds(upstreams),
@@ -259,21 +261,23 @@
     );
     const first = this.firstSizes.get(name) ?? chosen;
     this.firstSizes.set(name, first);
-    return largerSizes(first, chosen);
+    return maxRangeSizes(first, chosen);
   }
 
-  /** Those that were first seen just now. */
-  private freshAmong(upstreams: readonly Upstream[]): ReadonlySet<string> {
+  /** Upstreams that were first listed less than `NEW_UPSTREAM_DELAY_MILLISECONDS` ago. */
+  private findRecentlyAdded(
+    upstreams: readonly Upstream[],
+  ): ReadonlySet<string> {
     const now = this.clock.monotonicMilliseconds();
-    const fresh = new Set<string>();
+    const recentlyAdded = new Set<string>();
     for (const {id} of upstreams) {
-      const seenAt = this.seenAt.get(id) ?? now;
-      this.seenAt.set(id, seenAt);
-      if (now - seenAt < FRESH_MILLISECONDS) {
-        fresh.add(id);
+      const firstSeenAt = this.firstSeenAt.get(id) ?? now;
+      this.firstSeenAt.set(id, firstSeenAt);
+      if (now - firstSeenAt < NEW_UPSTREAM_DELAY_MILLISECONDS) {
+        recentlyAdded.add(id);
       }
     }
-    return fresh;
+    return recentlyAdded;
   }
 
   private async order(
@@ -286,20 +290,22 @@
     if (
       fencing === undefined ||
       expectedOrders === undefined ||
-      !this.lease.permits(ORDER_MILLISECONDS)
+      !this.lease.permits(ORDER_TIMEOUT_MILLISECONDS)
     ) {
       return;
     }
-    this.ordered.set(upstream.id, {
+    this.pendingOrders.set(upstream.id, {
       range,
-      giveUpAt: this.clock.monotonicMilliseconds() + loadTime(service, range),
+      expiresAt:
+        this.clock.monotonicMilliseconds() +
+        orderLifetimeMilliseconds(service, range),
     });
-    // A move waits for nothing: streams end within seconds, and until then its data centre lacks the layers.
-    // What is cut off goes on elsewhere, as after a loss.
+    // A move does not wait for running streams: they end within seconds, but until then the data centre lacks the
+    // layers. Aborted streams continue elsewhere, as after a loss.
     const result = await this.control.place(
       upstream,
       {range, fencing, expectedOrders, cutsOff: reason !== 'empty'},
-      ORDER_MILLISECONDS,
+      ORDER_TIMEOUT_MILLISECONDS,
     );
     this.logger.decision('layersOrdered', {
       upstream: upstream.id,
@@ -316,11 +322,11 @@
       const begun = result.value.hasBegun ? 1 : 0;
       this.orderCounts.set(upstream.id, expectedOrders + begun);
     } else {
-      await this.onRefused(upstream.id, result.error, fencing, token);
+      await this.onOrderError(upstream.id, result.error, fencing, token);
     }
   }
 
-  private async onRefused(
+  private async onOrderError(
     id: string,
     error: UpstreamCallError,
     fencing: number,
@@ -330,19 +336,22 @@
     if (error.kind === 'superseded') {
       await this.lease.supersededBy(fencing, token);
     }
-    // An order without an answer may be carried out yet; it is read back before the next one.
+    // An unanswered order may still be executed, so the order count is read again before the next order.
     if (error.kind !== 'noAnswer') {
-      this.ordered.delete(id);
+      this.pendingOrders.delete(id);
     }
   }
 
-  /** Orders that an upstream has accepted: a new one has accepted none; else it is asked. */
+  /** Number of orders that an upstream has accepted, from its report if unknown; undefined if busy or unreachable. */
   private async orderCountOf(upstream: Upstream): Promise<number | undefined> {
     const known = this.orderCounts.get(upstream.id);
     if (known !== undefined) {
       return known;
     }
-    const report = await this.control.report(upstream, ORDER_MILLISECONDS);
+    const report = await this.control.report(
+      upstream,
+      ORDER_TIMEOUT_MILLISECONDS,
+    );
     if (!report.ok || report.value.isBusy) {
       return undefined;
     }
@@ -350,20 +359,20 @@
     return report.value.orderCount;
   }
 
-  /** Takes off what is reported, gone or overdue. */
-  private forgetDone(): void {
+  /** Removes upstreams that are no longer listed, and orders that were fulfilled, expired or lost their upstream. */
+  private removeFinished(): void {
     const now = this.clock.monotonicMilliseconds();
-    for (const id of this.seenAt.keys()) {
+    for (const id of this.firstSeenAt.keys()) {
       if (this.directory.find(id) === undefined) {
-        this.seenAt.delete(id);
+        this.firstSeenAt.delete(id);
       }
     }
-    for (const [id, {range, giveUpAt}] of this.ordered) {
+    for (const [id, {range, expiresAt}] of this.pendingOrders) {
       const upstream = this.directory.find(id);
       const {layers} = upstream ?? {};
       const isHeld = layers?.from === range.from && layers.to === range.to;
-      if (upstream === undefined || isHeld || now > giveUpAt) {
-        this.ordered.delete(id);
+      if (upstream === undefined || isHeld || now > expiresAt) {
+        this.pendingOrders.delete(id);
         if (!isHeld) {
           this.orderCounts.delete(id);
         }
@@ -372,41 +381,43 @@
   }
 }
 
-function toLayered({name, engine}: Service): readonly LayeredService[] {
+function toLayeredServices({name, engine}: Service): readonly LayeredService[] {
   return engine?.layers === undefined
     ? []
     : [{name, engine, layers: engine.layers}];
 }
 
 /**
- * The most layers with which an upstream takes over from a lost one. What runs through it does not count: while a
- * data centre is out the others are full, and without growing it would stay out.
+ * Maximum number of layers of an upstream that takes over from a lost one. Its present load is ignored: while a
+ * data centre is out the others are full, and the data centre stays out unless its upstreams take over layers.
  */
-function takeOverLimit(
+function takeOverLayerLimit(
   {engine, layers}: LayeredService,
   {acceleratorKind}: Upstream,
 ): number {
   const kind = layers.kinds.find(({name}) => name === acceleratorKind);
-  const usual = engine.usualPromptTokens + engine.usualAnswerTokens;
-  const room = SPARE_ROOM_SHARE * engine.slots * usual;
-  return kind === undefined ? 0 : layersWithRoom(engine, layers, kind, room);
+  const usualTokens = engine.usualPromptTokens + engine.usualAnswerTokens;
+  const capacityTokens = REDUNDANCY_CAPACITY_SHARE * engine.slots * usualTokens;
+  return kind === undefined
+    ? 0
+    : maxLayersWithCapacity(engine, layers, kind, capacityTokens);
 }
 
-/** Part of the room for all slots at the usual size that a number of layers leaves, up to 1. */
-function roomShareOf(
+/** KV-cache capacity beside a number of layers, as a share of what all slots need at the usual size, at most 1. */
+function capacityShareOf(
   {engine, layers}: LayeredService,
   {acceleratorKind}: Upstream,
   layerCount: number,
 ): number {
   const kind = layers.kinds.find(({name}) => name === acceleratorKind);
   const memory = kind?.memoryMegabytes ?? 0;
-  const usual = engine.usualPromptTokens + engine.usualAnswerTokens;
-  const wanted = engine.slots * usual;
-  const room = roomTokens(engine, layers, memory, layerCount);
-  return Math.min(1, Math.max(room / wanted, Number.EPSILON));
+  const usualTokens = engine.usualPromptTokens + engine.usualAnswerTokens;
+  const fullCapacity = engine.slots * usualTokens;
+  const capacity = roomTokens(engine, layers, memory, layerCount);
+  return Math.min(1, Math.max(capacity / fullCapacity, Number.EPSILON));
 }
 
-function countKinds(upstreams: readonly Upstream[]): KindCounts {
+function countKinds(upstreams: readonly Upstream[]): AcceleratorCounts {
   const counts = new Map<string, Map<string, number>>();
   for (const {acceleratorKind = '', dataCentre} of upstreams) {
     const kinds = counts.get(dataCentre) ?? new Map<string, number>();
@@ -416,9 +427,12 @@
   return counts;
 }
 
-function loadTime(service: LayeredService, range: LayerRange): number {
+function orderLifetimeMilliseconds(
+  service: LayeredService,
+  range: LayerRange,
+): number {
   const [model] = service.engine.models;
   const share = layerCountOf(range) / service.layers.layerCount;
-  const load = (model?.loadSeconds ?? 0) * 1000 * share;
-  return load * LOAD_TIME_FACTOR + REPORT_MILLISECONDS;
+  const loadMilliseconds = (model?.loadSeconds ?? 0) * 1000 * share;
+  return loadMilliseconds * LOAD_TIME_FACTOR + REPORT_DELAY_MILLISECONDS;
 }
--- a/src/features/layers/common/planLayers.ts
+++ b/src/features/layers/common/planLayers.ts
@@ -1,169 +1,172 @@
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
-import {Completion, completeRanges, RangeHolder} from './completeRanges.js';
+import {GapClosure, closeGaps, RangeHolder} from './closeGaps.js';
 import {LayerModel} from '../../traffic/common/trafficConfiguration.js';
-import {LayerSizes} from './layerSize.js';
+import {RangeSizes} from './rangeSizes.js';
 
-/** Decides which layers upstreams get that hold none, and which move when a layer is held by nobody. */
+/** Assigns layers to upstreams that hold none, and moves upstreams if a layer has no holder. */
 
-/** What one upstream is to hold. */
+/** A range that an upstream is to load. */
 export interface LayerAssignment {
   readonly upstream: Upstream;
   readonly range: LayerRange;
   readonly reason: 'empty' | 'layerUnheld' | 'dataCentreIncomplete';
 }
 
-/** What the plan starts from. */
-export interface LayerSituation {
+/** The state that a plan is made for. */
+export interface LayerPlanInput {
   readonly layers: LayerModel;
-  readonly sizes: LayerSizes;
-  /** Upstreams that are neither leaving nor held to be lost. */
+  readonly sizes: RangeSizes;
+  /** Upstreams that are neither leaving nor considered lost. */
   readonly upstreams: readonly Upstream[];
-  /** Most layers that an upstream may come to hold where its data centre lacks some. */
+  /** Maximum number of layers that an upstream may hold while its data centre lacks some. */
   readonly limitOf: (upstream: Upstream) => number;
-  /** Part of the wanted room for requests that a number of layers leaves an upstream, up to 1. */
-  readonly roomShareOf: (upstream: Upstream, layerCount: number) => number;
-  /** Whether ranges may grow and shift to close the gaps of a data centre. */
-  readonly canComplete: boolean;
-  /** Ranges that were ordered and are not yet reported, by upstream. */
-  readonly ordered: ReadonlyMap<string, LayerRange>;
-  /** Upstreams that have come just now: where no layer is lacking yet they wait for the one that they replace to leave. */
-  readonly fresh: ReadonlySet<string>;
+  /** Share of the wanted KV-cache capacity that remains on an upstream beside a number of layers, at most 1. */
+  readonly capacityShareOf: (upstream: Upstream, layerCount: number) => number;
+  /** Whether ranges may be extended and shifted to close the gaps of a data centre. */
+  readonly canCloseGaps: boolean;
+  /** Ranges that were ordered but not yet reported, by upstream. */
+  readonly orderedRanges: ReadonlyMap<string, LayerRange>;
+  /** Upstreams that were added recently. If no layer is missing, they wait until the one that they replace leaves. */
+  readonly recentlyAdded: ReadonlySet<string>;
 }
 
 /**
- * Weight of the holders in all data centres beside those of the upstream's own. Paths inside one data
- * centre are preferred, so a layer that is missing there costs most.
+ * Weight of the holders in all data centres, relative to those in the upstream's own. Paths inside one data
+ * centre are preferred, so a layer that is missing there has the highest priority.
  */
-const GLOBAL_WEIGHT = 0.2;
+const GLOBAL_SCARCITY_WEIGHT = 0.2;
 
-/** Holders that a layer must keep, beside the one that moves, for its holder to be moved elsewhere. */
-const HOLDERS_KEPT = 2;
+/** Holders that each layer of an upstream must keep if the upstream is moved elsewhere. */
+const MIN_REMAINING_HOLDERS = 2;
 
-/** How often each layer is held, in one data centre and in all. */
-class Coverage {
-  private readonly inAll: number[];
-  private readonly byDataCentre = new Map<string, number[]>();
+/** Number of holders of each layer, by data centre and in total. */
+class HolderCounts {
+  private readonly totals: number[];
+  private readonly countsByDataCentre = new Map<string, number[]>();
 
   constructor(private readonly layerCount: number) {
-    this.inAll = new Array<number>(layerCount).fill(0);
+    this.totals = new Array<number>(layerCount).fill(0);
   }
 
   add(dataCentre: string, range: LayerRange, amount = 1): void {
-    const local = this.inDataCentre(dataCentre);
+    const local = this.countsIn(dataCentre);
     for (let layer = range.from; layer < range.to; layer++) {
       local[layer]! += amount;
-      this.inAll[layer]! += amount;
+      this.totals[layer]! += amount;
     }
   }
 
-  /** What holding a range in a data centre is worth: layers with few holders count most. */
-  worth(dataCentre: string, range: LayerRange): number {
-    const local = this.inDataCentre(dataCentre);
-    let worth = 0;
+  /** The benefit of one more holder of a range in a data centre. Layers with few holders count most. */
+  benefitOf(dataCentre: string, range: LayerRange): number {
+    const local = this.countsIn(dataCentre);
+    let benefit = 0;
     for (let layer = range.from; layer < range.to; layer++) {
-      worth += scarcity(local[layer]!);
-      worth += GLOBAL_WEIGHT * scarcity(this.inAll[layer]!);
+      benefit += scarcity(local[layer]!);
+      benefit += GLOBAL_SCARCITY_WEIGHT * scarcity(this.totals[layer]!);
     }
-    return worth;
+    return benefit;
   }
 
-  /** Layers of a range, or of all, that nobody in a data centre holds. */
-  lackingIn(
+  /** Number of layers without a holder in a data centre, within a range or overall. */
+  unheldLayersIn(
     dataCentre: string,
     range: LayerRange = {from: 0, to: this.layerCount},
   ): number {
-    const local = this.inDataCentre(dataCentre);
-    let lacking = 0;
+    const local = this.countsIn(dataCentre);
+    let unheld = 0;
     for (let layer = range.from; layer < range.to; layer++) {
-      lacking += local[layer] === 0 ? 1 : 0;
+      unheld += local[layer] === 0 ? 1 : 0;
     }
-    return lacking;
+    return unheld;
   }
 
-  /** The fewest holders of any layer in a range, over all data centres. */
-  leastIn(range: LayerRange): number {
-    return Math.min(...this.inAll.slice(range.from, range.to));
+  /** The smallest number of holders of a layer in a range, over all data centres. */
+  minHoldersIn(range: LayerRange): number {
+    return Math.min(...this.totals.slice(range.from, range.to));
   }
 
-  /** The layers that nobody holds. */
-  get firstUnheld(): number | undefined {
-    const layer = this.inAll.indexOf(0);
+  /** The first layer without a holder in any data centre. */
+  get firstUnheldLayer(): number | undefined {
+    const layer = this.totals.indexOf(0);
     return layer === -1 ? undefined : layer;
   }
 
-  private inDataCentre(dataCentre: string): number[] {
-    let local = this.byDataCentre.get(dataCentre);
+  private countsIn(dataCentre: string): number[] {
+    let local = this.countsByDataCentre.get(dataCentre);
     if (local === undefined) {
       local = new Array<number>(this.layerCount).fill(0);
-      this.byDataCentre.set(dataCentre, local);
+      this.countsByDataCentre.set(dataCentre, local);
     }
     return local;
   }
 }
 
-/** The first holder of a layer is worth far more than the second. */
+/** Falls with the square of the number of holders: the first holder counts far more than the second. */
 function scarcity(holders: number): number {
   return 1 / ((holders + 0.1) * (holders + 0.1));
 }
 
 /**
- * Leaves out slow upstreams, so that what they hold counts as lacking: loading it elsewhere takes a second
- * or two, slowness lasts longer. Not where the others could not hold the whole model: a slow path is better
- * than crossing for each token.
+ * Excludes slow upstreams, so that the layers they hold count as missing. Loading these elsewhere takes one or two
+ * seconds, and a slowdown lasts longer. Slow upstreams stay in a data centre whose other upstreams could not hold
+ * the whole model, since a slow path is better than crossing data centres for each token.
  */
-export function withoutSlow(
+export function excludeSlow(
   upstreams: readonly Upstream[],
   isSlow: (upstream: string) => boolean,
-  situation: Pick<LayerSituation, 'layers' | 'limitOf'>,
+  situation: Pick<LayerPlanInput, 'layers' | 'limitOf'>,
 ): readonly Upstream[] {
-  return [...byDataCentre(upstreams).values()].flatMap(group => {
-    const sound = group.filter(({id}) => !isSlow(id));
-    return canHoldAll(situation, sound) ? sound : group;
+  return [...groupByDataCentre(upstreams).values()].flatMap(group => {
+    const healthy = group.filter(({id}) => !isSlow(id));
+    return canHoldModel(situation, healthy) ? healthy : group;
   });
 }
 
-/** The assignments that are missing; none when all is as it should be. */
+/** Plans the assignments that the current state requires; empty if none. */
 export function planLayers(
-  situation: LayerSituation,
+  situation: LayerPlanInput,
 ): readonly LayerAssignment[] {
-  const coverage = new Coverage(situation.layers.layerCount);
+  const holderCounts = new HolderCounts(situation.layers.layerCount);
   const empty: Upstream[] = [];
   for (const upstream of situation.upstreams) {
-    const range = situation.ordered.get(upstream.id) ?? upstream.layers;
+    const range = situation.orderedRanges.get(upstream.id) ?? upstream.layers;
     if (range === undefined) {
       empty.push(upstream);
     } else {
-      coverage.add(upstream.dataCentre, range);
+      holderCounts.add(upstream.dataCentre, range);
     }
   }
-  const filled = fillEmpty(situation, coverage, empty);
-  const completed = situation.canComplete
-    ? completeDataCentres(situation, coverage, filled)
+  const assigned = assignToEmpty(situation, holderCounts, empty);
+  const completed = situation.canCloseGaps
+    ? closeDataCentreGaps(situation, holderCounts, assigned)
     : [];
   const isSettled = empty.length === 0 && completed.length === 0;
-  const moved = isSettled ? coverUnheld(situation, coverage) : [];
-  return [...filled, ...completed, ...moved];
+  const moved = isSettled ? moveToUnheld(situation, holderCounts) : [];
+  return [...assigned, ...completed, ...moved];
 }
 
-function fillEmpty(
-  situation: LayerSituation,
-  coverage: Coverage,
+function assignToEmpty(
+  situation: LayerPlanInput,
+  holderCounts: HolderCounts,
   empty: readonly Upstream[],
 ): readonly LayerAssignment[] {
   const size = (upstream: Upstream) => sizeOf(situation, upstream);
-  // Large ones first: the small ones then fit into what is left.
+  // Large upstreams come first, so that small ones fill the remaining gaps.
   const ordered = [...empty].sort(
     (left, right) => size(right) - size(left) || (left.id < right.id ? -1 : 1),
   );
   const assignments: LayerAssignment[] = [];
   for (const upstream of ordered) {
     const {dataCentre, id} = upstream;
-    if (situation.fresh.has(id) && coverage.lackingIn(dataCentre) === 0) {
+    if (
+      situation.recentlyAdded.has(id) &&
+      holderCounts.unheldLayersIn(dataCentre) === 0
+    ) {
       continue;
     }
-    const range = bestRange(situation, coverage, upstream);
+    const range = bestRange(situation, holderCounts, upstream);
     if (range !== undefined) {
-      coverage.add(upstream.dataCentre, range);
+      holderCounts.add(upstream.dataCentre, range);
       assignments.push({upstream, range, reason: 'empty'});
     }
   }
@@ -171,47 +174,54 @@
 }
 
 /**
- * Closes the gaps of each data centre whose upstreams can hold the whole model. Paths then need not cross. Layers
- * are given up in one data centre at a time: what is cut off there needs the room of the others.
+ * Closes the gaps of each data centre whose upstreams can hold the whole model, so that paths need not cross data
+ * centres. Layers are released in one data centre at a time, since the requests aborted there need the capacity of
+ * the others.
  */
-function completeDataCentres(
-  situation: LayerSituation,
-  coverage: Coverage,
-  filled: readonly LayerAssignment[],
+function closeDataCentreGaps(
+  situation: LayerPlanInput,
+  holderCounts: HolderCounts,
+  assigned: readonly LayerAssignment[],
 ): readonly LayerAssignment[] {
-  const completions: Completion[] = [];
-  for (const [dataCentre, upstreams] of byDataCentre(situation.upstreams)) {
-    if (coverage.lackingIn(dataCentre) > 0) {
-      const holders = holdersOf(situation, upstreams, filled);
-      const found = completeRanges(situation.layers.layerCount, holders);
-      completions.push(...(found === undefined ? [] : [found]));
+  const closures: GapClosure[] = [];
+  for (const [dataCentre, upstreams] of groupByDataCentre(
+    situation.upstreams,
+  )) {
+    if (holderCounts.unheldLayersIn(dataCentre) > 0) {
+      const holders = rangeHoldersOf(situation, upstreams, assigned);
+      const found = closeGaps(situation.layers.layerCount, holders);
+      closures.push(...(found === undefined ? [] : [found]));
     }
   }
-  const growing = completions.filter(({givenUp}) => givenUp === 0);
-  const [shifting] = completions
+  const growing = closures.filter(({givenUp}) => givenUp === 0);
+  const [cheapestReleasing] = closures
     .filter(({givenUp}) => givenUp > 0)
     .sort((left, right) => left.cost - right.cost);
-  const isQuiet = growing.length === 0 && situation.ordered.size === 0;
+  const hasNoOtherChange =
+    growing.length === 0 && situation.orderedRanges.size === 0;
   const chosen =
-    shifting !== undefined && isQuiet ? [...growing, shifting] : growing;
+    cheapestReleasing !== undefined && hasNoOtherChange
+      ? [...growing, cheapestReleasing]
+      : growing;
   const reason = 'dataCentreIncomplete';
   return chosen
     .flatMap(({changes}) => changes)
     .map(change => ({...change, reason}));
 }
 
-function holdersOf(
-  {limitOf, ordered, roomShareOf}: LayerSituation,
+function rangeHoldersOf(
+  {limitOf, orderedRanges, capacityShareOf}: LayerPlanInput,
   upstreams: readonly Upstream[],
-  filled: readonly LayerAssignment[],
+  assigned: readonly LayerAssignment[],
 ): readonly RangeHolder[] {
-  const given = new Map(
-    filled.map(({upstream, range}) => [upstream.id, range]),
+  const assignedRanges = new Map(
+    assigned.map(({upstream, range}) => [upstream.id, range]),
   );
   return upstreams.flatMap(upstream => {
-    const underWay = ordered.get(upstream.id) ?? given.get(upstream.id);
-    const held = underWay ?? upstream.layers;
-    const isFixed = underWay !== undefined;
+    const newRange =
+      orderedRanges.get(upstream.id) ?? assignedRanges.get(upstream.id);
+    const held = newRange ?? upstream.layers;
+    const isFixed = newRange !== undefined;
     return held === undefined
       ? []
       : [
@@ -219,16 +229,16 @@
             upstream,
             held,
             limit: limitOf(upstream),
-            roomShareOf: count => roomShareOf(upstream, count),
+            capacityShareOf: count => capacityShareOf(upstream, count),
             isFixed,
           },
         ];
   });
 }
 
-/** Whether upstreams of a data centre hold the whole model, or can come to hold it. */
-function canHoldAll(
-  situation: Pick<LayerSituation, 'layers' | 'limitOf'>,
+/** Whether the upstreams of a data centre can hold the whole model within their limits. */
+function canHoldModel(
+  situation: Pick<LayerPlanInput, 'layers' | 'limitOf'>,
   upstreams: readonly Upstream[],
 ): boolean {
   const total = upstreams.reduce(
@@ -238,7 +248,7 @@
   return total >= situation.layers.layerCount;
 }
 
-function byDataCentre(
+function groupByDataCentre(
   upstreams: readonly Upstream[],
 ): ReadonlyMap<string, readonly Upstream[]> {
   const groups = new Map<string, Upstream[]>();
@@ -249,23 +259,29 @@
   return groups;
 }
 
-/** Moves the upstream whose layers are held best to the layers that nobody holds. */
-function coverUnheld(
-  situation: LayerSituation,
-  coverage: Coverage,
+/** Moves the upstream whose layers have the most holders to the first layer without one. */
+function moveToUnheld(
+  situation: LayerPlanInput,
+  holderCounts: HolderCounts,
 ): readonly LayerAssignment[] {
-  const layer = coverage.firstUnheld;
+  const layer = holderCounts.firstUnheldLayer;
   if (layer === undefined) {
     return [];
   }
-  let best: {upstream: Upstream; spare: number} | undefined;
+  let best: {upstream: Upstream; minHolders: number} | undefined;
   for (const upstream of situation.upstreams) {
-    if (upstream.layers === undefined || situation.ordered.has(upstream.id)) {
+    if (
+      upstream.layers === undefined ||
+      situation.orderedRanges.has(upstream.id)
+    ) {
       continue;
     }
-    const spare = coverage.leastIn(upstream.layers);
-    if (spare > HOLDERS_KEPT && spare > (best?.spare ?? 0)) {
-      best = {upstream, spare};
+    const minHolders = holderCounts.minHoldersIn(upstream.layers);
+    if (
+      minHolders > MIN_REMAINING_HOLDERS &&
+      minHolders > (best?.minHolders ?? 0)
+    ) {
+      best = {upstream, minHolders};
     }
   }
   if (best === undefined) {
@@ -279,24 +295,24 @@
 }
 
 function bestRange(
-  situation: LayerSituation,
-  coverage: Coverage,
+  situation: LayerPlanInput,
+  holderCounts: HolderCounts,
   upstream: Upstream,
 ): LayerRange | undefined {
   const size = sizeOf(situation, upstream);
-  let best: {range: LayerRange; worth: number} | undefined;
+  let best: {range: LayerRange; benefit: number} | undefined;
   for (let from = 0; from + size <= situation.layers.layerCount; from++) {
     const range = {from, to: from + size};
-    const worth = coverage.worth(upstream.dataCentre, range);
-    if (size > 0 && worth > (best?.worth ?? 0)) {
-      best = {range, worth};
+    const benefit = holderCounts.benefitOf(upstream.dataCentre, range);
+    if (size > 0 && benefit > (best?.benefit ?? 0)) {
+      best = {range, benefit};
     }
   }
   return best?.range;
 }
 
 function sizeOf(
-  {sizes}: Pick<LayerSituation, 'sizes'>,
+  {sizes}: Pick<LayerPlanInput, 'sizes'>,
   upstream: Upstream,
 ): number {
   return sizes.get(upstream.acceleratorKind ?? '') ?? 0;
--- a/src/features/layers/test/layerController.test.ts
+++ b/src/features/layers/test/layerController.test.ts
@@ -32,14 +32,14 @@
   actsUnrenewed: true,
 };
 
-/** Upstreams that load layers at once, check fences and counts, and answer as a test asks. */
-class FakeEngines extends UpstreamControl {
+/** Upstreams that load layers at once, check fencing numbers and order counts, and fail on demand. */
+class FakeUpstreams extends UpstreamControl {
   readonly held = new Map<string, LayerRange>();
   readonly orders: Array<{readonly id: string; readonly order: PlaceOrder}> =
     [];
   private readonly counts = new Map<string, number>();
-  private readonly fences = new Map<string, number>();
-  /** What becomes of the next orders. */
+  private readonly highestFencing = new Map<string, number>();
+  /** The fault that the next orders meet. */
   fault: 'none' | 'answerLost' | 'orderLost' = 'none';
 
   override async report(
@@ -63,14 +63,14 @@
     if (this.fault === 'orderLost') {
       return lost;
     }
-    if (order.fencing < (this.fences.get(id) ?? 0)) {
+    if (order.fencing < (this.highestFencing.get(id) ?? 0)) {
       return failure({kind: 'superseded'});
     }
     const count = this.counts.get(id) ?? 0;
     if (order.expectedOrders !== count) {
       return failure({kind: 'conflict', address: undefined});
     }
-    this.fences.set(id, order.fencing);
+    this.highestFencing.set(id, order.fencing);
     this.counts.set(id, count + 1);
     this.held.set(id, order.range);
     return this.fault === 'answerLost' ? lost : success({hasBegun: true});
@@ -80,16 +80,16 @@
     return success(undefined);
   }
 
-  /** Someone with a higher fencing number gave an order. */
-  raiseFence(id: string, fence: number): void {
-    this.fences.set(id, fence);
+  /** Simulates an order that another sender gave with a higher fencing number. */
+  raiseFencing(id: string, fencing: number): void {
+    this.highestFencing.set(id, fencing);
   }
 }
 
-/** Several instances that may give orders, and upstreams whose list a test writes. */
-class ControllerWorld {
+/** Several instances that compete for the lease, and a list of upstreams that the test sets. */
+class ControllerHarness {
   readonly clock = new FakeClock();
-  readonly engines = new FakeEngines();
+  readonly engines = new FakeUpstreams();
   private readonly platform = new InMemoryPlatform(this.clock);
   private readonly directories: UpstreamDirectory[] = [];
   readonly slowness = new Slowness(this.clock, new SilentLogger());
@@ -108,8 +108,8 @@
     this.upstreams = upstreams;
   }
 
-  /** Lets time pass; the list is read each half second. */
-  async pass(milliseconds: number): Promise<void> {
+  /** Advances the clock; the list is read every half second. */
+  async advance(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 500) {
       const listed = this.upstreams.map(upstream => ({
         ...upstream,
@@ -120,8 +120,8 @@
     }
   }
 
-  /** Layers that nobody holds. */
-  get lacking(): number {
+  /** Number of layers without a holder. */
+  get unheldLayers(): number {
     const held = new Set<number>();
     for (const {id} of this.upstreams) {
       const range = this.engines.held.get(id) ?? {from: 0, to: 0};
@@ -169,57 +169,62 @@
   }
 }
 
-function cards(count: number): readonly Upstream[] {
+function makeUpstreams(count: number): readonly Upstream[] {
   return [...Array(count).keys()].map(index =>
     makeUpstream({id: `u${index}`, acceleratorKind: 'small'}),
   );
 }
 
-describe('the controller of layers', () => {
-  it('gives out all layers once the list has settled', async () => {
-    const world = new ControllerWorld(1);
-    world.list(cards(2));
-    await world.pass(500);
-    world.list(cards(6));
-    await world.pass(1000);
-    expect(world.engines.orders).toHaveLength(0);
-    await world.pass(2000);
-    expect(world.lacking).toBe(0);
-    // Those that double layers wait, since they might replace others.
-    await world.pass(5000);
-    expect(new Set(world.engines.orders.map(({id}) => id)).size).toBe(6);
+describe('the layer controller', () => {
+  it('assigns all layers once the upstream list has settled', async () => {
+    const harness = new ControllerHarness(1);
+    harness.list(makeUpstreams(2));
+    await harness.advance(500);
+    harness.list(makeUpstreams(6));
+    await harness.advance(1000);
+    expect(harness.engines.orders).toHaveLength(0);
+    await harness.advance(2000);
+    expect(harness.unheldLayers).toBe(0);
+    // Upstreams that would only add second holders wait, since they might be replacements.
+    await harness.advance(5000);
+    expect(new Set(harness.engines.orders.map(({id}) => id)).size).toBe(6);
   });
 
-  it('orders by one instance only', async () => {
-    const world = new ControllerWorld(3);
-    world.list(cards(6));
-    await world.pass(10_000);
-    expect(world.engines.orders).toHaveLength(6);
-    expect(world.lacking).toBe(0);
+  it('sends orders from one instance only', async () => {
+    const harness = new ControllerHarness(3);
+    harness.list(makeUpstreams(6));
+    await harness.advance(10_000);
+    expect(harness.engines.orders).toHaveLength(6);
+    expect(harness.unheldLayers).toBe(0);
   });
 
-  it('goes on at another instance when the holder of the lease is gone', async () => {
-    const world = new ControllerWorld(2);
-    world.list(cards(6));
-    await world.pass(6000);
-    const holder = world.leases.findIndex(({fencing}) => fencing !== undefined);
-    world.controllers[holder]!.dispose();
-    const [, ...left] = cards(6);
-    world.list([...left, makeUpstream({id: 'new', acceleratorKind: 'small'})]);
-    await world.pass(10_000);
-    expect(world.lacking).toBe(0);
-    const last = world.engines.orders.at(-1)!;
+  it('continues on another instance when the lease holder is gone', async () => {
+    const harness = new ControllerHarness(2);
+    harness.list(makeUpstreams(6));
+    await harness.advance(6000);
+    const holder = harness.leases.findIndex(
+      ({fencing}) => fencing !== undefined,
+    );
+    harness.controllers[holder]!.dispose();
+    const [, ...remaining] = makeUpstreams(6);
+    harness.list([
+      ...remaining,
+      makeUpstream({id: 'new', acceleratorKind: 'small'}),
+    ]);
+    await harness.advance(10_000);
+    expect(harness.unheldLayers).toBe(0);
+    const last = harness.engines.orders.at(-1)!;
     expect(last.order.fencing).toBeGreaterThan(
-      world.engines.orders[0]!.order.fencing,
+      harness.engines.orders[0]!.order.fencing,
     );
   });
 
-  it('loads what a slow upstream holds elsewhere', async () => {
-    const world = new ControllerWorld(1);
-    world.list(cards(6));
-    await world.pass(10_000);
-    const orders = world.engines.orders.length;
-    const held = [...world.engines.held.entries()];
+  it('assigns the layers of a slow upstream to other upstreams', async () => {
+    const harness = new ControllerHarness(1);
+    harness.list(makeUpstreams(6));
+    await harness.advance(10_000);
+    const orderCount = harness.engines.orders.length;
+    const held = [...harness.engines.held.entries()];
     const [slow] = held.find(
       ([id, range]) =>
         !held.some(
@@ -227,46 +232,48 @@
             other !== id && from <= range.from && to >= range.to,
         ),
     )!;
-    world.slowness.note(slow, 12);
-    await world.pass(3000);
-    const added = world.engines.orders.slice(orders);
+    harness.slowness.note(slow, 12);
+    await harness.advance(3000);
+    const added = harness.engines.orders.slice(orderCount);
     expect(added.length).toBeGreaterThan(0);
     expect(added.map(({id}) => id)).not.toContain(slow);
   });
 
-  it('is not taken again by an instance that stops', async () => {
-    const world = new ControllerWorld(2);
-    world.list(cards(6));
-    await world.pass(6000);
-    const holder = world.leases.findIndex(({fencing}) => fencing !== undefined);
-    await world.controllers[holder]!.leave(neverCancelled);
+  it('does not take the lease again on an instance that is stopping', async () => {
+    const harness = new ControllerHarness(2);
+    harness.list(makeUpstreams(6));
+    await harness.advance(6000);
+    const holder = harness.leases.findIndex(
+      ({fencing}) => fencing !== undefined,
+    );
+    await harness.controllers[holder]!.leave(neverCancelled);
     for (let passed = 0; passed < 20; passed++) {
-      await world.pass(500);
-      expect(world.leases[holder]!.fencing).toBeUndefined();
+      await harness.advance(500);
+      expect(harness.leases[holder]!.fencing).toBeUndefined();
     }
-    expect(world.leases[1 - holder]!.fencing).toBeDefined();
+    expect(harness.leases[1 - holder]!.fencing).toBeDefined();
   });
 
   it.each(['answerLost', 'orderLost'] as const)(
-    'makes good an order when the %s',
+    'covers all layers after the fault %s',
     async fault => {
-      const world = new ControllerWorld(1);
-      world.engines.fault = fault;
-      world.list(cards(5));
-      await world.pass(3000);
-      world.engines.fault = 'none';
-      await world.pass(15_000);
-      expect(world.lacking).toBe(0);
+      const harness = new ControllerHarness(1);
+      harness.engines.fault = fault;
+      harness.list(makeUpstreams(5));
+      await harness.advance(3000);
+      harness.engines.fault = 'none';
+      await harness.advance(15_000);
+      expect(harness.unheldLayers).toBe(0);
     },
   );
 
-  it('gives way to a higher fencing number', async () => {
-    const world = new ControllerWorld(1);
-    world.list(cards(5));
-    world.engines.raiseFence('u0', 3);
-    await world.pass(20_000);
-    const accepted = world.engines.orders.filter(({id}) => id === 'u0');
-    expect(accepted.at(-1)!.order.fencing).toBeGreaterThanOrEqual(3);
-    expect(world.lacking).toBe(0);
+  it('resumes with a higher fencing number after an order was superseded', async () => {
+    const harness = new ControllerHarness(1);
+    harness.list(makeUpstreams(5));
+    harness.engines.raiseFencing('u0', 3);
+    await harness.advance(20_000);
+    const sent = harness.engines.orders.filter(({id}) => id === 'u0');
+    expect(sent.at(-1)!.order.fencing).toBeGreaterThanOrEqual(3);
+    expect(harness.unheldLayers).toBe(0);
   });
 });
--- a/src/features/layers/test/layers.test.ts
+++ b/src/features/layers/test/layers.test.ts
@@ -4,16 +4,12 @@
 import {makeUpstream} from '../../fleet/test/upstreams.js';
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
 import {layeredEngine} from '../../paths/test/engines.js';
-import {
-  ChangedRange,
-  completeRanges,
-  RangeHolder,
-} from '../common/completeRanges.js';
-import {chooseLayerSizes, largerSizes} from '../common/layerSize.js';
+import {RangeChange, closeGaps, RangeHolder} from '../common/closeGaps.js';
+import {chooseRangeSizes, maxRangeSizes} from '../common/rangeSizes.js';
 import {
   LayerAssignment,
   planLayers,
-  withoutSlow,
+  excludeSlow,
 } from '../common/planLayers.js';
 
 const LAYERS = 20;
@@ -21,9 +17,11 @@
 const layers = engine.layers!;
 
 /** Accelerators by data centre and kind. */
-type Fleet = Readonly<Record<string, Readonly<Record<string, number>>>>;
+type AcceleratorFleet = Readonly<
+  Record<string, Readonly<Record<string, number>>>
+>;
 
-function counts(entries: Fleet) {
+function toAcceleratorCounts(entries: AcceleratorFleet) {
   return new Map(
     Object.entries(entries).map(([dataCentre, kinds]) => [
       dataCentre,
@@ -32,39 +30,45 @@
   );
 }
 
-describe('layers for each kind', () => {
-  it.each<{name: string; fleet: Fleet; small: number; fast: number}>([
-    {
-      name: 'leave room for all slots where the fleet is large',
-      fleet: {north: {small: 40, fast: 10}},
-      small: 5,
-      fast: 11,
-    },
-    {
-      name: 'give room up until each able data centre holds the model and some layers twice',
-      fleet: {north: {small: 2, fast: 1}, south: {small: 40}},
-      small: 5,
-      fast: 13,
-    },
-    {
-      name: 'hold nothing twice where that would leave too little room',
-      fleet: {north: {small: 1, fast: 1}, south: {small: 40}},
-      small: 6,
-      fast: 14,
-    },
-    {
-      name: 'hold the model twice over all where no data centre is able',
-      fleet: {north: {small: 2}, south: {small: 2}, east: {small: 2}},
-      small: 7,
-      fast: 15,
-    },
-  ])('$name', ({fleet, small, fast}) => {
-    const sizes = chooseLayerSizes(engine, layers, counts(fleet));
+describe('range sizes by accelerator kind', () => {
+  it.each<{name: string; fleet: AcceleratorFleet; small: number; fast: number}>(
+    [
+      {
+        name: 'leave capacity for all slots in a large fleet',
+        fleet: {north: {small: 40, fast: 10}},
+        small: 5,
+        fast: 11,
+      },
+      {
+        name: 'reduce capacity until each capable data centre holds the model and some layers twice',
+        fleet: {north: {small: 2, fast: 1}, south: {small: 40}},
+        small: 5,
+        fast: 13,
+      },
+      {
+        name: 'provide no second holders if too little capacity would remain',
+        fleet: {north: {small: 1, fast: 1}, south: {small: 40}},
+        small: 6,
+        fast: 14,
+      },
+      {
+        name: 'provide two copies overall if no data centre can hold the model',
+        fleet: {north: {small: 2}, south: {small: 2}, east: {small: 2}},
+        small: 7,
+        fast: 15,
+      },
+    ],
+  )('$name', ({fleet, small, fast}) => {
+    const sizes = chooseRangeSizes(engine, layers, toAcceleratorCounts(fleet));
     expect([sizes.get('small'), sizes.get('fast')]).toEqual([small, fast]);
   });
 
   it('never exceed the memory of an accelerator', () => {
-    const sizes = chooseLayerSizes(engine, layers, counts({north: {small: 1}}));
+    const sizes = chooseRangeSizes(
+      engine,
+      layers,
+      toAcceleratorCounts({north: {small: 1}}),
+    );
     for (const kind of layers.kinds) {
       const megabytes = sizes.get(kind.name)! * layers.layerMegabytes;
       expect(megabytes).toBeLessThanOrEqual(kind.memoryMegabytes);
@@ -72,8 +76,8 @@
   });
 });
 
-it('the larger sizes keep what an earlier plan gave', () => {
-  const larger = largerSizes(
+it('the maximum of two size maps keeps the larger size of each kind', () => {
+  const larger = maxRangeSizes(
     new Map([
       ['a', 9],
       ['b', 6],
@@ -91,7 +95,7 @@
   ['fast', 10],
 ]);
 
-function card(
+function upstreamWith(
   id: string,
   kind: string,
   held?: LayerRange,
@@ -100,31 +104,31 @@
   return makeUpstream({id, acceleratorKind: kind, layers: held, dataCentre});
 }
 
-/** A range written as its first layer and the one behind its last. */
-function rangeOf(text: string): LayerRange {
+/** Parses a range in the form `from-to`, `to` exclusive. */
+function parseRange(text: string): LayerRange {
   const [from = 0, to = 0] = text.split('-').map(Number);
   return {from, to};
 }
 
-/** Nothing may grow beyond its usual size. */
+/** Limits each upstream to the range size of its kind. */
 function sizeLimit({acceleratorKind}: Upstream): number {
   return sizes.get(acceleratorKind ?? '') ?? 0;
 }
 
-function plan(
+function planRanges(
   upstreams: readonly Upstream[],
-  ordered: ReadonlyMap<string, LayerRange> = new Map(),
-  fresh: ReadonlySet<string> = new Set(),
+  orderedRanges: ReadonlyMap<string, LayerRange> = new Map(),
+  recentlyAdded: ReadonlySet<string> = new Set(),
 ): Readonly<Record<string, string>> {
   const assignments = planLayers({
     layers,
     sizes,
     limitOf: sizeLimit,
-    canComplete: true,
-    roomShareOf: () => 1,
+    canCloseGaps: true,
+    capacityShareOf: () => 1,
     upstreams,
-    ordered,
-    fresh,
+    orderedRanges,
+    recentlyAdded,
   });
   return Object.fromEntries(
     assignments.map(({upstream, range}) => [
@@ -134,8 +138,8 @@
   );
 }
 
-/** How many different layers the assignments in a data centre cover. */
-function coveredBy(
+/** Number of distinct layers that the assignments in a data centre cover. */
+function coveredLayers(
   dataCentre: string,
   assignments: readonly LayerAssignment[],
 ): number {
@@ -163,16 +167,19 @@
     {slow: ['n1', 'n2'], kept: ['n1', 'n2', 'n3', 's1', 's2']},
     {slow: ['s1'], kept: ['n1', 'n2', 'n3', 's1', 's2']},
     {slow: ['n3', 's1'], kept: ['n1', 'n2', 's1', 's2']},
-  ])('$slow leave $kept to be planned with', ({slow, kept}) => {
-    const left = withoutSlow(upstreams, id => slow.includes(id), {
-      layers,
-      limitOf: () => LAYERS / 2,
-    });
-    expect(left.map(({id}) => id)).toEqual(kept);
-  });
+  ])(
+    '$slow are excluded where the others can hold the model, so that $kept remain',
+    ({slow, kept}) => {
+      const left = excludeSlow(upstreams, id => slow.includes(id), {
+        layers,
+        limitOf: () => LAYERS / 2,
+      });
+      expect(left.map(({id}) => id)).toEqual(kept);
+    },
+  );
 });
 
-describe('completed ranges', () => {
+describe('ranges that close gaps', () => {
   const limits = new Map([
     ['small', 4],
     ['fast', 7],
@@ -187,68 +194,70 @@
     {minLength: 1, maxLength: 12},
   );
 
-  /** Each move leaves more behind than the one layer that is lacking. */
-  const stuck = [
-    card('u0', 'small', {from: 0, to: 3}),
-    card('u1', 'small', {from: 3, to: 6}),
-    card('u2', 'small', {from: 6, to: 9}),
-    card('u3', 'small', {from: 9, to: 12}),
-    card('u4', 'fast', {from: 12, to: 19}),
+  /** One layer is missing, and moving any single upstream would leave a larger gap. */
+  const fleetWithGap = [
+    upstreamWith('u0', 'small', {from: 0, to: 3}),
+    upstreamWith('u1', 'small', {from: 3, to: 6}),
+    upstreamWith('u2', 'small', {from: 6, to: 9}),
+    upstreamWith('u3', 'small', {from: 9, to: 12}),
+    upstreamWith('u4', 'fast', {from: 12, to: 19}),
   ];
 
-  function holdersOf(upstreams: readonly Upstream[]): readonly RangeHolder[] {
+  function toRangeHolders(
+    upstreams: readonly Upstream[],
+  ): readonly RangeHolder[] {
     return upstreams.map(upstream => ({
       upstream,
       held: upstream.layers!,
       limit: limitOf(upstream),
-      roomShareOf: () => 1,
+      capacityShareOf: () => 1,
       isFixed: false,
     }));
   }
 
-  function situationOf(upstreams: readonly Upstream[]) {
+  function planInputFor(upstreams: readonly Upstream[]) {
     return {
       layers,
       sizes: limits,
       limitOf,
-      roomShareOf: () => 1,
-      canComplete: true,
+      capacityShareOf: () => 1,
+      canCloseGaps: true,
       upstreams,
-      ordered: new Map<string, LayerRange>(),
-      fresh: new Set<string>(),
+      orderedRanges: new Map<string, LayerRange>(),
+      recentlyAdded: new Set<string>(),
     };
   }
 
-  /** What each holds once the changes are carried out. */
+  /** The range of each upstream after the changes. */
   function heldAfter(
     upstreams: readonly Upstream[],
-    changes: readonly ChangedRange[],
+    changes: readonly RangeChange[],
   ): readonly LayerRange[] {
     const after = new Map(upstreams.map(({id, layers: held}) => [id, held!]));
     changes.forEach(({upstream, range}) => after.set(upstream.id, range));
     return [...after.values()];
   }
 
-  function lackingOf(held: readonly LayerRange[]): number {
+  function unheldLayers(held: readonly LayerRange[]): number {
     return [...Array(LAYERS).keys()].filter(
       layer => !held.some(({from, to}) => from <= layer && layer < to),
     ).length;
   }
 
-  it('cover the model wherever it fits, and change nothing elsewhere', () => {
+  it('cover the model if it fits within the limits, and are undefined otherwise', () => {
     fastCheck.assert(
       fastCheck.property(ranges, held => {
         const upstreams = held.map(({from, kind}, index) => {
           const to = Math.min(LAYERS, from + 3);
-          return card(`u${index}`, kind, {from, to});
+          return upstreamWith(`u${index}`, kind, {from, to});
         });
-        const found = completeRanges(LAYERS, holdersOf(upstreams));
+        const found = closeGaps(LAYERS, toRangeHolders(upstreams));
         const total = held.reduce((sum, {kind}) => sum + limits.get(kind)!, 0);
         if (total < LAYERS) {
           expect(found).toBeUndefined();
           return;
         }
-        expect(lackingOf(heldAfter(upstreams, found!.changes))).toBe(0);
+        expect(unheldLayers(heldAfter(upstreams, found!.changes))).toBe(0);
         for (const {range, upstream} of found!.changes) {
           expect(range.from).toBeGreaterThanOrEqual(0);
           expect(range.to).toBeLessThanOrEqual(LAYERS);
@@ -260,63 +269,70 @@
 
   it.each([
     {
-      name: 'grow on both sides of a loss, and nothing is given up',
+      name: 'grow on both sides of a lost upstream without releasing layers',
       held: ['0-5', '9-14', '14-20'],
       limit: 8,
       expected: ['0-7', '7-14', '14-20'],
     },
     {
-      name: 'grow where there is room for it',
+      name: 'grow only up to the limit of each upstream',
       held: ['0-5', '8-16', '16-20'],
       limit: 8,
       expected: ['0-8', '8-16', '16-20'],
     },
     {
-      name: 'shift where the neighbours have no room left',
+      name: 'shift if the neighbours of the gap are at their limit',
       held: ['0-3', '3-9', '11-17', '17-20'],
       limit: 6,
       expected: ['0-4', '4-10', '10-16', '16-20'],
     },
     {
-      name: 'stay as they are when nothing is lacking',
+      name: 'stay unchanged if no layer is missing',
       held: ['0-6', '4-10', '10-20'],
       limit: 10,
       expected: ['0-6', '4-10', '10-20'],
     },
     {
-      name: 'move what others hold, too',
+      name: 'move an upstream whose layers have other holders',
       held: ['0-10', '4-9', '10-15'],
       limit: 5,
       expected: ['0-10', '15-20', '10-15'],
     },
   ])('$name', ({held, limit, expected}) => {
     const upstreams = held.map((text, index) =>
-      card(`u${index}`, 'small', rangeOf(text)),
+      upstreamWith(`u${index}`, 'small', parseRange(text)),
     );
-    const holders = holdersOf(upstreams).map(holder => ({...holder, limit}));
-    const found = completeRanges(LAYERS, holders);
+    const holders = toRangeHolders(upstreams).map(holder => ({
+      ...holder,
+      limit,
+    }));
+    const found = closeGaps(LAYERS, holders);
     const after = heldAfter(upstreams, found!.changes);
     expect(after.map(({from, to}) => `${from}-${to}`)).toEqual(expected);
   });
 
-  it('grow where most room for requests is left', () => {
+  it('grow on the upstream with the most remaining capacity', () => {
     const upstreams = ['0-6', '8-14', '14-20'].map((text, index) =>
-      card(`u${index}`, index === 0 ? 'fast' : 'small', rangeOf(text)),
+      upstreamWith(
+        `u${index}`,
+        index === 0 ? 'fast' : 'small',
+        parseRange(text),
+      ),
     );
-    const holders = holdersOf(upstreams).map(holder => ({
+    const holders = toRangeHolders(upstreams).map(holder => ({
       ...holder,
       limit: 8,
-      roomShareOf: () => (holder.upstream.id === 'u0' ? 1 : 0.4),
+      capacityShareOf: () => (holder.upstream.id === 'u0' ? 1 : 0.4),
     }));
-    const found = completeRanges(LAYERS, holders);
+    const found = closeGaps(LAYERS, holders);
     expect(found?.changes).toEqual([
       {upstream: upstreams[0], range: {from: 0, to: 8}},
     ]);
   });
 
-  it('close a gap that no single move closes', () => {
-    const found = planLayers(situationOf(stuck));
-    expect(lackingOf(heldAfter(stuck, found))).toBe(0);
+  it('close a gap by small shifts if no single move can close it', () => {
+    const found = planLayers(planInputFor(fleetWithGap));
+    expect(unheldLayers(heldAfter(fleetWithGap, found))).toBe(0);
     const largestShift = Math.max(
       ...found.map(({upstream, range}) =>
         Math.abs(range.from - upstream.layers!.from),
@@ -325,122 +341,124 @@
     expect(largestShift).toBe(1);
   });
 
-  it('leave an upstream alone that has an order to carry out', () => {
-    const ordered = new Map([['u4', {from: 12, to: 19}]]);
-    const found = planLayers({...situationOf(stuck), ordered});
+  it('do not change an upstream with a pending order', () => {
+    const orderedRanges = new Map([['u4', {from: 12, to: 19}]]);
+    const found = planLayers({...planInputFor(fleetWithGap), orderedRanges});
     expect(found).toEqual([]);
   });
 });
 
-describe('the plan of layers', () => {
-  it('covers the model in each data centre before it doubles anything', () => {
+describe('the layer plan', () => {
+  it('covers the model in each data centre before it adds second holders', () => {
     const fleet = ['north', 'south'].flatMap(dataCentre => [
-      card(`${dataCentre}-f`, 'fast', undefined, dataCentre),
-      card(`${dataCentre}-1`, 'small', undefined, dataCentre),
-      card(`${dataCentre}-2`, 'small', undefined, dataCentre),
+      upstreamWith(`${dataCentre}-f`, 'fast', undefined, dataCentre),
+      upstreamWith(`${dataCentre}-1`, 'small', undefined, dataCentre),
+      upstreamWith(`${dataCentre}-2`, 'small', undefined, dataCentre),
     ]);
     const assignments = planLayers({
       layers,
       sizes,
       limitOf: sizeLimit,
-      canComplete: true,
-      roomShareOf: () => 1,
+      canCloseGaps: true,
+      capacityShareOf: () => 1,
       upstreams: fleet,
-      ordered: new Map(),
-      fresh: new Set(),
+      orderedRanges: new Map(),
+      recentlyAdded: new Set(),
     });
     for (const dataCentre of ['north', 'south']) {
-      expect(coveredBy(dataCentre, assignments)).toBe(LAYERS);
+      expect(coveredLayers(dataCentre, assignments)).toBe(LAYERS);
     }
   });
 
-  it('gives a new upstream the layers that were lost', () => {
+  it('assigns the missing layers to a new upstream', () => {
     const fleet = [
-      card('f', 'fast', {from: 0, to: 10}),
-      card('a', 'small', {from: 15, to: 20}),
-      card('new', 'small'),
+      upstreamWith('f', 'fast', {from: 0, to: 10}),
+      upstreamWith('a', 'small', {from: 15, to: 20}),
+      upstreamWith('new', 'small'),
     ];
-    expect(plan(fleet)).toEqual({new: '10-15'});
+    expect(planRanges(fleet)).toEqual({new: '10-15'});
   });
 
   it.each([
-    {name: 'waits while none is lacking', old: 'old', expected: {}},
+    {name: 'waits while no layer is missing', old: 'old', expected: {}},
     {
-      name: 'takes what is lacking at once',
+      name: 'gets missing layers at once',
       old: undefined,
       expected: {new: '15-20'},
     },
-  ])('an upstream that has just come $name', ({old, expected}) => {
+  ])('a recently added upstream $name', ({old, expected}) => {
     const fleet = [
-      card('f', 'fast', {from: 0, to: 10}),
-      card('a', 'small', {from: 10, to: 15}),
-      ...(old === undefined ? [] : [card(old, 'small', {from: 15, to: 20})]),
-      card('new', 'small'),
+      upstreamWith('f', 'fast', {from: 0, to: 10}),
+      upstreamWith('a', 'small', {from: 10, to: 15}),
+      ...(old === undefined
+        ? []
+        : [upstreamWith(old, 'small', {from: 15, to: 20})]),
+      upstreamWith('new', 'small'),
     ];
-    expect(plan(fleet, new Map(), new Set(['new']))).toEqual(expected);
+    expect(planRanges(fleet, new Map(), new Set(['new']))).toEqual(expected);
   });
 
-  it('counts what was ordered as held', () => {
-    const fleet = [card('a', 'fast'), card('b', 'fast')];
-    const ordered = new Map([['a', {from: 0, to: 10}]]);
-    expect(plan(fleet, ordered)).toEqual({b: '10-20'});
+  it('counts ordered ranges as held', () => {
+    const fleet = [upstreamWith('a', 'fast'), upstreamWith('b', 'fast')];
+    const orderedRanges = new Map([['a', {from: 0, to: 10}]]);
+    expect(planRanges(fleet, orderedRanges)).toEqual({b: '10-20'});
   });
 
   it('changes nothing while all layers are held', () => {
     const fleet = [
-      card('a', 'fast', {from: 0, to: 10}),
-      card('b', 'fast', {from: 10, to: 20}),
+      upstreamWith('a', 'fast', {from: 0, to: 10}),
+      upstreamWith('b', 'fast', {from: 10, to: 20}),
     ];
-    expect(plan(fleet)).toEqual({});
+    expect(planRanges(fleet)).toEqual({});
   });
 
-  it('moves a spare holder to layers that its data centre lacks', () => {
+  it('moves a spare holder to layers that are missing in its data centre', () => {
     const fleet = [
-      card('a', 'fast', {from: 0, to: 10}),
-      card('b', 'small', {from: 10, to: 15}),
-      card('spare', 'small', {from: 4, to: 9}),
-      card('c', 'fast', {from: 10, to: 20}, 'south'),
+      upstreamWith('a', 'fast', {from: 0, to: 10}),
+      upstreamWith('b', 'small', {from: 10, to: 15}),
+      upstreamWith('spare', 'small', {from: 4, to: 9}),
+      upstreamWith('c', 'fast', {from: 10, to: 20}, 'south'),
     ];
-    expect(plan(fleet)).toEqual({spare: '15-20'});
+    expect(planRanges(fleet)).toEqual({spare: '15-20'});
   });
 
-  it('leaves a data centre that can not hold the model alone', () => {
+  it('changes nothing in a data centre that cannot hold the model alone', () => {
     const fleet = [
-      card('a', 'fast', {from: 0, to: 10}),
-      card('spare', 'small', {from: 4, to: 9}),
-      card('c', 'fast', {from: 10, to: 20}, 'south'),
+      upstreamWith('a', 'fast', {from: 0, to: 10}),
+      upstreamWith('spare', 'small', {from: 4, to: 9}),
+      upstreamWith('c', 'fast', {from: 10, to: 20}, 'south'),
     ];
-    expect(plan(fleet)).toEqual({});
+    expect(planRanges(fleet)).toEqual({});
   });
 
-  it('moves nothing that lacks as much afterwards', () => {
+  it('makes only moves after which fewer layers are missing', () => {
     const fleet = [
-      card('a', 'fast', {from: 0, to: 10}),
-      card('b', 'small', {from: 10, to: 15}),
-      card('c', 'small', {from: 14, to: 19}),
-      card('d', 'small', {from: 12, to: 17}),
+      upstreamWith('a', 'fast', {from: 0, to: 10}),
+      upstreamWith('b', 'small', {from: 10, to: 15}),
+      upstreamWith('c', 'small', {from: 14, to: 19}),
+      upstreamWith('d', 'small', {from: 12, to: 17}),
     ];
-    const moves = plan(fleet);
+    const moves = planRanges(fleet);
     expect(Object.keys(moves)).toHaveLength(1);
     expect(Object.values(moves)).toEqual(['15-20']);
   });
 
-  it('moves an upstream whose layers are held three times to those that nobody holds', () => {
+  it('moves an upstream to unheld layers if its own have three holders', () => {
     const fleet = [
-      card('a', 'fast', {from: 0, to: 10}, 'north'),
-      card('b', 'fast', {from: 0, to: 10}, 'south'),
-      card('c', 'fast', {from: 0, to: 10}, 'east'),
-      card('d', 'small', {from: 15, to: 20}, 'west'),
+      upstreamWith('a', 'fast', {from: 0, to: 10}, 'north'),
+      upstreamWith('b', 'fast', {from: 0, to: 10}, 'south'),
+      upstreamWith('c', 'fast', {from: 0, to: 10}, 'east'),
+      upstreamWith('d', 'small', {from: 15, to: 20}, 'west'),
     ];
-    expect(plan(fleet)).toEqual({a: '10-20'});
+    expect(planRanges(fleet)).toEqual({a: '10-20'});
   });
 
-  it('moves nothing where that would take a needed holder away', () => {
+  it('moves no upstream whose layers would be left with one holder', () => {
     const fleet = [
-      card('a', 'fast', {from: 0, to: 10}, 'north'),
-      card('b', 'fast', {from: 0, to: 10}, 'south'),
-      card('d', 'small', {from: 15, to: 20}, 'west'),
+      upstreamWith('a', 'fast', {from: 0, to: 10}, 'north'),
+      upstreamWith('b', 'fast', {from: 0, to: 10}, 'south'),
+      upstreamWith('d', 'small', {from: 15, to: 20}, 'west'),
     ];
-    expect(plan(fleet)).toEqual({});
+    expect(planRanges(fleet)).toEqual({});
   });
 });
