--- a/src/features/layers/common/layerController.ts
+++ b/src/features/layers/common/layerController.ts
@@ -15,7 +15,7 @@
   UpstreamControl,
 } from '../../fleet/common/upstreamControl.js';
 import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
-import {roomTokens} from '../../paths/common/pathCost.js';
+import {kvCapacityTokens} from '../../paths/common/pathCost.js';
 import {Mechanisms} from '../../mechanisms/common/mechanisms.js';
 import {RepeatingTask} from '../../membership/common/repeatingTask.js';
 import {TableLease} from '../../placement/common/tableLease.js';
@@ -32,7 +32,7 @@
   maxRangeSizes,
   RangeSizes,
   REDUNDANCY_CAPACITY_SHARE,
-} from './rangeSizes.js';
+} from './layerSize.js';
 import {LayerAssignment, planLayers, excludeSlow} from './planLayers.js';
 
 /** Interval between plans. */
@@ -86,7 +86,7 @@
 
 /** Detects when all upstreams of a service without any loaded layers have been added. */
 class ArrivalTracker {
-  private readonly arrivalsByService = new Map<
+  private readonly seen = new Map<
     string,
     {readonly count: number; readonly firstAt: number; readonly lastAt: number}
   >();
@@ -100,11 +100,11 @@
       return true;
     }
     const count = upstreams.length;
-    const before = this.arrivalsByService.get(service);
+    const before = this.seen.get(service);
     const isNew = before === undefined || count > before.count;
     const firstAt = before?.firstAt ?? now;
     const lastAt = isNew ? now : before.lastAt;
-    this.arrivalsByService.set(service, {count, firstAt, lastAt});
+    this.seen.set(service, {count, firstAt, lastAt});
     return (
       now - lastAt >= SETTLE_MILLISECONDS ||
       now - firstAt >= SETTLE_LIMIT_MILLISECONDS
@@ -413,7 +413,7 @@
   const memory = kind?.memoryMegabytes ?? 0;
   const usualTokens = engine.usualPromptTokens + engine.usualAnswerTokens;
   const fullCapacity = engine.slots * usualTokens;
-  const capacity = roomTokens(engine, layers, memory, layerCount);
+  const capacity = kvCapacityTokens(engine, layers, memory, layerCount);
   return Math.min(1, Math.max(capacity / fullCapacity, Number.EPSILON));
 }
 
--- a/src/features/layers/common/rangeSizes.ts
+++ b/src/features/layers/common/layerSize.ts
@@ -1,4 +1,4 @@
-import {roomTokens} from '../../paths/common/pathCost.js';
+import {kvCapacityTokens} from '../../paths/common/pathCost.js';
 import {
   AcceleratorKind,
   EngineSettings,
@@ -151,7 +151,7 @@
   let size = Math.min(layersInMemory, layers.layerCount);
   while (
     size > 1 &&
-    roomTokens(engine, layers, memoryMegabytes, size) < capacityTokens
+    kvCapacityTokens(engine, layers, memoryMegabytes, size) < capacityTokens
   ) {
     size--;
   }
--- a/src/features/layers/common/planLayers.ts
+++ b/src/features/layers/common/planLayers.ts
@@ -1,7 +1,7 @@
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
 import {GapClosure, closeGaps, RangeHolder} from './closeGaps.js';
 import {LayerModel} from '../../traffic/common/trafficConfiguration.js';
-import {RangeSizes} from './rangeSizes.js';
+import {RangeSizes} from './layerSize.js';
 
 /** Assigns layers to upstreams that hold none, and moves upstreams if a layer has no holder. */
 
--- a/src/features/paths/common/path.ts
+++ b/src/features/paths/common/path.ts
@@ -1,39 +1,38 @@
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
 
-/** One upstream of a path and the layers that it runs. */
+/** One upstream of a path and the layers that it computes. */
 export interface PathPart {
   readonly upstream: Upstream;
   readonly range: LayerRange;
 }
 
-/** The upstreams that run a request, in the order of the layers. */
+/** The upstreams that compute a request, in the order of their layers. */
 export type Path = readonly PathPart[];
 
-/** How much a request asks of each upstream on its path. */
+/** The size of a request in tokens, which determines its load on each upstream of the path. */
 export interface WorkSize {
   readonly promptTokens: number;
-  /** Expected length of the answer. */
+  /** Expected number of output tokens. */
   readonly answerTokens: number;
 }
 
-/** The tokens that an upstream must remember for a request. */
+/** Number of tokens that a request occupies in the KV cache of each upstream on its path. */
 export function tokensOf(size: WorkSize): number {
   return size.promptTokens + size.answerTokens;
 }
 
-/** The identifiers of a path's upstreams. */
 export function upstreamIdsOf(path: Path): readonly string[] {
   return path.map(part => part.upstream.id);
 }
 
-/** One word for logs. */
+/** Formats a path for log lines, as a text without spaces. */
 export function formatPath(path: Path): string {
   return path
     .map(({upstream, range}) => `${upstream.id}=${range.from}-${range.to}`)
     .join(',');
 }
 
-/** How often a path passes from one data centre to another. */
+/** Number of times that a path crosses from one data centre to another. */
 export function crossingsOf(path: Path): number {
   let crossings = 0;
   path.forEach((part, index) => {
--- a/src/features/paths/common/pathCost.ts
+++ b/src/features/paths/common/pathCost.ts
@@ -8,41 +8,41 @@
 import {Path, tokensOf, WorkSize} from './path.js';
 
 /**
- * Milliseconds that a token waits at each further upstream: part of a pass that is under way, and the
- * network inside a data centre. A guess between the 0.1 ms of the network and passes of 1 to 2 ms.
+ * Delay of each token at an upstream: the rest of the pass in progress, and the network inside a data centre.
+ * Lies between the 0.1 ms of the network and the 1 to 2 ms of a pass.
  */
-const HOP_MILLISECONDS = 0.3;
+const HOP_DELAY_MILLISECONDS = 0.3;
 
 /**
- * Weight of the time for which a transfer occupies the link between data centres. All transfers share
- * it one after another, prompts as well as the single tokens of running streams, which wait behind
- * them. Streams that crossed paused for 110 to 165 ms in the worst tenth, others for 54 ms; so a path
- * crosses only where its data centre has no room.
+ * Weight of the time for which a transfer occupies the link between data centres. Transfers use the link one
+ * after another, so single tokens of running streams queue behind prompts. In the worst tenth, streams that
+ * crossed paused for 110 to 165 ms and others for 54 ms. With this weight, a path crosses only if its data centre
+ * has no capacity.
  */
 const CROSSING_WEIGHT = 30;
 
 /**
- * At full memory an upstream counts as five times as slow. Speed matters little as long as targets are
- * kept, an even spread much: what is lost with one upstream is what ran through it, and all of that
- * needs room elsewhere.
+ * At full memory an upstream counts as five times as slow. As long as latency targets are met, an even
+ * distribution matters more than speed: all requests of a lost upstream need capacity elsewhere.
  */
-const PRESSURE_WEIGHT = 4;
+const MEMORY_PRESSURE_WEIGHT = 4;
 
 /**
- * Weight of the time that a prompt waits behind others. A broken stream has some 60 ms left for it of the
- * pause that callers allow, while differences in speed cost it nothing: so a wait of 50 ms outweighs a
- * difference of a quarter in the room taken, which is about 1,000 ms of predicted time.
+ * Weight of the time that a prompt waits for the prefill of others. An interrupted stream has about 60 ms left for
+ * this wait of the pause that callers tolerate, while differences in speed cost it nothing. So a wait of 50 ms
+ * outweighs a difference of a quarter in used capacity, which is about 1,000 ms of predicted time.
  */
-const READING_WAIT_WEIGHT = 20;
+const PREFILL_WAIT_WEIGHT = 20;
 
 /**
- * Share of an upstream's room that may be planned. Requests are planned at their full length and hold less on
- * the way: 908 tokens a stream where 995 were planned, by a report of a full upstream. Share of what callers were owed that
- * they got in time, less costs, in the mean of five simulated days of losses at 0.95, 1.1 and 1.3: 0.696, 0.712 and 0.692.
+ * Share of an upstream's KV-cache capacity that may be planned. Requests are planned at their full length but use
+ * less until they end: a full upstream reported 908 tokens per stream where 995 were planned. At 0.95, 1.1 and 1.3,
+ * the share of due results that callers received in time, less costs, averaged 0.696, 0.712 and 0.692 over five
+ * simulated days with losses.
  */
-const PLANNED_ROOM_SHARE = 1.1;
+const PLANNED_CAPACITY_SHARE = 1.1;
 
-/** A kind that the configuration does not describe counts like the engine's own figures. */
+/** Stands in for kinds missing from the configuration: the engine's figures apply without a factor. */
 const UNKNOWN_KIND: AcceleratorKind = {
   name: 'unknown',
   memoryMegabytes: 0,
@@ -53,8 +53,8 @@
 const BYTES_PER_MEGABYTE = 1_000_000;
 const BITS_PER_BYTE = 8;
 
-/** The accelerator of an upstream. */
-export function kindOf(
+/** The accelerator kind of an upstream, or `UNKNOWN_KIND` if it is not configured. */
+export function acceleratorKindOf(
   layers: LayerModel | undefined,
   upstream: Upstream,
 ): AcceleratorKind {
@@ -64,48 +64,52 @@
   return kind ?? UNKNOWN_KIND;
 }
 
-/** Tokens for which an accelerator has room beside a number of layers. */
-export function roomTokens(
+/** Number of tokens that fit into the KV cache of an accelerator beside a number of layers. */
+export function kvCapacityTokens(
   engine: EngineSettings,
   layers: LayerModel,
   memoryMegabytes: number,
   layerCount: number,
 ): number {
-  const free = memoryMegabytes - layerCount * layers.layerMegabytes;
+  const freeMegabytes = memoryMegabytes - layerCount * layers.layerMegabytes;
   const bytesPerToken = (engine.kvTokenBytes / layers.layerCount) * layerCount;
-  return Math.max(0, (free * BYTES_PER_MEGABYTE) / bytesPerToken);
+  return Math.max(0, (freeMegabytes * BYTES_PER_MEGABYTE) / bytesPerToken);
 }
 
-/** Room of an upstream as it stands, in tokens times layers. */
-export function roomOf(engine: EngineSettings, upstream: Upstream): number {
+/** KV-cache capacity of an upstream beside its current layers, in tokens times layers. */
+export function kvCapacityTokenLayers(
+  engine: EngineSettings,
+  upstream: Upstream,
+): number {
   const {layers} = engine;
   if (layers === undefined || upstream.layers === undefined) {
     return engine.kvTokens;
   }
-  const {memoryMegabytes} = kindOf(layers, upstream);
+  const {memoryMegabytes} = acceleratorKindOf(layers, upstream);
   const count = layerCountOf(upstream.layers);
   const tokens =
     memoryMegabytes === 0
       ? engine.kvTokens
-      : roomTokens(engine, layers, memoryMegabytes, count);
+      : kvCapacityTokens(engine, layers, memoryMegabytes, count);
   return tokens * count;
 }
 
-/** The share of an upstream's room that is taken once a request runs through some of its layers too; above 1 it is full. */
-export function pressureWith(
+/** Used share of an upstream's planned capacity with a request added to some of its layers; above 1 it is full. */
+export function memoryPressureWith(
   engine: EngineSettings,
   upstream: Upstream,
   load: LoadFigure,
   size: WorkSize,
   layerCount: number,
 ): number {
-  const room = roomOf(engine, upstream) * PLANNED_ROOM_SHARE;
-  const taken = load.tokenLayers + tokensOf(size) * layerCount;
-  return taken / Math.max(room, 1);
+  const capacity =
+    kvCapacityTokenLayers(engine, upstream) * PLANNED_CAPACITY_SHARE;
+  const used = load.tokenLayers + tokensOf(size) * layerCount;
+  return used / Math.max(capacity, 1);
 }
 
-/** Predicted milliseconds that a request spends in a number of layers on one upstream. */
-export function partMilliseconds(
+/** Predicted milliseconds that a request spends in a number of layers of an upstream. */
+export function predictPartMilliseconds(
   engine: EngineSettings,
   upstream: Upstream,
   layerCount: number,
@@ -113,37 +117,45 @@
   pressure: number,
   slowness: number,
 ): number {
-  const kind = kindOf(engine.layers, upstream);
+  const kind = acceleratorKindOf(engine.layers, upstream);
   const share = layerCount / (engine.layers?.layerCount ?? layerCount);
-  const step = size.answerTokens * engine.stepMilliseconds * kind.stepFactor;
-  const rate = engine.promptTokensPerSecond / 1000;
-  const read = (size.promptTokens / rate) * kind.readFactor;
-  const crowding = 1 + PRESSURE_WEIGHT * pressure;
-  const hop = HOP_MILLISECONDS * size.answerTokens;
-  return (step + read) * share * crowding * slowness + hop;
+  const decodeMilliseconds =
+    size.answerTokens * engine.stepMilliseconds * kind.stepFactor;
+  const promptTokensPerMillisecond = engine.promptTokensPerSecond / 1000;
+  const prefillMilliseconds =
+    (size.promptTokens / promptTokensPerMillisecond) * kind.readFactor;
+  const pressureFactor = 1 + MEMORY_PRESSURE_WEIGHT * pressure;
+  const hopDelay = HOP_DELAY_MILLISECONDS * size.answerTokens;
+  return (
+    (decodeMilliseconds + prefillMilliseconds) *
+      share *
+      pressureFactor *
+      slowness +
+    hopDelay
+  );
 }
 
-/** Cost of waiting on one upstream until it reads a prompt; parts of a path share the wait by their layers. */
-export function readingWaitCost(
+/** Cost of the wait until an upstream starts the prefill, in proportion to the share of layers that it computes. */
+export function prefillWaitCost(
   engine: EngineSettings,
   layerCount: number,
   waitMilliseconds: number,
 ): number {
   const share = layerCount / (engine.layers?.layerCount ?? layerCount);
-  return waitMilliseconds * share * READING_WAIT_WEIGHT;
+  return waitMilliseconds * share * PREFILL_WAIT_WEIGHT;
 }
 
-/** Milliseconds that one token needs on a path whose upstreams are idle, waits between them included. */
+/** Milliseconds that one token takes on a path with idle upstreams, including delays between them. */
 export function tokenMilliseconds(engine: EngineSettings, path: Path): number {
   const one = {promptTokens: 0, answerTokens: 1};
   return path.reduce((sum, {upstream, range}) => {
     const count = range.to - range.from;
-    return sum + partMilliseconds(engine, upstream, count, one, 0, 1);
+    return sum + predictPartMilliseconds(engine, upstream, count, one, 0, 1);
   }, 0);
 }
 
-/** Predicted milliseconds for passing on all tokens of a request from one data centre to another. */
-export function crossingMilliseconds(
+/** Weighted milliseconds for the transfer of all tokens of a request from one data centre to another. */
+export function weightedCrossingMilliseconds(
   engine: EngineSettings,
   from: string,
   to: string,
@@ -156,11 +168,11 @@
   const bytes = tokensOf(size) * layers.activationBytes;
   const bitsPerMillisecond = layers.pipeMegabits * 1000;
   const transfer = (bytes * BITS_PER_BYTE) / Math.max(bitsPerMillisecond, 1);
-  const delay = delayBetween(engine, from, to) * size.answerTokens;
+  const delay = networkDelayBetween(engine, from, to) * size.answerTokens;
   return transfer * CROSSING_WEIGHT + delay;
 }
 
-function delayBetween(
+function networkDelayBetween(
   engine: EngineSettings,
   from: string,
   to: string,
--- a/src/features/paths/common/pathSearch.ts
+++ b/src/features/paths/common/pathSearch.ts
@@ -3,36 +3,36 @@
 import {EngineSettings} from '../../traffic/common/trafficConfiguration.js';
 import {Path, PathPart, WorkSize} from './path.js';
 import {
-  crossingMilliseconds,
-  partMilliseconds,
-  pressureWith,
-  readingWaitCost,
+  weightedCrossingMilliseconds,
+  predictPartMilliseconds,
+  memoryPressureWith,
+  prefillWaitCost,
 } from './pathCost.js';
 
-/** Chooses a path: a shortest path over layers, by predicted time, load, room and crossings. */
+/** Finds the path with the least cost over all layers: predicted time, load, KV-cache capacity and crossings. */
 
-/** The most parts that engines take in one path. */
-const PART_LIMIT = 32;
+/** Maximum number of parts in a path that engines accept. */
+const MAX_PATH_PARTS = 32;
 
-/** What a search may use and must connect. */
+/** Input of a path search. */
 export interface PathQuestion {
   readonly engine: EngineSettings;
   readonly upstreams: readonly Upstream[];
   readonly size: WorkSize;
   /** The layers to cover. */
   readonly span: LayerRange;
-  /** Where the tokens come from; undefined at the start of a path. */
+  /** Data centre that the tokens come from; undefined at the start of a path. */
   readonly enteringFrom: string | undefined;
-  /** Where the tokens go to; undefined at the end of a path. */
+  /** Data centre that the tokens go to; undefined at the end of a path. */
   readonly leavingTo: string | undefined;
   readonly loadOf: (upstream: string) => LoadFigure;
-  /** Factor by which an upstream is slower than its kind; 1 for a sound one. */
+  /** Factor by which an upstream is slower than its kind; 1 for a healthy one. */
   readonly slownessOf: (upstream: string) => number;
-  /** Milliseconds that a prompt waits at an upstream behind others. */
+  /** Milliseconds that a prompt waits at an upstream for the prefill of others. */
   readonly readingWaitOf: (upstream: string) => number;
-  /** Factor on the cost of crossings; Infinity when there may be none. */
+  /** Factor on the cost of crossings between data centres; Infinity if none is permitted. */
   readonly crossingFactor: number;
-  /** Whether upstreams without room for the request are left out. */
+  /** Whether upstreams without KV-cache capacity for the request are excluded. */
   readonly isRoomBounded: boolean;
   /** Whether an upstream may be used at all. */
   readonly isUsable: (upstream: Upstream) => boolean;
@@ -41,39 +41,39 @@
 /** The outcome of a search. */
 export type PathAnswer =
   | {readonly kind: 'found'; readonly path: Path; readonly predicted: number}
-  /** All layers are held, but not with room for the request. */
+  /** Each layer has a usable holder, but KV-cache or link capacity for the request is missing. */
   | {readonly kind: 'noRoom'}
-  /** Some layer is held by no usable upstream. */
+  /** No usable upstream holds this layer. */
   | {readonly kind: 'noLayers'; readonly layer: number};
 
-/** A place in the search: a layer boundary reached in a data centre. */
-interface Place {
+/** A node of the search graph: a layer boundary reached in a data centre. */
+interface SearchNode {
   readonly layer: number;
   readonly dataCentre: string | undefined;
   readonly cost: number;
-  /** The last upstream among the candidates; -1 at the start. */
+  /** Index of the last used candidate; -1 at the start. */
   readonly lastIndex: number;
   readonly part: PathPart | undefined;
-  readonly before: Place | undefined;
+  readonly before: SearchNode | undefined;
 }
 
-/** An upstream with what does not change during a search. */
+/** A usable upstream with its state, read once per search. */
 interface Candidate {
   readonly upstream: Upstream;
   readonly range: LayerRange;
   readonly load: LoadFigure;
   readonly slowness: number;
-  readonly readingWait: number;
+  readonly prefillWaitMilliseconds: number;
 }
 
-/** Finds the path with the least predicted time that has room. */
+/** Finds the path with the least cost among those that have capacity for the request. */
 export function findPath(question: PathQuestion): PathAnswer {
   const usable = candidatesOf(question);
-  const found = search(question, usable);
+  const found = searchPath(question, usable);
   if (found !== undefined) {
     return found;
   }
-  const layer = firstMissingLayer(question.span, usable);
+  const layer = findUnheldLayer(question.span, usable);
   return layer === undefined ? {kind: 'noRoom'} : {kind: 'noLayers', layer};
 }
 
@@ -90,18 +90,18 @@
     }
     const load = question.loadOf(upstream.id);
     const slowness = question.slownessOf(upstream.id);
-    const readingWait = question.readingWaitOf(upstream.id);
-    candidates.push({upstream, range, load, slowness, readingWait});
+    const prefillWaitMilliseconds = question.readingWaitOf(upstream.id);
+    candidates.push({upstream, range, load, slowness, prefillWaitMilliseconds});
   }
-  return candidates.sort(byStart);
+  return candidates.sort(compareByFirstLayer);
 }
 
-function byStart(left: Candidate, right: Candidate): number {
+function compareByFirstLayer(left: Candidate, right: Candidate): number {
   const starts = left.range.from - right.range.from;
   return starts !== 0 ? starts : left.upstream.id < right.upstream.id ? -1 : 1;
 }
 
-function firstMissingLayer(
+function findUnheldLayer(
   span: LayerRange,
   candidates: readonly Candidate[],
 ): number | undefined {
@@ -116,21 +116,23 @@
   return undefined;
 }
 
-function search(
+function searchPath(
   question: PathQuestion,
   candidates: readonly Candidate[],
 ): PathAnswer | undefined {
-  const boundaries = boundariesOf(question.span, candidates);
-  const end = bestEnd(question, candidates, boundaries);
-  if (end !== undefined && isShort(end)) {
-    return found(end);
+  const handOverLayers = handOverLayersOf(question.span, candidates);
+  const end = findBestEnd(question, candidates, handOverLayers);
+  if (end !== undefined && isWithinPartLimit(end)) {
+    return toFoundPath(end);
   }
-  // With hand-overs only at the end of each range there are fewer parts.
-  const plain = bestEnd(question, candidates, new Set([question.span.to]));
-  return plain !== undefined && isShort(plain) ? found(plain) : undefined;
+  // Paths have fewer parts if each upstream runs up to the end of its range.
+  const plain = findBestEnd(question, candidates, new Set([question.span.to]));
+  return plain !== undefined && isWithinPartLimit(plain)
+    ? toFoundPath(plain)
+    : undefined;
 }
 
-function boundariesOf(
+function handOverLayersOf(
   span: LayerRange,
   candidates: readonly Candidate[],
 ): ReadonlySet<number> {
@@ -139,15 +141,15 @@
   return new Set([...inside, span.to]);
 }
 
-/** Works forwards over the layers; every place is settled before the places behind it. */
-function bestEnd(
+/** Expands nodes in the order of their layers, so that the cost of each is final before it is expanded. */
+function findBestEnd(
   question: PathQuestion,
   candidates: readonly Candidate[],
-  boundaries: ReadonlySet<number>,
-): Place | undefined {
+  handOverLayers: ReadonlySet<number>,
+): SearchNode | undefined {
   const {span} = question;
-  const places = new Map<number, Map<string, Place>>();
-  keep(places, {
+  const nodes = new Map<number, Map<string, SearchNode>>();
+  keepIfCheaper(nodes, {
     layer: span.from,
     dataCentre: question.enteringFrom,
     cost: 0,
@@ -156,52 +158,53 @@
     before: undefined,
   });
   for (let layer = span.from; layer < span.to; layer++) {
-    for (const place of places.get(layer)?.values() ?? []) {
-      extend(question, candidates, boundaries, place, places);
+    for (const node of nodes.get(layer)?.values() ?? []) {
+      expandNode(question, candidates, handOverLayers, node, nodes);
     }
   }
-  return cheapest(question, places.get(span.to));
+  return cheapestEnd(question, nodes.get(span.to));
 }
 
-function extend(
+function expandNode(
   question: PathQuestion,
   candidates: readonly Candidate[],
-  boundaries: ReadonlySet<number>,
-  place: Place,
-  places: Map<number, Map<string, Place>>,
+  handOverLayers: ReadonlySet<number>,
+  node: SearchNode,
+  nodes: Map<number, Map<string, SearchNode>>,
 ): void {
-  // Upstreams follow each other in the order of their first layers, so that none comes twice: engines refuse such
-  // paths. No way is lost by it: one that starts earlier and reaches farther could have run the part before, too.
-  for (let index = place.lastIndex + 1; index < candidates.length; index++) {
+  // Upstreams are used in the order of their first layers, so that none occurs twice, since engines refuse such
+  // paths. No layer becomes unreachable: an upstream that starts earlier and ends later can run the previous part, too.
+  for (let index = node.lastIndex + 1; index < candidates.length; index++) {
     const {range} = candidates[index]!;
     const last = Math.min(range.to, question.span.to);
-    if (range.from > place.layer) {
+    if (range.from > node.layer) {
       return;
     }
-    for (let to = place.layer + 1; to <= last; to++) {
-      if (to === last || boundaries.has(to)) {
-        const next = step(question, candidates, index, place, to);
+    for (let to = node.layer + 1; to <= last; to++) {
+      if (to === last || handOverLayers.has(to)) {
+        const next = nextNode(question, candidates, index, node, to);
         if (Number.isFinite(next.cost)) {
-          keep(places, next);
+          keepIfCheaper(nodes, next);
         }
       }
     }
   }
 }
 
-function step(
+function nextNode(
   question: PathQuestion,
   candidates: readonly Candidate[],
   index: number,
-  place: Place,
+  node: SearchNode,
   to: number,
-): Place {
+): SearchNode {
   const {engine, size} = question;
-  const {upstream, load, slowness, readingWait} = candidates[index]!;
-  const count = to - place.layer;
-  const pressure = pressureWith(engine, upstream, load, size, count);
+  const {upstream, load, slowness, prefillWaitMilliseconds} =
+    candidates[index]!;
+  const count = to - node.layer;
+  const pressure = memoryPressureWith(engine, upstream, load, size, count);
   const {dataCentre} = upstream;
-  const time = partMilliseconds(
+  const time = predictPartMilliseconds(
     engine,
     upstream,
     count,
@@ -209,8 +212,8 @@
     pressure,
     slowness,
   );
-  const wait = readingWaitCost(engine, count, readingWait);
-  const from = place.dataCentre ?? dataCentre;
+  const wait = prefillWaitCost(engine, count, prefillWaitMilliseconds);
+  const from = node.dataCentre ?? dataCentre;
   const crossing = crossingCost(question, from, dataCentre);
   return {
     layer: to,
@@ -218,14 +221,14 @@
     cost:
       question.isRoomBounded && pressure > 1
         ? Infinity
-        : place.cost + time + wait + crossing,
+        : node.cost + time + wait + crossing,
     lastIndex: index,
-    part: {upstream, range: {from: place.layer, to}},
-    before: place,
+    part: {upstream, range: {from: node.layer, to}},
+    before: node,
   };
 }
 
-/** A crossing that may not be made costs infinitely much. */
+/** Cost of a crossing; Infinity if crossings are not permitted. */
 function crossingCost(
   {crossingFactor, engine, size}: PathQuestion,
   from: string,
@@ -233,55 +236,58 @@
 ): number {
   return from === to
     ? 0
-    : crossingMilliseconds(engine, from, to, size) * crossingFactor;
+    : weightedCrossingMilliseconds(engine, from, to, size) * crossingFactor;
 }
 
-function keep(places: Map<number, Map<string, Place>>, place: Place): void {
-  const here = places.get(place.layer) ?? new Map<string, Place>();
-  const name = place.dataCentre ?? '';
-  const known = here.get(name);
-  if (known === undefined || place.cost < known.cost) {
-    here.set(name, place);
+function keepIfCheaper(
+  nodes: Map<number, Map<string, SearchNode>>,
+  node: SearchNode,
+): void {
+  const nodesAtLayer = nodes.get(node.layer) ?? new Map<string, SearchNode>();
+  const dataCentre = node.dataCentre ?? '';
+  const known = nodesAtLayer.get(dataCentre);
+  if (known === undefined || node.cost < known.cost) {
+    nodesAtLayer.set(dataCentre, node);
   }
-  places.set(place.layer, here);
+  nodes.set(node.layer, nodesAtLayer);
 }
 
-function cheapest(
+function cheapestEnd(
   question: PathQuestion,
-  ends: ReadonlyMap<string, Place> | undefined,
-): Place | undefined {
+  ends: ReadonlyMap<string, SearchNode> | undefined,
+): SearchNode | undefined {
   const {leavingTo} = question;
-  let best: Place | undefined;
-  for (const place of ends?.values() ?? []) {
-    const from = place.dataCentre ?? '';
+  let best: SearchNode | undefined;
+  for (const node of ends?.values() ?? []) {
+    const from = node.dataCentre ?? '';
     const crossing = crossingCost(question, from, leavingTo ?? from);
-    const cost = place.cost + crossing;
+    const cost = node.cost + crossing;
     if (!Number.isFinite(cost)) {
       continue;
     }
     if (best === undefined || cost < best.cost) {
-      best = {...place, cost};
+      best = {...node, cost};
     }
   }
   return best;
 }
 
-function isShort(end: Place): boolean {
-  return partsOf(end).length <= PART_LIMIT;
+function isWithinPartLimit(end: SearchNode): boolean {
+  return pathTo(end).length <= MAX_PATH_PARTS;
 }
 
-function found(end: Place): PathAnswer {
-  return {kind: 'found', path: partsOf(end), predicted: end.cost};
+function toFoundPath(end: SearchNode): PathAnswer {
+  return {kind: 'found', path: pathTo(end), predicted: end.cost};
 }
 
-function partsOf(end: Place): Path {
+function pathTo(end: SearchNode): Path {
   const parts: PathPart[] = [];
-  let place: Place | undefined = end;
-  while (place !== undefined) {
-    if (place.part !== undefined) {
-      parts.push(place.part);
+  let node: SearchNode | undefined = end;
+  while (node !== undefined) {
+    if (node.part !== undefined) {
+      parts.push(node.part);
     }
-    place = place.before;
+    node = node.before;
   }
   return parts.reverse();
 }
--- a/src/features/paths/common/readingBacklog.ts
+++ b/src/features/paths/common/readingBacklog.ts
@@ -2,22 +2,21 @@
 import {layerCountOf, Upstream} from '../../fleet/common/upstream.js';
 import {EngineSettings} from '../../traffic/common/trafficConfiguration.js';
 import {Path} from './path.js';
-import {kindOf} from './pathCost.js';
+import {acceleratorKindOf} from './pathCost.js';
 
 /**
- * Part of an upstream's time in which it reads prompts. The rest goes to the tokens of running requests:
- * a pass of 512 prompt tokens takes 2.1 ms and two steps beside it 1.9 ms on 6 layers of a slow kind.
+ * Share of an upstream's time that is spent on prefill. The rest goes to decode steps of running requests: on 6
+ * layers of a slow kind, a pass of 512 prompt tokens takes 2.1 ms and the two decode steps beside it take 1.9 ms.
  */
-const READING_SHARE = 0.5;
+const PREFILL_TIME_SHARE = 0.5;
 
 /**
- * How long prompts that were sent to an upstream keep it reading. It answers the load right after a loss:
- * all streams that ran through the lost upstream are begun again within some milliseconds, by every
- * instance on its own and long before any report or peer says where the others sent theirs. All instances
- * are taken to send as much as this one.
+ * Estimates how long the prompts sent to each upstream keep it busy with prefill. This balances the load right
+ * after a loss: every instance independently restarts the streams of the lost upstream within milliseconds, long
+ * before reports or peers show where the others sent theirs. All instances are assumed to send as much as this one.
  */
 export class ReadingBacklog {
-  /** Monotonic milliseconds until which each upstream reads. */
+  /** Monotonic milliseconds until which each upstream is busy with prefill. */
   private readonly busyUntil = new Map<string, number>();
 
   constructor(
@@ -27,7 +26,7 @@
     private readonly slownessOf: (upstream: string) => number,
   ) {}
 
-  /** A prompt was sent along a path; the upstreams in `kept` have read it already. */
+  /** Records a prompt sent along a path, except for the upstreams in `kept`, which still have it in their KV cache. */
   note(
     engine: EngineSettings,
     path: Path,
@@ -38,7 +37,7 @@
     for (const {upstream} of path) {
       if (!kept.has(upstream.id)) {
         const time =
-          readingMilliseconds(engine, upstream, promptTokens) *
+          prefillMilliseconds(engine, upstream, promptTokens) *
           this.slownessOf(upstream.id);
         const from = Math.max(now, this.busyUntil.get(upstream.id) ?? now);
         const added = time * Math.max(1, this.instanceCount());
@@ -47,13 +46,13 @@
     }
   }
 
-  /** Milliseconds that a further prompt would wait at an upstream. */
+  /** Milliseconds that another prompt would wait at an upstream. */
   waitOf(upstream: string): number {
     const until = this.busyUntil.get(upstream) ?? 0;
     return Math.max(0, until - this.clock.monotonicMilliseconds());
   }
 
-  /** Forgets upstreams that are gone. */
+  /** Removes the entries of upstreams that are no longer listed. */
   retain(isKept: (upstream: string) => boolean): void {
     for (const upstream of this.busyUntil.keys()) {
       if (!isKept(upstream)) {
@@ -63,8 +62,8 @@
   }
 }
 
-/** Milliseconds in which an upstream reads a prompt through all layers that it holds. */
-function readingMilliseconds(
+/** Prefill time of a prompt in all layers that an upstream holds. */
+function prefillMilliseconds(
   engine: EngineSettings,
   upstream: Upstream,
   promptTokens: number,
@@ -75,6 +74,11 @@
     layers === undefined || held === undefined
       ? 1
       : layerCountOf(held) / layers.layerCount;
-  const rate = (engine.promptTokensPerSecond / 1000) * READING_SHARE;
-  return (promptTokens / rate) * kindOf(layers, upstream).readFactor * share;
+  const promptTokensPerMillisecond =
+    (engine.promptTokensPerSecond / 1000) * PREFILL_TIME_SHARE;
+  return (
+    (promptTokens / promptTokensPerMillisecond) *
+    acceleratorKindOf(layers, upstream).readFactor *
+    share
+  );
 }
--- a/src/features/paths/test/engines.ts
+++ b/src/features/paths/test/engines.ts
@@ -1,6 +1,6 @@
 import {EngineSettings} from '../../traffic/common/trafficConfiguration.js';
 
-/** An engine whose model is split over small and fast accelerators in two data centres. */
+/** An engine whose model is split over `small` and `fast` accelerators in two data centres. */
 export function layeredEngine(layerCount: number): EngineSettings {
   return {
     slots: 100,
--- a/src/features/paths/test/pathSearch.test.ts
+++ b/src/features/paths/test/pathSearch.test.ts
@@ -26,7 +26,7 @@
   });
 }
 
-function ask(
+function search(
   upstreams: readonly Upstream[],
   fields: Partial<PathQuestion> = {},
 ) {
@@ -47,8 +47,8 @@
   });
 }
 
-/** Leaves a whole holder of eight layers room for a request of 750 tokens in five or six of them. */
-const LOADS: Readonly<Record<string, number>> = {a: 133_000};
+/** A load at which a holder of all eight layers has capacity for a request of 750 tokens in at most six of them. */
+const tokenLayersById: Readonly<Record<string, number>> = {a: 133_000};
 
 const south = {dataCentre: 'south'};
 
@@ -60,7 +60,7 @@
     path: string;
   }> = [
     {
-      name: 'joins ranges in order',
+      name: 'joins ranges in the order of their layers',
       upstreams: [holder('b', 4, 8), holder('a', 0, 4)],
       path: 'a=0-4,b=4-8',
     },
@@ -93,7 +93,7 @@
       path: 'a=0-4,b=4-8',
     },
     {
-      name: 'leaves out upstreams that may not be used',
+      name: 'excludes unusable upstreams',
       upstreams: [holder('a', 0, 8, {isLeaving: true}), holder('b', 0, 8)],
       path: 'b=0-8',
     },
@@ -115,7 +115,7 @@
       path: 'b=0-8',
     },
     {
-      name: 'uses no upstream before and after a faster one inside its range',
+      name: 'uses no upstream twice, before and after a faster one inside its range',
       upstreams: [
         holder('a', 0, 8),
         holder('b', 3, 5, {acceleratorKind: 'fast'}),
@@ -123,14 +123,17 @@
       path: 'a=0-8',
     },
     {
-      name: 'runs through a part of an upstream that has no room for a request in all its layers',
-      // Room for 1,000 tokens in 8 layers: 1 GB at 8,000 bytes a token and layer; 880 tokens in 5 layers fit.
+      name: 'uses only some layers of an upstream that has no capacity for the request in all of them',
+      // 1 GB at 8,000 bytes per token and layer is 125,000 token-layers, of which 1.1 times as many may be planned.
+      // The load of 133,000 leaves 4,500: the 750 tokens of the request in 6 layers.
       upstreams: [holder('a', 0, 8), holder('b', 5, 8)],
-      fields: {loadOf: id => ({requests: 1, tokenLayers: LOADS[id] ?? 0})},
+      fields: {
+        loadOf: id => ({requests: 1, tokenLayers: tokenLayersById[id] ?? 0}),
+      },
       path: 'a=0-5,b=5-8',
     },
     {
-      name: 'comes back to where it goes on',
+      name: 'prefers the data centre in which the request continues',
       upstreams: [holder('a', 2, 4, south), holder('b', 2, 4)],
       fields: {
         span: {from: 2, to: 4},
@@ -142,7 +145,7 @@
   ];
 
   it.each(cases)('$name', ({upstreams, fields, path}) => {
-    const answer = ask(upstreams, fields);
+    const answer = search(upstreams, fields);
     expect(answer.kind === 'found' && formatPath(answer.path)).toBe(path);
   });
 
@@ -154,22 +157,22 @@
       answer: {kind: 'noLayers', layer: 3},
     },
     {
-      name: 'a crossing that the link has no room for',
+      name: 'a crossing beyond the capacity of the link',
       upstreams: [holder('a', 0, 4), holder('b', 4, 8, south)],
       fields: {crossingFactor: Infinity},
       answer: {kind: 'noRoom'},
     },
     {
-      name: 'no room',
+      name: 'a full upstream',
       upstreams: [holder('a', 0, 8)],
       fields: {loadOf: () => ({requests: 1, tokenLayers: 1_000_000})},
       answer: {kind: 'noRoom'},
     },
   ])('is not found with $name', ({upstreams, fields, answer}) => {
-    expect(ask(upstreams, fields)).toEqual(answer);
+    expect(search(upstreams, fields)).toEqual(answer);
   });
 
-  it('runs every layer once and in order, on upstreams that hold it', () => {
+  it('covers every layer once and in order, on upstreams that hold it', () => {
     const range = fastCheck
       .tuple(fastCheck.nat(LAYERS - 1), fastCheck.integer({min: 1, max: 5}))
       .map(([from, count]) => ({from, to: Math.min(LAYERS, from + count)}));
@@ -182,9 +185,9 @@
         const upstreams = entries.map(([{from, to}, dataCentre], index) =>
           holder(`u${index}`, from, to, {dataCentre}),
         );
-        const answer = ask(upstreams);
+        const answer = search(upstreams);
         if (answer.kind !== 'found') {
-          // Where each layer is held there is a way, whatever the ranges are.
+          // A path exists whenever each layer has a holder, whatever the ranges are.
           expect(answer.kind).toBe('noLayers');
           return;
         }
@@ -205,9 +208,9 @@
   });
 });
 
-it('a service without layers is one upstream, the least loaded', () => {
+it('a path of a service without layers is the least loaded upstream', () => {
   const engine = {...layeredEngine(LAYERS), layers: undefined};
-  const answer = ask([makeUpstream({id: 'a'}), makeUpstream({id: 'b'})], {
+  const answer = search([makeUpstream({id: 'a'}), makeUpstream({id: 'b'})], {
     engine,
     span: {from: 0, to: 1},
     loadOf: id => ({requests: 1, tokenLayers: id === 'a' ? 5000 : 0}),
@@ -215,14 +218,14 @@
   expect(answer.kind === 'found' && formatPath(answer.path)).toBe('b=0-1');
 });
 
-describe('the load of the link', () => {
+describe('the load of the link between data centres', () => {
   it.each([
     {megabytes: 0, factor: 1},
     {megabytes: 100, factor: 1 / (1 - 0.4 / 0.5)},
     {megabytes: 125, factor: Infinity},
     {megabytes: 500, factor: Infinity},
   ])(
-    'of 2 instances that cross with $megabytes MB a second makes crossings $factor times as dear',
+    'multiplies the cost of crossings by $factor when 2 instances transfer $megabytes MB/s each',
     ({megabytes, factor}) => {
       const clock = new FakeClock();
       const load = new LinkLoad(clock, () => 2);
--- a/src/features/paths/test/readingBacklog.test.ts
+++ b/src/features/paths/test/readingBacklog.test.ts
@@ -28,22 +28,37 @@
 
 const a = holder('a', 0, 4);
 const b = holder('b', 4, 8);
-const whole: Path = [
+const pathOverBoth: Path = [
   {upstream: a, range: {from: 0, to: 4}},
   {upstream: b, range: {from: 4, to: 8}},
 ];
 
-/** 1,000 tokens at 200 tokens/ms, half of the time, ten times as slow, through half of the layers. */
-const ONE_PROMPT_MILLISECONDS = 50;
+/** Prefill of 1,000 tokens at 200 tokens/ms, in half of the time, ten times as slow, in half of the layers. */
+const PREFILL_MILLISECONDS = 50;
 
-describe('the reading backlog', () => {
+describe('the prefill backlog', () => {
   it.each([
-    {name: 'of one prompt', prompts: 1, wait: 50},
-    {name: 'of three prompts', prompts: 3, wait: 150},
-    {name: 'drains', prompts: 3, after: 120, wait: 30},
-    {name: 'is empty at last', prompts: 3, after: 200, wait: 0},
-    {name: 'guesses peers', prompts: 1, instances: 7, wait: 350},
-    {name: 'of a slow upstream', prompts: 1, slowness: 12, wait: 600},
+    {name: 'is the prefill time of one prompt', prompts: 1, wait: 50},
+    {name: 'adds up the prefill times of three prompts', prompts: 3, wait: 150},
+    {name: 'falls as time passes', prompts: 3, after: 120, wait: 30},
+    {
+      name: 'is 0 once all prompts are processed',
+      prompts: 3,
+      after: 200,
+      wait: 0,
+    },
+    {
+      name: 'assumes that each peer sends as much',
+      prompts: 1,
+      instances: 7,
+      wait: 350,
+    },
+    {
+      name: 'grows with the slowness of an upstream',
+      prompts: 1,
+      slowness: 12,
+      wait: 600,
+    },
   ])('$name', ({prompts, instances = 1, slowness = 1, after = 0, wait}) => {
     const clock = new FakeClock();
     const backlog = new ReadingBacklog(
@@ -52,38 +67,38 @@
       () => slowness,
     );
     for (let count = 0; count < prompts; count++) {
-      backlog.note(engine, whole, 1000, new Set());
+      backlog.note(engine, pathOverBoth, 1000, new Set());
     }
     clock.advance(after);
     expect(backlog.waitOf('a')).toBeCloseTo(wait);
     expect(backlog.waitOf('other')).toBe(0);
   });
 
-  it('leaves out upstreams that have read the prompt', () => {
+  it('excludes upstreams that have processed the prompt', () => {
     const backlog = new ReadingBacklog(
       new FakeClock(),
       () => 1,
       () => 1,
     );
-    backlog.note(engine, whole, 1000, new Set(['a']));
+    backlog.note(engine, pathOverBoth, 1000, new Set(['a']));
     expect(backlog.waitOf('a')).toBe(0);
-    expect(backlog.waitOf('b')).toBeCloseTo(ONE_PROMPT_MILLISECONDS);
+    expect(backlog.waitOf('b')).toBeCloseTo(PREFILL_MILLISECONDS);
   });
 
-  it('forgets upstreams that are gone', () => {
+  it('is dropped for upstreams that are no longer listed', () => {
     const backlog = new ReadingBacklog(
       new FakeClock(),
       () => 1,
       () => 1,
     );
-    backlog.note(engine, whole, 1000, new Set());
+    backlog.note(engine, pathOverBoth, 1000, new Set());
     backlog.retain(id => id === 'b');
     expect(backlog.waitOf('a')).toBe(0);
     expect(backlog.waitOf('b')).toBeGreaterThan(0);
   });
 });
 
-describe('streams that are begun again after a loss', () => {
+describe('streams that are restarted after a loss', () => {
   const INSTANCES = 7;
   const STREAMS = 42;
   const size = {promptTokens: 770, answerTokens: 145};
@@ -94,12 +109,12 @@
     holder('d', 4, 8, 'south'),
   ];
 
-  /** Each instance knows what it sent itself, and what peers had before the loss. */
-  function shareOfBusiest(knowsBacklog: boolean): number {
+  /** Share of streams on the busiest upstream. Each instance knows its own streams and the load before the loss. */
+  function shareOfBusiest(usesBacklog: boolean): number {
     const clock = new FakeClock();
     const instances = Array.from({length: INSTANCES}, () => {
       const load = new UpstreamLoad();
-      // The south was in use a little more.
+      // The south has slightly more load.
       load.add('c', 4_000);
       load.add('d', 4_000);
       return {
@@ -123,13 +138,13 @@
         leavingTo: undefined,
         loadOf: id => load.of(id),
         slownessOf: () => 1,
-        readingWaitOf: id => (knowsBacklog ? backlog.waitOf(id) : 0),
+        readingWaitOf: id => (usesBacklog ? backlog.waitOf(id) : 0),
         crossingFactor: Infinity,
         isRoomBounded: true,
         isUsable: () => true,
       });
       if (answer.kind !== 'found') {
-        throw new Error('there is room');
+        throw new Error('no path found despite free capacity');
       }
       backlog.note(engine, answer.path, size.promptTokens, new Set());
       for (const id of upstreamIdsOf(answer.path)) {
@@ -142,13 +157,13 @@
 
   it.each([
     {
-      name: 'by room alone most go the same way',
+      name: 'mostly choose the same path by capacity alone',
       knows: false,
       least: 0.8,
       most: 1,
     },
     {
-      name: 'by what is to be read they divide',
+      name: 'spread over both paths by the prefill backlog',
       knows: true,
       least: 0.5,
       most: 0.65,
