--- a/src/features/fleet/common/slowness.ts
+++ b/src/features/fleet/common/slowness.ts
@@ -3,23 +3,23 @@
 import {DisposableOwner} from '../../../base/common/lifecycle.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 
-/** A factor counts for this long after it was reported; reports come every second or two. */
-const VALID_MILLISECONDS = 5_000;
+/** Time for which a reported factor is valid; reports arrive every one or two seconds. */
+const READING_LIFETIME_MILLISECONDS = 5_000;
 
-/** Factors below this are those of a sound upstream. */
-const LEAST_FACTOR = 1.1;
+/** Smaller factors are ignored, so that the upstream counts as healthy. */
+const MIN_EFFECTIVE_FACTOR = 1.1;
 
-/** From this factor on running streams are moved off where another upstream can take their part. */
-const MOVING_FACTOR = 2.5;
+/** From this factor on an upstream is slow: its streams are moved if others can take over their layers. */
+const SLOW_FACTOR = 2.5;
 
-/** What an instance has read in a report itself. */
+/** A slowness factor that an instance read from an upstream's report. */
 export interface SlownessReading {
   readonly upstream: string;
   readonly factor: number;
   readonly ageMilliseconds: number;
 }
 
-interface Known {
+interface StoredReading {
   readonly factor: number;
   /** Monotonic milliseconds of the report. */
   readonly at: number;
@@ -27,15 +27,15 @@
 }
 
 /**
- * How many times slower than its kind each upstream is, as it reported. Peers are told only what was read
- * here, with its age: news that is passed on and on would outlive the slowness.
+ * Tracks the factor by which each upstream is slower than its kind, as reported. Peers receive only readings of this
+ * instance, with their age: readings relayed from peer to peer would outlast the slowdown.
  */
 export class Slowness extends DisposableOwner {
-  private readonly slowed = this.register(new Emitter<string>());
-  private readonly readings = new Map<string, Known>();
+  private readonly becameSlow = this.register(new Emitter<string>());
+  private readonly readings = new Map<string, StoredReading>();
 
-  /** Fires with an upstream that has become so slow that streams had better leave it. */
-  readonly onDidSlow = this.slowed.event;
+  /** Fires with the identifier of an upstream that becomes slow. */
+  readonly onDidSlow = this.becameSlow.event;
 
   constructor(
     private readonly clock: Clock,
@@ -44,38 +44,38 @@
     super();
   }
 
-  /** Takes a factor that was reported just now. */
+  /** Records a factor that an upstream reported to this instance just now. */
   note(upstream: string, factor: number): void {
-    this.take(upstream, {factor, at: this.now(), isOwn: true});
+    this.update(upstream, {factor, at: this.now(), isOwn: true});
   }
 
-  /** Takes a factor that a peer has read. */
+  /** Records a factor that an upstream reported to a peer. */
   hear({upstream, factor, ageMilliseconds}: SlownessReading): void {
     const at = this.now() - ageMilliseconds;
-    this.take(upstream, {factor, at, isOwn: false});
+    this.update(upstream, {factor, at, isOwn: false});
   }
 
-  /** 1 for a sound upstream. */
+  /** The current factor of an upstream; 1 if it is healthy or has no valid reading. */
   of(upstream: string): number {
     const known = this.readings.get(upstream);
-    const counts =
+    const isEffective =
       known !== undefined &&
-      known.factor >= LEAST_FACTOR &&
-      this.now() - known.at <= VALID_MILLISECONDS;
-    return counts ? known.factor : 1;
+      known.factor >= MIN_EFFECTIVE_FACTOR &&
+      this.now() - known.at <= READING_LIFETIME_MILLISECONDS;
+    return isEffective ? known.factor : 1;
   }
 
-  /** Whether an upstream is so slow that what runs on it had better run elsewhere. */
+  /** Whether an upstream is so slow that its requests should run elsewhere. */
   isSlow(upstream: string): boolean {
-    return this.of(upstream) >= MOVING_FACTOR;
+    return this.of(upstream) >= SLOW_FACTOR;
   }
 
-  /** The slow upstreams that this instance has read of itself, for peers. */
+  /** Readings of slow upstreams by this instance itself, to be sent to peers. */
   get own(): readonly SlownessReading[] {
-    this.forgetOld();
+    this.removeExpired();
     const now = this.now();
     return [...this.readings]
-      .filter(([, {factor, isOwn}]) => isOwn && factor >= LEAST_FACTOR)
+      .filter(([, {factor, isOwn}]) => isOwn && factor >= MIN_EFFECTIVE_FACTOR)
       .map(([upstream, {factor, at}]) => ({
         upstream,
         factor,
@@ -83,7 +83,7 @@
       }));
   }
 
-  private take(upstream: string, reading: Known): void {
+  private update(upstream: string, reading: StoredReading): void {
     const known = this.readings.get(upstream);
     const knownAt = known?.at ?? -Infinity;
     const isNewer = reading.isOwn
@@ -95,15 +95,15 @@
     const before = this.of(upstream);
     this.readings.set(upstream, reading);
     const factor = this.of(upstream);
-    if (factor >= MOVING_FACTOR && before < MOVING_FACTOR) {
+    if (factor >= SLOW_FACTOR && before < SLOW_FACTOR) {
       const age = Math.round(this.now() - reading.at);
       this.logger.decision('upstreamSlow', {upstream, factor, before, age});
-      this.slowed.fire(upstream);
+      this.becameSlow.fire(upstream);
     }
   }
 
-  private forgetOld(): void {
-    const from = this.now() - VALID_MILLISECONDS;
+  private removeExpired(): void {
+    const from = this.now() - READING_LIFETIME_MILLISECONDS;
     for (const [upstream, {at}] of this.readings) {
       if (at < from) {
         this.readings.delete(upstream);
--- a/src/features/fleet/common/suspicions.ts
+++ b/src/features/fleet/common/suspicions.ts
@@ -3,53 +3,53 @@
 import {DisposableOwner} from '../../../base/common/lifecycle.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 
-/** Why an upstream is held to be lost. */
+/** Why an upstream is suspected. */
 export type SuspicionReason =
   | 'unreachable'
   | 'reset'
   | 'silent'
   | 'namedByUpstream'
-  /** It answers, but refused work or was named as the one that can't take it. */
+  /** It answers, but refused work or was named in a refusal as the upstream that cannot take it. */
   | 'refusing'
   | 'misdirected'
   | 'toldByPeer';
 
 /**
- * An upstream that refuses work answers trial calls all the same: it is left out for this long, and
- * twice as long each time that it refuses again soon after.
+ * An upstream that refuses work still answers probes, so the first refusal excludes it for this long. The time
+ * doubles with each further refusal in a row.
  */
-const REFUSAL_MILLISECONDS = 300;
-const REFUSAL_LIMIT_MILLISECONDS = 5_000;
+const REFUSAL_HOLD_MILLISECONDS = 300;
+const MAX_REFUSAL_HOLD_MILLISECONDS = 5_000;
 
-/** A refusal this long after the last one counts as the first. */
-const REFUSAL_MEMORY_MILLISECONDS = 8_000;
+/** A refusal that comes this long after the last one starts a new row. */
+const REFUSAL_RESET_MILLISECONDS = 8_000;
 
-/** A suspicion that began. */
+/** A suspicion about an upstream. */
 export interface Suspicion {
   readonly upstream: string;
   readonly reason: SuspicionReason;
   readonly since: number;
-  /** Monotonic milliseconds before which no answer clears it. */
-  readonly until: number;
+  /** Monotonic milliseconds before which an answered probe does not clear it. */
+  readonly heldUntil: number;
 }
 
-/** The refusals of an upstream in a row. */
-interface Refusals {
+/** Successive refusals of an upstream. */
+interface RefusalRow {
   readonly count: number;
   readonly at: number;
 }
 
-/** An upstream that is suspected and not cleared gets a trial at most this often. */
+/** Interval between probes of a suspected upstream. */
 export const TRIAL_PERIOD_MILLISECONDS = 500;
 
-/** Upstreams that are held to be lost. They get no new work until a trial call was answered. */
+/** Upstreams that are suspected of a failure. They get no new work until they answer a probe. */
 export class Suspicions extends DisposableOwner {
-  private readonly begun = this.register(new Emitter<Suspicion>());
+  private readonly didSuspect = this.register(new Emitter<Suspicion>());
   private readonly suspected = new Map<string, Suspicion>();
-  private readonly refusals = new Map<string, Refusals>();
+  private readonly refusals = new Map<string, RefusalRow>();
 
   /** Fires when an upstream becomes suspected. */
-  readonly onDidSuspect = this.begun.event;
+  readonly onDidSuspect = this.didSuspect.event;
 
   constructor(
     private readonly clock: Clock,
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Holds an upstream to be lost; answers whether that is news. One that only refuses can still turn out
-   * to be lost: a dead upstream is named in refusals before anything else shows that it is dead.
+   * Suspects an upstream, and returns whether the suspicion is new. A suspicion for refusing work can still be
+   * raised to a loss: refusals name a crashed upstream before anything else shows that it has crashed.
    */
   suspect(
     upstream: string,
@@ -68,19 +68,20 @@
     evidence: Readonly<Record<string, unknown>>,
   ): boolean {
     const known = this.suspected.get(upstream);
-    if (known !== undefined && !isWorse(reason, known.reason)) {
+    if (known !== undefined && !isMoreSevere(reason, known.reason)) {
       return false;
     }
     const since = this.clock.monotonicMilliseconds();
-    const hold = reason === 'refusing' ? this.holdOf(upstream, since) : 0;
-    const suspicion = {upstream, reason, since, until: since + hold};
+    const hold =
+      reason === 'refusing' ? this.nextHoldMilliseconds(upstream, since) : 0;
+    const suspicion = {upstream, reason, since, heldUntil: since + hold};
     this.suspected.set(upstream, suspicion);
     this.logger.decision('upstreamSuspected', {upstream, reason, ...evidence});
-    this.begun.fire(suspicion);
+    this.didSuspect.fire(suspicion);
     return true;
   }
 
-  /** A trial was answered, or the upstream is gone from the list. */
+  /** Ends a suspicion after an answered probe, unless the hold time lasts, or after the upstream left the list. */
   clear(upstream: string, cause: 'answered' | 'gone'): void {
     const suspicion = this.suspected.get(upstream);
     const now = this.clock.monotonicMilliseconds();
@@ -89,7 +90,7 @@
     }
     if (
       suspicion === undefined ||
-      (cause === 'answered' && now < suspicion.until)
+      (cause === 'answered' && now < suspicion.heldUntil)
     ) {
       return;
     }
@@ -98,52 +99,54 @@
     this.logger.decision('upstreamCleared', {upstream, cause, lasted});
   }
 
-  /** How long a refusal counts, longer with each one in a row. */
-  private holdOf(upstream: string, now: number): number {
+  /** Counts a refusal, and returns for how long it excludes the upstream. */
+  private nextHoldMilliseconds(upstream: string, now: number): number {
     const last = this.refusals.get(upstream);
     const isInRow =
-      last !== undefined && now - last.at < REFUSAL_MEMORY_MILLISECONDS;
+      last !== undefined && now - last.at < REFUSAL_RESET_MILLISECONDS;
     const count = isInRow ? last.count + 1 : 1;
     this.refusals.set(upstream, {count, at: now});
-    const hold = REFUSAL_MILLISECONDS * 2 ** (count - 1);
-    return Math.min(hold, REFUSAL_LIMIT_MILLISECONDS);
+    const hold = REFUSAL_HOLD_MILLISECONDS * 2 ** (count - 1);
+    return Math.min(hold, MAX_REFUSAL_HOLD_MILLISECONDS);
   }
 
-  /** Whether an upstream is held to be lost. */
+  /** Whether an upstream is suspected for any reason. */
   has(upstream: string): boolean {
     return this.suspected.has(upstream);
   }
 
-  /** Whether an upstream is held to be lost for what it runs, too; one that refuses may well finish that. */
+  /** Whether the running requests of an upstream count as lost too; an upstream that refuses work may finish them. */
   isLost(upstream: string): boolean {
     const suspicion = this.suspected.get(upstream);
     return suspicion !== undefined && suspicion.reason !== 'refusing';
   }
 
-  /** Whether an upstream has been held to be lost for longer than a time. */
+  /** Whether an upstream has counted as lost for longer than a time. */
   isLostFor(upstream: string, milliseconds: number): boolean {
     const suspicion = this.suspected.get(upstream);
     const age = this.clock.monotonicMilliseconds() - (suspicion?.since ?? 0);
     return this.isLost(upstream) && age > milliseconds;
   }
 
-  /** Whether an upstream answers nothing for longer than a time; one that holds other layers than was thought answers. */
+  /** Whether an upstream has been lost for longer than a time and not merely misdirected, since then it answers. */
   isSilentFor(upstream: string, milliseconds: number): boolean {
     const reason = this.suspected.get(upstream)?.reason;
     return reason !== 'misdirected' && this.isLostFor(upstream, milliseconds);
   }
 
-  /** Whether an upstream has been lost for so long that it did not answer further trial calls either. */
+  /** Whether an upstream has been lost for so long that it left at least one further probe unanswered. */
   isLongLost(upstream: string): boolean {
     return this.isLostFor(upstream, 1.5 * TRIAL_PERIOD_MILLISECONDS);
   }
 
-  /** All suspicions. */
   get all(): readonly Suspicion[] {
     return [...this.suspected.values()];
   }
 }
 
-function isWorse(reason: SuspicionReason, known: SuspicionReason): boolean {
+function isMoreSevere(
+  reason: SuspicionReason,
+  known: SuspicionReason,
+): boolean {
   return known === 'refusing' && reason !== 'refusing';
 }
--- a/src/features/fleet/common/upstream.ts
+++ b/src/features/fleet/common/upstream.ts
@@ -1,4 +1,4 @@
-/** An upstream as the platform lists it. */
+/** Upstreams as listed by the platform. */
 
 /** The layers that an upstream holds. */
 export interface LayerRange {
@@ -7,28 +7,28 @@
   readonly to: number;
 }
 
-/** One run of an upstream. */
+/** A run of an upstream, from one start to its end. */
 export interface Upstream {
   /**
-   * Identifies the run: another start under the same name has another one. What is known by it therefore
-   * ends with the run, as what the upstream itself held does.
+   * Identifies the run; each restart under the same name has a new identifier. State stored under it therefore
+   * does not outlast the run, just as the state of the upstream itself.
    */
   readonly id: string;
-  /** The name under which the platform lists it, and by which it knows itself; kept over restarts. */
+  /** The name under which the platform lists it and which it has in its own settings; kept over restarts. */
   readonly name: string;
-  /** Start of the run in Unix milliseconds; undefined where the platform does not say. */
+  /** Start of the run in Unix milliseconds; undefined if the platform does not provide it. */
   readonly startedAt: number | undefined;
   readonly service: string;
-  /** `IP:port`; may be given to another upstream after this one has ended. */
+  /** `IP:port`; may be reused by another upstream after this one has ended. */
   readonly address: string;
   readonly dataCentre: string;
-  /** Requests that it works on at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Leaving: gets no new work. */
+  /** Whether it is shutting down, so that it gets no new work. */
   readonly isLeaving: boolean;
-  /** Milliseconds for which it is still slow after its start. */
+  /** Remaining milliseconds of its slow phase after the start. */
   readonly coldMilliseconds: number;
-  /** The kind of accelerator; undefined for plain services. */
+  /** Name of its accelerator kind; undefined for plain services. */
   readonly acceleratorKind: string | undefined;
   /** The layers that it holds; undefined while it holds none. */
   readonly layers: LayerRange | undefined;
@@ -36,7 +36,6 @@
   readonly models: readonly string[];
 }
 
-/** The number of layers in a range. */
 export function layerCountOf(range: LayerRange): number {
   return range.to - range.from;
 }
--- a/src/features/fleet/common/upstreamControl.ts
+++ b/src/features/fleet/common/upstreamControl.ts
@@ -2,20 +2,20 @@
 import {Path} from '../../paths/common/path.js';
 import {LayerRange, Upstream} from './upstream.js';
 
-/** Calls about an upstream itself, as a port. */
+/** Port for control calls to upstreams, as opposed to requests. */
 
-/** A request that waits for an upstream which does not answer. */
+/** A request that waits for an upstream that does not respond. */
 export interface StalledRequest {
   readonly requestId: string;
   /** Address of the upstream that it waits for. */
   readonly address: string;
 }
 
-/** What an upstream reports; some hundred milliseconds old. */
+/** State reported by an upstream, a few hundred milliseconds old. */
 export interface UpstreamReport {
-  /** Orders that it has accepted since its start. */
+  /** Number of orders that it has accepted since its start. */
   readonly orderCount: number;
-  /** Whether an order is in progress. */
+  /** Whether it is executing an order. */
   readonly isBusy: boolean;
   /** Factor by which it is slower than its kind. */
   readonly slowness: number;
@@ -23,42 +23,42 @@
   readonly stalled: readonly StalledRequest[];
 }
 
-/** Why a call to an upstream had no effect, or may have had one. */
+/** Why a call to an upstream had no effect. With `noAnswer` it may have had one. */
 export type UpstreamCallError =
   | {readonly kind: 'noAnswer'; readonly detail: string}
-  /** Another upstream has the address, or another run of the same one. */
+  /** The address now belongs to another upstream, or to another run of the same one. */
   | {readonly kind: 'misdirected'}
-  /** Someone with a higher fencing number has given orders. */
+  /** The upstream has accepted an order with a higher fencing number. */
   | {readonly kind: 'superseded'}
-  /** The order does not fit the upstream's state. */
+  /** The order does not match the upstream's state. */
   | {readonly kind: 'conflict'; readonly address: string | undefined}
   | {readonly kind: 'refused'; readonly status: number};
 
-/** An order to hold layers. */
+/** An order to hold a range of layers. */
 export interface PlaceOrder {
   readonly range: LayerRange;
   readonly fencing: number;
-  /** Orders that the upstream must have accepted before this one, so that a late copy has no effect. */
+  /** Number of orders that the upstream must have accepted before, so that a delayed duplicate has no effect. */
   readonly expectedOrders: number;
-  /** Whether requests on layers that are given up are cut off, instead of waited for. */
+  /** Whether running requests on released layers are aborted; otherwise the upstream waits for their end. */
   readonly cutsOff: boolean;
 }
 
-/** Asks and orders upstreams. */
+/** Reads reports of upstreams and sends them orders. All time limits are in milliseconds. */
 export abstract class UpstreamControl {
   abstract report(
     upstream: Upstream,
     milliseconds: number,
   ): Promise<Result<UpstreamReport, UpstreamCallError>>;
 
-  /** Succeeds with whether loading has begun; false when the layers are held already. */
+  /** Orders an upstream to hold layers. `hasBegun` is false if it holds them already. */
   abstract place(
     upstream: Upstream,
     order: PlaceOrder,
     milliseconds: number,
   ): Promise<Result<{readonly hasBegun: boolean}, UpstreamCallError>>;
 
-  /** Moves a running request to another path that starts at the same upstream. */
+  /** Moves a running request to another path with the same first upstream. */
   abstract repath(
     upstream: Upstream,
     requestId: string,
--- a/src/features/fleet/common/upstreamDigest.ts
+++ b/src/features/fleet/common/upstreamDigest.ts
@@ -1,9 +1,9 @@
 import {rendezvousScore} from '../../../base/common/rendezvous.js';
 import {Upstream} from './upstream.js';
 
-/** A list of upstreams as it was read at one moment, to be compared and passed on. */
+/** Comparison of upstream lists by text and digest. */
 
-/** What decisions depend on; two upstreams with the same text need not be told apart. */
+/** The state of an upstream that decisions depend on, as a text for comparison and log lines. */
 export function describeUpstream(upstream: Upstream): string {
   const {layers} = upstream;
   const range = layers === undefined ? '-' : `${layers.from}-${layers.to}`;
@@ -13,8 +13,8 @@
   return `${state} ${range} ${models} ${upstream.address} ${upstream.slots}${warmth}`;
 }
 
-/** A short text that is the same for lists of the same upstreams in the same state: 64 bits of hash. */
-export function digestOf(list: readonly Upstream[]): string {
+/** A 64-bit hash that is equal for lists of the same upstreams in the same state, in any order. */
+export function digestUpstreams(list: readonly Upstream[]): string {
   const lines = list.map(
     upstream =>
       `${upstream.id} ${upstream.service} ${describeUpstream(upstream)}`,
--- a/src/features/fleet/common/upstreamDirectory.ts
+++ b/src/features/fleet/common/upstreamDirectory.ts
@@ -4,30 +4,31 @@
 import {elapsedSince, Moment, momentOf} from '../../../base/common/moment.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 import {Upstream} from './upstream.js';
-import {describeUpstream, digestOf} from './upstreamList.js';
+import {describeUpstream, digestUpstreams} from './upstreamDigest.js';
 
-/** Reads that are further apart than this had an outage of the list between them. */
-const OUTAGE_MILLISECONDS = 2_500;
+/** Reads of the list with a larger gap between them count as separated by an outage. */
+const OUTAGE_GAP_MILLISECONDS = 2_500;
 
 /**
- * The list is complete again this long after an outage, by the platform's word. No longer: an upstream
- * that left while only this instance could not read must get nothing new some seconds later.
+ * Time after an outage in which the list becomes complete again, as guaranteed by the platform. It must not be
+ * longer: if only this instance could not read the list, upstreams that left meanwhile must not get new work for
+ * several seconds.
  */
-const RETURN_MILLISECONDS = 2_000;
+const RECOVERY_MILLISECONDS = 2_000;
 
-/** The upstreams that are listed, by service. */
+/** The listed upstreams, found by service, identifier or address. */
 export class UpstreamDirectory extends DisposableOwner {
   private readonly changed = this.register(new Emitter<void>());
   private upstreams = new Map<string, Upstream>();
   private byService = new Map<string, readonly Upstream[]>();
   private byAddress = new Map<string, Upstream>();
-  private lastRead: Moment | undefined;
-  private completeFrom = -Infinity;
+  private lastReadAt: Moment | undefined;
+  private completeAt = -Infinity;
   private lastList: readonly Upstream[] = [];
-  private lastDigest = digestOf([]);
-  private dropTimer: Disposable | undefined;
+  private lastDigest = digestUpstreams([]);
+  private removalTimer: Disposable | undefined;
 
-  /** Fires when an upstream came, left or changed. */
+  /** Fires when an upstream was added, removed or changed. */
   readonly onDidChange = this.changed.event;
 
   constructor(
@@ -38,63 +39,61 @@
   }
 
   override dispose(): void {
-    this.dropTimer?.dispose();
+    this.removalTimer?.dispose();
     super.dispose();
   }
 
-  /** All upstreams of a service, leaving ones included. */
+  /** All upstreams of a service, including those that are leaving. */
   ofService(service: string): readonly Upstream[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** The listed upstream with an identifier. */
   find(id: string): Upstream | undefined {
     return this.upstreams.get(id);
   }
 
-  /** The listed upstream at an address. */
   findByAddress(address: string): Upstream | undefined {
     return this.byAddress.get(address);
   }
 
-  /** How many upstreams are listed. */
+  /** Number of listed upstreams. */
   get size(): number {
     return this.upstreams.size;
   }
 
-  /** Milliseconds since the list was read. */
+  /** Milliseconds since the list was last read; Infinity before the first read. */
   get age(): number {
-    return this.lastRead === undefined
+    return this.lastReadAt === undefined
       ? Infinity
-      : elapsedSince(this.clock, this.lastRead);
+      : elapsedSince(this.clock, this.lastReadAt);
   }
 
-  /** The list as it was read last, what an outage hides left out. */
+  /** The list as last read, without the upstreams retained after an outage. */
   get list(): readonly Upstream[] {
     return this.lastList;
   }
 
-  /** Tells lists apart. */
+  /** Digest of the list as last read, to detect differences between instances. */
   get digest(): string {
     return this.lastDigest;
   }
 
   /**
-   * Takes a whole list that showed the upstreams at a moment, by default now; one that is older than the last
-   * changes nothing.
+   * Replaces the list with one that was read at a moment, by default now. A list older than the current one is
+   * ignored.
    */
-  replace(list: readonly Upstream[], asOf = momentOf(this.clock)): void {
-    const lastRead = this.lastRead?.monotonic ?? -Infinity;
-    if (asOf.monotonic < lastRead) {
+  replace(list: readonly Upstream[], readAt = momentOf(this.clock)): void {
+    const lastRead = this.lastReadAt?.monotonic ?? -Infinity;
+    if (readAt.monotonic < lastRead) {
       return;
     }
     const now = this.clock.monotonicMilliseconds();
-    if (asOf.monotonic - lastRead > OUTAGE_MILLISECONDS) {
-      this.completeFrom = now + RETURN_MILLISECONDS;
+    if (readAt.monotonic - lastRead > OUTAGE_GAP_MILLISECONDS) {
+      this.completeAt = now + RECOVERY_MILLISECONDS;
     }
-    this.lastRead = asOf;
+    this.lastReadAt = readAt;
     this.lastList = list;
-    this.lastDigest = digestOf(list);
+    this.lastDigest = digestUpstreams(list);
     this.apply(now);
   }
 
@@ -102,18 +101,18 @@
     const next = new Map(
       this.lastList.map(upstream => [upstream.id, upstream]),
     );
-    if (now < this.completeFrom) {
-      this.keepMissing(next);
-      this.dropLater(this.completeFrom - now);
+    if (now < this.completeAt) {
+      this.retainMissing(next);
+      this.scheduleRemoval(this.completeAt - now);
     }
-    if (this.report(next)) {
-      this.set(next);
+    if (this.logChanges(next)) {
+      this.setUpstreams(next);
       this.changed.fire();
     }
   }
 
-  /** Entries lapse while the platform is away and come back a little later: until then, missing is not gone. */
-  private keepMissing(next: Map<string, Upstream>): void {
+  /** Retains missing upstreams: entries expire during an outage of the platform and reappear shortly afterwards. */
+  private retainMissing(next: Map<string, Upstream>): void {
     const addresses = new Set([...next.values()].map(({address}) => address));
     for (const [id, upstream] of this.upstreams) {
       if (!next.has(id) && !addresses.has(upstream.address)) {
@@ -122,15 +121,15 @@
     }
   }
 
-  /** Not left to the next reading, which may be a second away. */
-  private dropLater(milliseconds: number): void {
-    this.dropTimer?.dispose();
-    this.dropTimer = this.clock.setTimer(milliseconds, () =>
+  /** Schedules the removal of retained upstreams, since the next read may be a second away. */
+  private scheduleRemoval(milliseconds: number): void {
+    this.removalTimer?.dispose();
+    this.removalTimer = this.clock.setTimer(milliseconds, () =>
       this.apply(this.clock.monotonicMilliseconds()),
     );
   }
 
-  private set(next: Map<string, Upstream>): void {
+  private setUpstreams(next: Map<string, Upstream>): void {
     this.upstreams = next;
     this.byAddress = new Map();
     const byService = new Map<string, Upstream[]>();
@@ -143,8 +142,8 @@
     this.byService = byService;
   }
 
-  /** Writes a line for each change; answers whether there was any. */
-  private report(next: ReadonlyMap<string, Upstream>): boolean {
+  /** Logs each change, and returns whether there was any. */
+  private logChanges(next: ReadonlyMap<string, Upstream>): boolean {
     let isChanged = false;
     for (const upstream of next.values()) {
       const before = this.upstreams.get(upstream.id);
--- a/src/features/fleet/common/upstreamLister.ts
+++ b/src/features/fleet/common/upstreamLister.ts
@@ -9,19 +9,19 @@
 import {UpstreamDirectory} from './upstreamDirectory.js';
 import {UpstreamFinding, UpstreamSource} from './upstreamSource.js';
 
-/** The list is not looked at more often, however old it is. */
-const LEAST_WAIT_MILLISECONDS = 50;
+/** Minimum time between two checks of the age of the list. */
+const MIN_WAIT_MILLISECONDS = 50;
 
-/** After a failed reading the next one comes sooner. */
+/** Time until the list is read again after a failure. */
 const RETRY_MILLISECONDS = 250;
 
-/** Findings written out in one log line; the line says how many there were. */
-const REPORTED_FINDINGS = 8;
+/** Maximum number of findings in a log line, which also contains their total count. */
+const MAX_LOGGED_FINDINGS = 8;
 
-/** Keeps the directory of upstreams as new as the list. */
+/** Refreshes the upstream directory from the platform when its list is too old. */
 export class UpstreamLister extends DisposableOwner {
   private readonly task: RepeatingTask;
-  private isLost = false;
+  private isUnreadable = false;
   private lastFindings = '';
 
   constructor(
@@ -31,8 +31,8 @@
     private readonly source: UpstreamSource,
     private readonly directory: UpstreamDirectory,
     /**
-     * Milliseconds that the list may be old. Reading it is cheaper than following it, since every heartbeat
-     * is a change; hearing of it from a peer that has just read it is cheaper still.
+     * Maximum age of the list in milliseconds. Polling is cheaper than watching, since every heartbeat is a
+     * change. It is cheaper still to receive the list from a peer that has just read it.
      */
     private readonly ageLimit: () => number,
   ) {
@@ -42,55 +42,55 @@
         clock,
         random,
         () => this.waitMilliseconds,
-        token => this.look(token),
+        token => this.refreshIfStale(token),
       ),
     );
   }
 
-  /** Reads now and then again and again. */
+  /** Starts the periodic refresh with an immediate read. */
   start(): void {
     this.task.runNow();
   }
 
-  /** Until the list is too old, by what is known of it now. */
+  /** Time until the list exceeds its age limit. */
   private get waitMilliseconds(): number {
     const left = this.ageLimit() - this.directory.age;
     return left > 0
-      ? Math.max(LEAST_WAIT_MILLISECONDS, left)
+      ? Math.max(MIN_WAIT_MILLISECONDS, left)
       : RETRY_MILLISECONDS;
   }
 
-  private async look(token: CancellationToken): Promise<void> {
+  private async refreshIfStale(token: CancellationToken): Promise<void> {
     if (this.directory.age >= this.ageLimit()) {
-      await this.read(token);
+      await this.refresh(token);
     }
   }
 
-  private async read(token: CancellationToken): Promise<void> {
+  private async refresh(token: CancellationToken): Promise<void> {
     const askedAt = momentOf(this.clock);
     const listing = await this.source.list(token);
     if (token.isCancelled) {
       return;
     }
     if (!listing.ok) {
-      this.noteLost(listing.error);
+      this.onReadError(listing.error);
       return;
     }
-    if (this.isLost) {
-      this.isLost = false;
-      this.logger.info('upstream list regained');
+    if (this.isUnreadable) {
+      this.isUnreadable = false;
+      this.logger.info('upstream list is readable again');
     }
     const {findings, upstreams} = listing.value;
-    this.reportFindings(findings);
-    const kept = this.unreadableAmong(findings);
+    this.logFindings(findings);
+    const kept = this.malformedAmong(findings);
     this.directory.replace([...upstreams, ...kept], askedAt);
   }
 
   /**
-   * Upstreams whose entry can't be read now. They get nothing new, like leaving ones; but nothing says that they
-   * have left, so what they run is not given up.
+   * Known upstreams whose entry is malformed now. They are marked as leaving, so that they get no new work, but
+   * stay listed, so that their running requests are not aborted.
    */
-  private unreadableAmong(
+  private malformedAmong(
     findings: readonly UpstreamFinding[],
   ): readonly Upstream[] {
     const names = new Set(findings.map(({name}) => name));
@@ -99,21 +99,21 @@
       .map(upstream => ({...upstream, isLeaving: true}));
   }
 
-  private noteLost(detail: string): void {
-    if (!this.isLost) {
-      this.isLost = true;
+  private onReadError(detail: string): void {
+    if (!this.isUnreadable) {
+      this.isUnreadable = true;
       const age = Math.round(this.directory.age);
-      this.logger.warn('upstream list lost', {detail, age});
+      this.logger.warn('upstream list could not be read', {detail, age});
     }
   }
 
-  /** The same findings at every reading are reported once, and no more of them than help. */
-  private reportFindings(findings: readonly UpstreamFinding[]): void {
+  /** Logs a bounded number of findings, and only if they differ from those of the previous read. */
+  private logFindings(findings: readonly UpstreamFinding[]): void {
     const text = findings.map(({name, field}) => `${name} ${field}`).join();
     if (text !== this.lastFindings && text !== '') {
       this.logger.warn('malformed upstream entries', {
         count: findings.length,
-        findings: findings.slice(0, REPORTED_FINDINGS),
+        findings: findings.slice(0, MAX_LOGGED_FINDINGS),
       });
     }
     this.lastFindings = text;
--- a/src/features/fleet/common/upstreamLoad.ts
+++ b/src/features/fleet/common/upstreamLoad.ts
@@ -1,77 +1,80 @@
-/** What one upstream has in progress. */
+/** Load of the requests in progress on an upstream. */
 export interface LoadFigure {
   readonly requests: number;
   /**
-   * Memory that it needs: tokens of prompts and expected answers, times the layers through which each runs here. A
-   * path may use a part of what an upstream holds.
+   * KV-cache use: the sum of tokens of prompt and expected output, times the layers that the request uses here. A path
+   * may use only some of the layers that an upstream holds.
    */
   readonly tokenLayers: number;
 }
 
 const NO_LOAD: LoadFigure = {requests: 0, tokenLayers: 0};
 
-/** Peers' figures that are older than this count for nothing: they come every half second or so. */
-const PEER_FIGURE_MILLISECONDS = 3_000;
+/** Time after which the load from a peer is dropped; peers send it about every half second. */
+const PEER_LOAD_LIFETIME_MILLISECONDS = 3_000;
 
-/** The load that one peer has put on upstreams. */
+/** The load that a peer has put on upstreams. */
 interface PeerLoad {
-  readonly at: number;
-  readonly figures: ReadonlyMap<string, LoadFigure>;
+  readonly receivedAt: number;
+  readonly loadByUpstream: ReadonlyMap<string, LoadFigure>;
 }
 
 /**
- * The load on each upstream, from what this instance has in progress and what its peers say of
- * theirs. Reports of the upstreams lag and are charged; this lags only for the peers' part.
+ * Tracks the load on each upstream as the sum of the loads that this instance and its peers have put on it. Reports
+ * of upstreams arrive late and are charged; here only the share of the peers is delayed.
  */
 export class UpstreamLoad {
   private readonly own = new Map<string, LoadFigure>();
   private readonly peers = new Map<string, PeerLoad>();
-  private readonly others = new Map<string, LoadFigure>();
+  private readonly peerTotals = new Map<string, LoadFigure>();
 
-  /** Counts a request on an upstream. */
+  /** Adds a request on an upstream. */
   add(upstream: string, tokenLayers: number): void {
     this.change(upstream, 1, tokenLayers);
   }
 
-  /** Takes a request off an upstream again. */
+  /** Removes a request that was added before, with the same `tokenLayers`. */
   remove(upstream: string, tokenLayers: number): void {
     this.change(upstream, -1, -tokenLayers);
   }
 
-  /** The figures of this instance alone, for its peers. */
+  /** The load from this instance alone, to be sent to peers. */
   get ownFigures(): ReadonlyMap<string, LoadFigure> {
     return this.own;
   }
 
-  /** Takes a peer's figures in place of its last ones. */
+  /** Replaces the load from a peer, received at a time in monotonic milliseconds. */
   setPeer(
     peer: string,
-    at: number,
-    figures: ReadonlyMap<string, LoadFigure>,
+    receivedAt: number,
+    loadByUpstream: ReadonlyMap<string, LoadFigure>,
   ): void {
-    this.peers.set(peer, {at, figures});
-    this.sumPeers(at);
+    this.peers.set(peer, {receivedAt, loadByUpstream});
+    this.updatePeerTotals(receivedAt);
   }
 
-  /** The load on an upstream by all instances that are heard of. */
+  /** The load on an upstream from this instance and the peers heard of recently. */
   of(upstream: string): LoadFigure {
     const own = this.own.get(upstream) ?? NO_LOAD;
-    const others = this.others.get(upstream) ?? NO_LOAD;
+    const others = this.peerTotals.get(upstream) ?? NO_LOAD;
     return {
       requests: own.requests + others.requests,
       tokenLayers: own.tokenLayers + others.tokenLayers,
     };
   }
 
-  private sumPeers(now: number): void {
-    this.others.clear();
+  private updatePeerTotals(now: number): void {
+    this.peerTotals.clear();
     for (const [peer, load] of this.peers) {
-      if (now - load.at > PEER_FIGURE_MILLISECONDS) {
+      if (now - load.receivedAt > PEER_LOAD_LIFETIME_MILLISECONDS) {
         this.peers.delete(peer);
         continue;
       }
-      for (const [upstream, figure] of load.figures) {
-        this.others.set(upstream, sum(this.others.get(upstream), figure));
+      for (const [upstream, figure] of load.loadByUpstream) {
+        this.peerTotals.set(
+          upstream,
+          addLoads(this.peerTotals.get(upstream), figure),
+        );
       }
     }
   }
@@ -81,7 +84,7 @@
     requests: number,
     tokenLayers: number,
   ): void {
-    const figure = sum(this.own.get(upstream), {requests, tokenLayers});
+    const figure = addLoads(this.own.get(upstream), {requests, tokenLayers});
     if (figure.requests <= 0) {
       this.own.delete(upstream);
     } else {
@@ -90,7 +93,7 @@
   }
 }
 
-function sum(left: LoadFigure | undefined, right: LoadFigure): LoadFigure {
+function addLoads(left: LoadFigure | undefined, right: LoadFigure): LoadFigure {
   return {
     requests: (left?.requests ?? 0) + right.requests,
     tokenLayers: (left?.tokenLayers ?? 0) + right.tokenLayers,
--- a/src/features/fleet/common/upstreamSource.ts
+++ b/src/features/fleet/common/upstreamSource.ts
@@ -2,24 +2,24 @@
 import {Result} from '../../../base/common/result.js';
 import {Upstream} from './upstream.js';
 
-/** An entry that names no upstream to use. */
+/** A malformed entry of the platform's list. */
 export interface UpstreamFinding {
-  /** The name that the entry stands under. */
+  /** Name of the entry. */
   readonly name: string;
-  /** The field at fault; `$` for the whole entry. */
+  /** The invalid field; `$` for the whole entry. */
   readonly field: string;
   readonly detail: string;
 }
 
-/** A list of upstreams and the entries of it that could not be read. */
+/** The upstreams of a list, and its malformed entries. */
 export interface UpstreamListing {
   readonly upstreams: readonly Upstream[];
   readonly findings: readonly UpstreamFinding[];
 }
 
-/** The platform's list of upstreams, as a port. */
+/** Port for the platform's list of upstreams. */
 export abstract class UpstreamSource {
-  /** Fails with a sentence. */
+  /** The error is a message for log lines. */
   abstract list(
     token: CancellationToken,
   ): Promise<Result<UpstreamListing, string>>;
--- a/src/features/fleet/test/fleet.test.ts
+++ b/src/features/fleet/test/fleet.test.ts
@@ -10,43 +10,43 @@
 
 const one = makeUpstream({id: 'one', address: '10.0.0.1:1'});
 const two = makeUpstream({id: 'two', address: '10.0.0.2:1'});
-const heir = makeUpstream({id: 'heir', address: '10.0.0.1:1'});
+const successor = makeUpstream({id: 'successor', address: '10.0.0.1:1'});
 
-describe('the directory of upstreams', () => {
+describe('the upstream directory', () => {
   const cases = [
     {
-      name: 'drops one that is missing while the list is read regularly',
+      name: 'removes a missing upstream while the list is read regularly',
       gaps: [900],
       lists: [[one, two], [two]],
       expected: ['two'],
     },
     {
-      name: 'keeps one that is missing right after an outage',
+      name: 'retains a missing upstream right after an outage',
       gaps: [8000],
       lists: [[one, two], [two]],
       expected: ['one', 'two'],
     },
     {
-      name: 'drops one that is still missing two seconds after an outage',
+      name: 'removes an upstream that is still missing two seconds after an outage',
       gaps: [8000, 900, 900, 900],
       lists: [[one, two], [two], [two], [two], [two]],
       expected: ['two'],
     },
     {
-      name: 'does not keep one whose address another has',
+      name: 'does not retain a missing upstream whose address is reused',
       gaps: [8000],
       lists: [
         [one, two],
-        [heir, two],
+        [successor, two],
       ],
-      expected: ['heir', 'two'],
+      expected: ['successor', 'two'],
     },
   ];
 
   it.each(cases)('$name', ({gaps, lists, expected}) => {
     const clock = new FakeClock();
     const directory = new UpstreamDirectory(clock, new SilentLogger());
-    // The first reading counts as one after an outage, too.
+    // The first read counts as a read after an outage.
     directory.replace(lists[0]!);
     clock.advance(1000);
     directory.replace(lists[0]!);
@@ -62,7 +62,7 @@
     expect([...ids].sort()).toEqual(expected);
   });
 
-  it('drops what an outage hid two seconds after it, without another reading', () => {
+  it('removes retained upstreams two seconds after an outage without another read', () => {
     const clock = new FakeClock();
     const directory = new UpstreamDirectory(clock, new SilentLogger());
     directory.replace([one, two]);
@@ -74,7 +74,7 @@
     expect(directory.find('one')).toBeUndefined();
   });
 
-  it('tells a leaving upstream from a ready one', () => {
+  it('detects that an upstream starts leaving', () => {
     const clock = new FakeClock();
     const directory = new UpstreamDirectory(clock, new SilentLogger());
     directory.replace([one]);
@@ -83,15 +83,15 @@
   });
 });
 
-/** Lets listeners be called, which happens after the event. */
-async function settle(): Promise<void> {
+/** Waits until asynchronous event listeners have run. */
+async function flushMicrotasks(): Promise<void> {
   for (let turn = 0; turn < 10; turn++) {
     await Promise.resolve();
   }
 }
 
 describe('suspicions', () => {
-  it('end with an answered trial call', () => {
+  it('end with an answered probe', () => {
     const suspicions = new Suspicions(new FakeClock(), new SilentLogger());
     suspicions.suspect('one', 'silent', {});
     expect(suspicions.has('one')).toBe(true);
@@ -105,7 +105,7 @@
     {refusals: 3, holds: 1199, ends: 1200},
     {refusals: 9, holds: 4999, ends: 5000},
   ])(
-    'hold an upstream that refused $refusals times for $ends ms whatever it answers',
+    'exclude an upstream that refused $refusals times for $ends ms despite answered probes',
     ({refusals, holds, ends}) => {
       const clock = new FakeClock();
       const suspicions = new Suspicions(clock, new SilentLogger());
@@ -131,19 +131,19 @@
     {reasons: ['silent', 'refusing'], told: ['silent'], lost: true},
     {reasons: ['silent', 'reset'], told: ['silent'], lost: true},
   ] as const)(
-    'for $reasons in a row are told as $told',
+    'raised for $reasons in a row fire events for $told',
     async ({reasons, told, lost}) => {
       const suspicions = new Suspicions(new FakeClock(), new SilentLogger());
       const heard: string[] = [];
       suspicions.onDidSuspect(({reason}) => heard.push(reason));
       reasons.forEach(reason => suspicions.suspect('one', reason, {}));
-      await settle();
+      await flushMicrotasks();
       expect(heard).toEqual(told);
       expect(suspicions.isLost('one')).toBe(lost);
     },
   );
 
-  it('end at once when the upstream is gone', () => {
+  it('end at once when the upstream leaves the list', () => {
     const suspicions = new Suspicions(new FakeClock(), new SilentLogger());
     suspicions.suspect('one', 'refusing', {});
     suspicions.clear('one', 'gone');
@@ -163,7 +163,7 @@
     expect(load.of('one')).toEqual({requests: 3, tokenLayers: 65});
   });
 
-  it('leaves out peers that were not heard of', () => {
+  it('excludes peers that were not heard of recently', () => {
     const load = new UpstreamLoad();
     load.setPeer('a', 0, new Map([['one', {requests: 2, tokenLayers: 20}]]));
     load.setPeer('b', 4000, new Map());
@@ -171,7 +171,7 @@
   });
 });
 
-it('slowness that is passed on among peers ends with the slowness', () => {
+it('a slowness factor exchanged among peers expires when its upstream reports no more', () => {
   const clock = new FakeClock();
   const peers = [...Array(3)].map(
     () => new Slowness(clock, new SilentLogger()),
@@ -191,7 +191,7 @@
   expect(peers.map(peer => peer.of('one'))).toEqual([1, 1, 1]);
 });
 
-it('what was read last counts, whoever read it', () => {
+it('the latest slowness reading applies, whether from this instance or a peer', () => {
   const clock = new FakeClock();
   const slowness = new Slowness(clock, new SilentLogger());
   clock.advance(1000);
@@ -203,7 +203,7 @@
   expect(slowness.of('one')).toBe(12);
 });
 
-it('a reported slowness fades', () => {
+it('a reported slowness factor expires', () => {
   const clock = new FakeClock();
   const slowness = new Slowness(clock, new SilentLogger());
   slowness.note('one', 5);
--- a/src/features/fleet/test/upstreamLister.test.ts
+++ b/src/features/fleet/test/upstreamLister.test.ts
@@ -17,11 +17,15 @@
 
 const one = makeUpstream({id: 'one', address: '10.0.0.1:1'});
 const two = makeUpstream({id: 'two', address: '10.0.0.2:1'});
-const again = makeUpstream({...two, id: 'two~2', name: 'two', startedAt: 2});
-const unreadable = {name: 'two', field: 'State', detail: 'an unknown value'};
+const nextRun = makeUpstream({...two, id: 'two~2', name: 'two', startedAt: 2});
+const malformedEntry = {
+  name: 'two',
+  field: 'State',
+  detail: 'an unknown value',
+};
 
-/** A list that a test writes. */
-class WrittenSource extends UpstreamSource {
+/** A source whose list the test sets. */
+class FakeUpstreamSource extends UpstreamSource {
   listing: UpstreamListing = {upstreams: [], findings: []};
 
   override async list(): Promise<Result<UpstreamListing, string>> {
@@ -29,7 +33,7 @@
   }
 }
 
-/** Keeps the warnings. */
+/** Records warnings. */
 class WarningLogger extends Logger {
   readonly warnings: unknown[] = [];
 
@@ -46,12 +50,12 @@
   }
 }
 
-/** Reads the listings in turn, each long enough after the last that nothing is kept for an outage. */
+/** Reads the listings in turn, after long enough intervals that no upstream is retained because of an outage. */
 async function read(listings: readonly UpstreamListing[]) {
   const clock = new FakeClock();
   const logger = new WarningLogger();
   const directory = new UpstreamDirectory(clock, logger);
-  const source = new WrittenSource();
+  const source = new FakeUpstreamSource();
   const lister = new UpstreamLister(
     clock,
     new SeededRandomSource(1),
@@ -71,13 +75,13 @@
   return {directory, logger, clock};
 }
 
-describe('the list of upstreams', () => {
+describe('the upstream lister', () => {
   it.each([
     {
-      name: 'keeps one whose row can no longer be read, for what it runs only',
+      name: 'keeps an upstream whose row becomes malformed, but as leaving',
       listings: [
         {upstreams: [one, two], findings: []},
-        {upstreams: [one], findings: [unreadable]},
+        {upstreams: [one], findings: [malformedEntry]},
       ],
       expected: [
         ['one', false],
@@ -85,10 +89,10 @@
       ],
     },
     {
-      name: 'uses it again as soon as its row can be read',
+      name: 'uses an upstream again as soon as its row is valid',
       listings: [
         {upstreams: [one, two], findings: []},
-        {upstreams: [one], findings: [unreadable]},
+        {upstreams: [one], findings: [malformedEntry]},
         {upstreams: [one, two], findings: []},
       ],
       expected: [
@@ -97,24 +101,24 @@
       ],
     },
     {
-      name: 'lets it go when the row is gone',
+      name: 'removes an upstream with a malformed row when the row is gone',
       listings: [
         {upstreams: [one, two], findings: []},
-        {upstreams: [one], findings: [unreadable]},
+        {upstreams: [one], findings: [malformedEntry]},
         {upstreams: [one], findings: []},
       ],
       expected: [['one', false]],
     },
     {
-      name: 'knows nothing of a row that could never be read',
-      listings: [{upstreams: [one], findings: [unreadable]}],
+      name: 'ignores a row that was never valid',
+      listings: [{upstreams: [one], findings: [malformedEntry]}],
       expected: [['one', false]],
     },
     {
-      name: 'has another upstream where one started again under its name',
+      name: 'lists a restarted upstream under a new identifier',
       listings: [
         {upstreams: [one, two], findings: []},
-        {upstreams: [one, again], findings: []},
+        {upstreams: [one, nextRun], findings: []},
       ],
       expected: [
         ['one', false],
@@ -127,17 +131,17 @@
     expect(found).toEqual(expected);
   });
 
-  it('says once which field is at fault, however often it is read', async () => {
-    const bad = {upstreams: [one], findings: [unreadable]};
+  it('logs an invalid field once, however often it is read', async () => {
+    const bad = {upstreams: [one], findings: [malformedEntry]};
     const {logger} = await read([bad, bad, bad]);
     expect(logger.warnings).toEqual([
-      ['malformed upstream entries', {count: 1, findings: [unreadable]}],
+      ['malformed upstream entries', {count: 1, findings: [malformedEntry]}],
     ]);
   });
 
-  it('names a bounded number of malformed rows', async () => {
+  it('logs a bounded number of malformed rows', async () => {
     const findings = Array.from({length: 500}, (_, index) => ({
-      ...unreadable,
+      ...malformedEntry,
       name: `x-${index}`,
     }));
     const {logger} = await read([{upstreams: [one], findings}]);
@@ -150,11 +154,11 @@
   });
 });
 
-describe('what is known of an upstream', () => {
-  it('does not count for its next run under the same name', async () => {
+describe('the state kept for an upstream', () => {
+  it('does not apply to its next run under the same name', async () => {
     const {clock} = await read([{upstreams: [one, two], findings: []}]);
     const suspicions = new Suspicions(clock, new SilentLogger());
     suspicions.suspect(two.id, 'silent', {});
-    expect(suspicions.has(again.id)).toBe(false);
+    expect(suspicions.has(nextRun.id)).toBe(false);
   });
 });
--- a/src/features/fleet/test/upstreams.ts
+++ b/src/features/fleet/test/upstreams.ts
@@ -1,6 +1,6 @@
 import {Upstream} from '../common/upstream.js';
 
-/** A ready upstream of service `s`, with fields that a test leaves out filled in. */
+/** Creates a ready upstream of service `s`, with defaults for omitted fields. */
 export function makeUpstream(fields: Partial<Upstream> = {}): Upstream {
   return {
     id: 'upstream',
