--- a/src/features/mechanisms/common/mechanisms.ts
+++ b/src/features/mechanisms/common/mechanisms.ts
@@ -1,43 +1,43 @@
 import * as zod from 'zod';
 
 /**
- * Mechanisms of the router's decisions that can be switched off one by one, to measure what each is worth on a
- * deployment. All are on unless the settings say otherwise.
+ * Feature switches of the router's decisions. Each can be disabled to measure its benefit on a deployment; all are
+ * enabled by default.
  */
 
 const isOn = zod.boolean().default(true);
 
-/** Checks the section of the settings; unknown names are findings. */
+/** Schema of the `mechanisms` section of the settings; unknown names are reported as findings. */
 export const mechanismsSchema = zod.strictObject({
-  /** Some layers are held twice in each data centre. */
+  /** Some layers have a second holder in each data centre. */
   secondHolders: isOn,
-  /** Gaps of a data centre are closed by growing and shifting ranges. */
+  /** Gaps in the layers of a data centre are closed by extending and shifting ranges. */
   completedRanges: isOn,
   /** Layers of slow upstreams are loaded elsewhere. */
   replacedWhenSlow: isOn,
-  /** Paths avoid upstreams that report to be slow. */
+  /** Paths avoid upstreams that report slowness. */
   slownessInPaths: isOn,
-  /** Paths avoid upstreams with prompts still to be read. */
+  /** Paths avoid upstreams with a prefill backlog. */
   readingBacklog: isOn,
-  /** The part of the link between data centres that paths take is bounded. */
+  /** Paths may use only a limited share of the link between data centres. */
   boundedCrossings: isOn,
-  /** No path goes through an upstream without room for the request. */
+  /** Paths exclude upstreams without KV-cache capacity for the request. */
   boundedRooms: isOn,
-  /** Running streams move off lost upstreams and keep what the others have read. */
+  /** Running streams are moved off lost upstreams and keep the KV cache of the others. */
   movedStreams: isOn,
-  /** Silent streams lead to trial calls before anything else shows a loss. */
+  /** Upstreams of silent streams are probed before anything else shows a loss. */
   silenceWatch: isOn,
-  /** Load that peers have put on upstreams counts. */
+  /** The load on upstreams includes the requests of peers. */
   peerLoads: isOn,
 });
 
-/** Which mechanisms are on. */
+/** The mechanisms by name, and whether each is enabled. */
 export type Mechanisms = Readonly<zod.infer<typeof mechanismsSchema>>;
 
-/** The usual state. */
+/** The default, with all mechanisms enabled. */
 export const allMechanisms: Mechanisms = mechanismsSchema.parse({});
 
-/** Names of those that are off. */
+/** Names of the disabled mechanisms. */
 export function switchedOff(mechanisms: Mechanisms): readonly string[] {
   return Object.entries(mechanisms)
     .filter(([, on]) => !on)
--- a/src/features/requests/common/request.ts
+++ b/src/features/requests/common/request.ts
@@ -1,7 +1,7 @@
 import {ClassOfWork, Model} from '../../configuration/common/configuration.js';
 import {RequestFailure} from './failure.js';
 
-/** Requests as accepted from callers. */
+/** Model requests accepted from callers, and their results. */
 
 /** A chat message. */
 export interface ChatMessage {
@@ -11,36 +11,36 @@
 
 /** A request for a reply from a model. */
 export interface ModelRequest {
-  /** Unique for each attempt by a caller; names the work at engines. */
+  /** Unique for each attempt by a caller; also identifies the work at engines. */
   readonly requestId: string;
-  /** The caller's Idempotency-Key, or undefined. */
+  /** The caller's Idempotency-Key header, if any. */
   readonly idempotencyKey: string | undefined;
   readonly clientAccount: string;
   readonly classOfWork: ClassOfWork;
   readonly model: Model;
   readonly adapter: string | undefined;
   readonly messages: readonly ChatMessage[];
-  /** The prompt as tokens. */
+  /** The tokenized prompt. */
   readonly promptTokens: readonly string[];
   readonly maximumOutputTokens: number;
   readonly stream: boolean;
   /** Monotonic milliseconds at arrival. */
   readonly arrivedAt: number;
-  /** Monotonic milliseconds by which the whole reply is due. */
+  /** Monotonic milliseconds by which the reply must be complete. */
   readonly deadlineAt: number;
 }
 
-/** How a reply ended. */
+/** Why a reply ended: at its natural end, or at its maximum number of tokens. */
 export type FinishReason = 'stop' | 'length';
 
-/** A whole reply of a model. */
+/** A complete reply of a model. */
 export interface ModelReply {
   readonly requestId: string;
   readonly tokens: readonly string[];
   readonly finishReason: FinishReason;
 }
 
-/** What became of a request, as kept for `GET /v1/requests/{key}`. */
+/** The outcome of a request, as stored for `GET /v1/requests/{key}`. */
 export type RequestOutcome =
   | {readonly kind: 'running'}
   | {
@@ -50,5 +50,5 @@
       readonly body: string;
     }
   | {readonly kind: 'failed'; readonly failure: RequestFailure}
-  /** It was claimed, and nothing further is known. */
+  /** The request was claimed, and its outcome is unknown. */
   | {readonly kind: 'unknown'};
