--- a/src/features/fleet/common/suspicions.ts
+++ b/src/features/fleet/common/suspicions.ts
@@ -16,12 +16,12 @@
 
 /**
  * An upstream that refuses work still answers probes, so the first refusal excludes it for this long. The time
- * doubles with each further refusal in a row.
+ * doubles with each further refusal of a streak, up to the limit.
  */
 const REFUSAL_HOLD_MILLISECONDS = 300;
 const MAX_REFUSAL_HOLD_MILLISECONDS = 5_000;
 
-/** A refusal that comes this long after the last one starts a new row. */
+/** A refusal that comes this long after the last one starts a new streak. */
 const REFUSAL_RESET_MILLISECONDS = 8_000;
 
 /** A suspicion about an upstream. */
@@ -33,8 +33,8 @@
   readonly heldUntil: number;
 }
 
-/** Successive refusals of an upstream. */
-interface RefusalRow {
+/** Successive refusals of an upstream, not further apart than `REFUSAL_RESET_MILLISECONDS`. */
+interface RefusalStreak {
   readonly count: number;
   readonly at: number;
 }
@@ -44,12 +44,12 @@
 
 /** Upstreams that are suspected of a failure. They get no new work until they answer a probe. */
 export class Suspicions extends DisposableOwner {
-  private readonly didSuspect = this.register(new Emitter<Suspicion>());
+  private readonly begun = this.register(new Emitter<Suspicion>());
   private readonly suspected = new Map<string, Suspicion>();
-  private readonly refusals = new Map<string, RefusalRow>();
+  private readonly refusals = new Map<string, RefusalStreak>();
 
   /** Fires when an upstream becomes suspected. */
-  readonly onDidSuspect = this.didSuspect.event;
+  readonly onDidSuspect = this.begun.event;
 
   constructor(
     private readonly clock: Clock,
@@ -77,7 +77,7 @@
     const suspicion = {upstream, reason, since, heldUntil: since + hold};
     this.suspected.set(upstream, suspicion);
     this.logger.decision('upstreamSuspected', {upstream, reason, ...evidence});
-    this.didSuspect.fire(suspicion);
+    this.begun.fire(suspicion);
     return true;
   }
 
@@ -128,7 +128,7 @@
     return this.isLost(upstream) && age > milliseconds;
   }
 
-  /** Whether an upstream has been lost for longer than a time and not merely misdirected, since then it answers. */
+  /** Whether an upstream has been lost for longer than a time, unless it was misdirected: then it still answers. */
   isSilentFor(upstream: string, milliseconds: number): boolean {
     const reason = this.suspected.get(upstream)?.reason;
     return reason !== 'misdirected' && this.isLostFor(upstream, milliseconds);
--- a/src/features/fleet/common/upstreamDirectory.ts
+++ b/src/features/fleet/common/upstreamDirectory.ts
@@ -106,7 +106,7 @@
       this.scheduleRemoval(this.completeAt - now);
     }
     if (this.logChanges(next)) {
-      this.setUpstreams(next);
+      this.set(next);
       this.changed.fire();
     }
   }
@@ -129,7 +129,7 @@
     );
   }
 
-  private setUpstreams(next: Map<string, Upstream>): void {
+  private set(next: Map<string, Upstream>): void {
     this.upstreams = next;
     this.byAddress = new Map();
     const byService = new Map<string, Upstream[]>();
