--- a/src/features/fleet/common/suspicions.ts
+++ b/src/features/fleet/common/suspicions.ts
@@ -81,7 +81,7 @@
     return true;
   }
 
-  /** Ends a suspicion after an answered probe, unless the hold time lasts, or after the upstream left the list. */
+  /** Ends a suspicion after an answered probe, if its hold time has passed, or after the upstream left the list. */
   clear(upstream: string, cause: 'answered' | 'gone'): void {
     const suspicion = this.suspected.get(upstream);
     const now = this.clock.monotonicMilliseconds();
@@ -102,9 +102,9 @@
   /** Counts a refusal, and returns for how long it excludes the upstream. */
   private nextHoldMilliseconds(upstream: string, now: number): number {
     const last = this.refusals.get(upstream);
-    const isInRow =
+    const isSameStreak =
       last !== undefined && now - last.at < REFUSAL_RESET_MILLISECONDS;
-    const count = isInRow ? last.count + 1 : 1;
+    const count = isSameStreak ? last.count + 1 : 1;
     this.refusals.set(upstream, {count, at: now});
     const hold = REFUSAL_HOLD_MILLISECONDS * 2 ** (count - 1);
     return Math.min(hold, MAX_REFUSAL_HOLD_MILLISECONDS);
--- a/src/features/fleet/common/upstreamDirectory.ts
+++ b/src/features/fleet/common/upstreamDirectory.ts
@@ -10,7 +10,7 @@
 const OUTAGE_GAP_MILLISECONDS = 2_500;
 
 /**
- * Time after an outage in which the list becomes complete again, as guaranteed by the platform. It must not be
+ * Time within which the list becomes complete after an outage, as guaranteed by the platform. It must not be
  * longer: if only this instance could not read the list, upstreams that left meanwhile must not get new work for
  * several seconds.
  */
--- a/src/features/layers/common/planLayers.ts
+++ b/src/features/layers/common/planLayers.ts
@@ -114,43 +114,41 @@
 export function excludeSlow(
   upstreams: readonly Upstream[],
   isSlow: (upstream: string) => boolean,
-  situation: Pick<LayerPlanInput, 'layers' | 'limitOf'>,
+  input: Pick<LayerPlanInput, 'layers' | 'limitOf'>,
 ): readonly Upstream[] {
   return [...groupByDataCentre(upstreams).values()].flatMap(group => {
     const healthy = group.filter(({id}) => !isSlow(id));
-    return canHoldModel(situation, healthy) ? healthy : group;
+    return canHoldModel(input, healthy) ? healthy : group;
   });
 }
 
 /** Plans the assignments that the current state requires; empty if none. */
-export function planLayers(
-  situation: LayerPlanInput,
-): readonly LayerAssignment[] {
-  const holderCounts = new HolderCounts(situation.layers.layerCount);
+export function planLayers(input: LayerPlanInput): readonly LayerAssignment[] {
+  const holderCounts = new HolderCounts(input.layers.layerCount);
   const empty: Upstream[] = [];
-  for (const upstream of situation.upstreams) {
-    const range = situation.orderedRanges.get(upstream.id) ?? upstream.layers;
+  for (const upstream of input.upstreams) {
+    const range = input.orderedRanges.get(upstream.id) ?? upstream.layers;
     if (range === undefined) {
       empty.push(upstream);
     } else {
       holderCounts.add(upstream.dataCentre, range);
     }
   }
-  const assigned = assignToEmpty(situation, holderCounts, empty);
-  const completed = situation.canCloseGaps
-    ? closeDataCentreGaps(situation, holderCounts, assigned)
+  const assigned = assignToEmpty(input, holderCounts, empty);
+  const gapAssignments = input.canCloseGaps
+    ? closeDataCentreGaps(input, holderCounts, assigned)
     : [];
-  const isSettled = empty.length === 0 && completed.length === 0;
-  const moved = isSettled ? moveToUnheld(situation, holderCounts) : [];
-  return [...assigned, ...completed, ...moved];
+  const isSettled = empty.length === 0 && gapAssignments.length === 0;
+  const moved = isSettled ? moveToUnheld(input, holderCounts) : [];
+  return [...assigned, ...gapAssignments, ...moved];
 }
 
 function assignToEmpty(
-  situation: LayerPlanInput,
+  input: LayerPlanInput,
   holderCounts: HolderCounts,
   empty: readonly Upstream[],
 ): readonly LayerAssignment[] {
-  const size = (upstream: Upstream) => sizeOf(situation, upstream);
+  const size = (upstream: Upstream) => sizeOf(input, upstream);
   // Large upstreams come first, so that small ones fill the remaining gaps.
   const ordered = [...empty].sort(
     (left, right) => size(right) - size(left) || (left.id < right.id ? -1 : 1),
@@ -159,12 +157,12 @@
   for (const upstream of ordered) {
     const {dataCentre, id} = upstream;
     if (
-      situation.recentlyAdded.has(id) &&
+      input.recentlyAdded.has(id) &&
       holderCounts.unheldLayersIn(dataCentre) === 0
     ) {
       continue;
     }
-    const range = bestRange(situation, holderCounts, upstream);
+    const range = bestRange(input, holderCounts, upstream);
     if (range !== undefined) {
       holderCounts.add(upstream.dataCentre, range);
       assignments.push({upstream, range, reason: 'empty'});
@@ -179,30 +177,28 @@
  * the others.
  */
 function closeDataCentreGaps(
-  situation: LayerPlanInput,
+  input: LayerPlanInput,
   holderCounts: HolderCounts,
   assigned: readonly LayerAssignment[],
 ): readonly LayerAssignment[] {
   const closures: GapClosure[] = [];
-  for (const [dataCentre, upstreams] of groupByDataCentre(
-    situation.upstreams,
-  )) {
+  for (const [dataCentre, upstreams] of groupByDataCentre(input.upstreams)) {
     if (holderCounts.unheldLayersIn(dataCentre) > 0) {
-      const holders = rangeHoldersOf(situation, upstreams, assigned);
-      const found = closeGaps(situation.layers.layerCount, holders);
+      const holders = rangeHoldersOf(input, upstreams, assigned);
+      const found = closeGaps(input.layers.layerCount, holders);
       closures.push(...(found === undefined ? [] : [found]));
     }
   }
-  const growing = closures.filter(({givenUp}) => givenUp === 0);
+  const nonReleasing = closures.filter(({givenUp}) => givenUp === 0);
   const [cheapestReleasing] = closures
     .filter(({givenUp}) => givenUp > 0)
     .sort((left, right) => left.cost - right.cost);
   const hasNoOtherChange =
-    growing.length === 0 && situation.orderedRanges.size === 0;
+    nonReleasing.length === 0 && input.orderedRanges.size === 0;
   const chosen =
     cheapestReleasing !== undefined && hasNoOtherChange
-      ? [...growing, cheapestReleasing]
-      : growing;
+      ? [...nonReleasing, cheapestReleasing]
+      : nonReleasing;
   const reason = 'dataCentreIncomplete';
   return chosen
     .flatMap(({changes}) => changes)
@@ -238,14 +234,14 @@
 
 /** Whether the upstreams of a data centre can hold the whole model within their limits. */
 function canHoldModel(
-  situation: Pick<LayerPlanInput, 'layers' | 'limitOf'>,
+  input: Pick<LayerPlanInput, 'layers' | 'limitOf'>,
   upstreams: readonly Upstream[],
 ): boolean {
   const total = upstreams.reduce(
-    (sum, upstream) => sum + situation.limitOf(upstream),
+    (sum, upstream) => sum + input.limitOf(upstream),
     0,
   );
-  return total >= situation.layers.layerCount;
+  return total >= input.layers.layerCount;
 }
 
 function groupByDataCentre(
@@ -261,7 +257,7 @@
 
 /** Moves the upstream whose layers have the most holders to the first layer without one. */
 function moveToUnheld(
-  situation: LayerPlanInput,
+  input: LayerPlanInput,
   holderCounts: HolderCounts,
 ): readonly LayerAssignment[] {
   const layer = holderCounts.firstUnheldLayer;
@@ -269,11 +265,8 @@
     return [];
   }
   let best: {upstream: Upstream; minHolders: number} | undefined;
-  for (const upstream of situation.upstreams) {
-    if (
-      upstream.layers === undefined ||
-      situation.orderedRanges.has(upstream.id)
-    ) {
+  for (const upstream of input.upstreams) {
+    if (upstream.layers === undefined || input.orderedRanges.has(upstream.id)) {
       continue;
     }
     const minHolders = holderCounts.minHoldersIn(upstream.layers);
@@ -288,20 +281,20 @@
     return [];
   }
   const {upstream} = best;
-  const size = sizeOf(situation, upstream);
-  const from = Math.min(layer, situation.layers.layerCount - size);
+  const size = sizeOf(input, upstream);
+  const from = Math.min(layer, input.layers.layerCount - size);
   const range = {from, to: from + size};
   return [{upstream, range, reason: 'layerUnheld'}];
 }
 
 function bestRange(
-  situation: LayerPlanInput,
+  input: LayerPlanInput,
   holderCounts: HolderCounts,
   upstream: Upstream,
 ): LayerRange | undefined {
-  const size = sizeOf(situation, upstream);
+  const size = sizeOf(input, upstream);
   let best: {range: LayerRange; benefit: number} | undefined;
-  for (let from = 0; from + size <= situation.layers.layerCount; from++) {
+  for (let from = 0; from + size <= input.layers.layerCount; from++) {
     const range = {from, to: from + size};
     const benefit = holderCounts.benefitOf(upstream.dataCentre, range);
     if (size > 0 && benefit > (best?.benefit ?? 0)) {
