--- a/src/features/layers/common/layerSize.ts
+++ b/src/features/layers/common/layerSize.ts
@@ -1,84 +1,101 @@
-import {roomTokens} from '../../paths/common/pathCost.js';
+import {kvCapacityTokens} from '../../paths/common/pathCost.js';
 import {
   AcceleratorKind,
   EngineSettings,
   LayerModel,
 } from '../../traffic/common/trafficConfiguration.js';
 
-/** How many layers an accelerator holds. */
+/** Chooses how many layers an accelerator of each kind holds. */
 
 /**
- * Room is measured in the usual size of requests times the engine's slots. Every request takes room on
- * its whole path, so the accelerator with the least room bounds all. The search begins with room for
- * all slots, and gives up a step of it at a time until the model fits.
+ * KV-cache capacity is measured as a share of what requests of the usual size in all slots of the engine need.
+ * A request takes capacity on every upstream of its path, so the accelerator with the least capacity is the
+ * bottleneck. The search starts at the full capacity and reduces it by this factor until the model fits.
  */
-const ROOM_STEP = 0.95;
-const LEAST_ROOM_SHARE = 0.02;
+const CAPACITY_STEP_FACTOR = 0.95;
+const MIN_CAPACITY_SHARE = 0.02;
 
-/** Copies over all data centres where no data centre can hold the model alone. */
-const WANTED_COPIES = 2;
+/** Copies of the model over all data centres if none of them can hold it alone. */
+const COPIES_IN_TOTAL = 2;
 
 /**
- * Copies in each data centre that can hold the model alone, where that leaves enough room. Second holders of some
- * layers spare streams a whole new start after a loss. Share of what callers were owed that they got in time, less what
- * serving them cost, in the mean of five simulated days of losses at 1, 1.15 and 1.3 copies: 0.693, 0.712 and 0.656;
- * at 1.3 there is too little room left for the others' load when a data centre is out.
+ * Copies of the model in each data centre that can hold it alone, if enough KV-cache capacity remains. A second
+ * holder of a layer saves streams a full restart after a loss. At 1, 1.15 and 1.3 copies, the share of due results
+ * that callers received in time, less serving costs, averaged 0.693, 0.712 and 0.656 over five simulated days with
+ * losses. At 1.3 too little capacity remains for the load of a data centre that is out.
  */
-const COPIES_IN_DATA_CENTRE = 1.15;
+const COPIES_PER_DATA_CENTRE = 1.15;
 
-/** Share of the room for all slots that second holders must leave; the same as that of upstreams that take over. */
-export const SPARE_ROOM_SHARE = 0.45;
+/** Share of the full KV-cache capacity that must remain with second holders, and on upstreams that take over layers. */
+export const REDUNDANCY_CAPACITY_SHARE = 0.45;
 
-/** Layers for each kind of accelerator, by name. */
-export type LayerSizes = ReadonlyMap<string, number>;
+/** Number of layers in a range, by name of the accelerator kind. */
+export type RangeSizes = ReadonlyMap<string, number>;
 
-/** How many accelerators of each kind there are, by data centre and name of the kind. */
-export type KindCounts = ReadonlyMap<string, ReadonlyMap<string, number>>;
+/** Number of accelerators, by data centre and name of their kind. */
+export type AcceleratorCounts = ReadonlyMap<
+  string,
+  ReadonlyMap<string, number>
+>;
 
 /**
- * The most room, the same on each kind, with which every data centre that can hold the model alone still
- * does, and some layers twice: paths then need not cross between data centres, whose links are slow.
+ * Chooses the sizes that leave the most KV-cache capacity, equal for all kinds, while each data centre that can
+ * hold the model alone still does, with second holders for some layers if wanted and if enough capacity remains.
+ * Paths then stay inside one data centre; the links between data centres are slow.
  */
-export function chooseLayerSizes(
+export function chooseRangeSizes(
   engine: EngineSettings,
   layers: LayerModel,
-  counts: KindCounts,
+  counts: AcceleratorCounts,
   hasSecondHolders = true,
-): LayerSizes {
-  const doubled = largestRoom(engine, layers, counts, COPIES_IN_DATA_CENTRE);
-  return hasSecondHolders && doubled.share >= SPARE_ROOM_SHARE
-    ? doubled.sizes
-    : largestRoom(engine, layers, counts, 1).sizes;
+): RangeSizes {
+  const withSecondHolders = findLargestCapacity(
+    engine,
+    layers,
+    counts,
+    COPIES_PER_DATA_CENTRE,
+  );
+  return hasSecondHolders &&
+    withSecondHolders.share >= REDUNDANCY_CAPACITY_SHARE
+    ? withSecondHolders.sizes
+    : findLargestCapacity(engine, layers, counts, 1).sizes;
 }
 
-/** The search for one number of copies in each data centre that can hold the model alone. */
-function largestRoom(
+/** Finds the largest capacity share with which a number of copies fits into each data centre that can hold one. */
+function findLargestCapacity(
   engine: EngineSettings,
   layers: LayerModel,
-  counts: KindCounts,
+  counts: AcceleratorCounts,
   copies: number,
-): {readonly share: number; readonly sizes: LayerSizes} {
-  const usual = engine.usualPromptTokens + engine.usualAnswerTokens;
-  const most = sizesFor(engine, layers, 0);
-  const able = [...counts.values()].filter(
-    kinds => totalLayers(most, kinds) >= layers.layerCount,
+): {readonly share: number; readonly sizes: RangeSizes} {
+  const usualTokens = engine.usualPromptTokens + engine.usualAnswerTokens;
+  const largestSizes = sizesWithCapacity(engine, layers, 0);
+  const capableDataCentres = [...counts.values()].filter(
+    kinds => totalLayers(largestSizes, kinds) >= layers.layerCount,
   );
-  const wanted = copies * layers.layerCount;
-  const fits = (sizes: LayerSizes): boolean =>
-    able.length > 0
-      ? able.every(kinds => totalLayers(sizes, kinds) >= wanted)
-      : totalOfAll(sizes, counts) >= WANTED_COPIES * layers.layerCount;
+  const wantedLayers = copies * layers.layerCount;
+  const fits = (sizes: RangeSizes): boolean =>
+    capableDataCentres.length > 0
+      ? capableDataCentres.every(
+          kinds => totalLayers(sizes, kinds) >= wantedLayers,
+        )
+      : totalLayersOverall(sizes, counts) >=
+        COPIES_IN_TOTAL * layers.layerCount;
   let share = 1;
-  let sizes = sizesFor(engine, layers, engine.slots * usual);
-  while (share > LEAST_ROOM_SHARE && !fits(sizes)) {
-    share *= ROOM_STEP;
-    sizes = sizesFor(engine, layers, engine.slots * usual * share);
+  let sizes = sizesWithCapacity(engine, layers, engine.slots * usualTokens);
+  while (share > MIN_CAPACITY_SHARE && !fits(sizes)) {
+    share *= CAPACITY_STEP_FACTOR;
+    sizes = sizesWithCapacity(
+      engine,
+      layers,
+      engine.slots * usualTokens * share,
+    );
   }
   return {share, sizes};
 }
 
-/** The larger of two sizes for each kind. */
-export function largerSizes(left: LayerSizes, right: LayerSizes): LayerSizes {
+/** The larger of the two sizes of each kind. */
+export function maxRangeSizes(left: RangeSizes, right: RangeSizes): RangeSizes {
   const kinds = new Set([...left.keys(), ...right.keys()]);
   return new Map(
     [...kinds].map(kind => [
@@ -88,7 +105,10 @@
   );
 }
 
-function totalOfAll(sizes: LayerSizes, counts: KindCounts): number {
+function totalLayersOverall(
+  sizes: RangeSizes,
+  counts: AcceleratorCounts,
+): number {
   return [...counts.values()].reduce(
     (sum, kinds) => sum + totalLayers(sizes, kinds),
     0,
@@ -96,7 +116,7 @@
 }
 
 function totalLayers(
-  sizes: LayerSizes,
+  sizes: RangeSizes,
   kinds: ReadonlyMap<string, number>,
 ): number {
   let total = 0;
@@ -106,30 +126,33 @@
   return total;
 }
 
-function sizesFor(
+function sizesWithCapacity(
   engine: EngineSettings,
   layers: LayerModel,
-  room: number,
-): LayerSizes {
+  capacityTokens: number,
+): RangeSizes {
   return new Map(
     layers.kinds.map(kind => [
       kind.name,
-      layersWithRoom(engine, layers, kind, room),
+      maxLayersWithCapacity(engine, layers, kind, capacityTokens),
     ]),
   );
 }
 
-/** The most layers that leave room for a number of tokens on an accelerator; at least one that fits. */
-export function layersWithRoom(
+/** The most layers beside which a number of tokens fits into an accelerator's memory, but at least one if it fits. */
+export function maxLayersWithCapacity(
   engine: EngineSettings,
   layers: LayerModel,
   kind: AcceleratorKind,
-  room: number,
+  capacityTokens: number,
 ): number {
   const {memoryMegabytes} = kind;
-  const fitting = Math.floor(memoryMegabytes / layers.layerMegabytes);
-  let size = Math.min(fitting, layers.layerCount);
-  while (size > 1 && roomTokens(engine, layers, memoryMegabytes, size) < room) {
+  const layersInMemory = Math.floor(memoryMegabytes / layers.layerMegabytes);
+  let size = Math.min(layersInMemory, layers.layerCount);
+  while (
+    size > 1 &&
+    kvCapacityTokens(engine, layers, memoryMegabytes, size) < capacityTokens
+  ) {
     size--;
   }
   return size;
