--- a/src/features/routing/node/cellDirectory.ts
+++ b/src/features/routing/node/cellDirectory.ts
@@ -4,87 +4,99 @@
 import {CellSummary} from '../common/chooseCells.js';
 import {Cell} from '../common/cells.js';
 
-interface Learned {
+interface DirectoryEntry {
   readonly note: SummaryNote;
-  /** Monotonic milliseconds here at which the owner made it, as far as its age was told. */
+  /** Local monotonic milliseconds at which the owner made the summary, from the age that came with it. */
   readonly madeAt: number;
 }
 
-/** Notes older than this tell nothing of load, only which models a cell serves. */
-const FORGET_MILLISECONDS = 120000;
-const NOTES_KEPT = 8192;
+/** Summaries older than this are removed: they say nothing about load, only which models a cell served. */
+const RETENTION_MILLISECONDS = 120000;
+const MAX_ENTRIES = 8192;
 const LINK_SMOOTHING = 0.2;
 
-/** What this process has heard of all cells, from replies and its own decisions. */
+/** The newest known summaries of all cells, from answers of peers and decisions of this process. */
 export class CellDirectory {
-  private readonly notes = new Map<string, Learned>();
-  private readonly linkByDataCentre = new Map<string, number>();
+  private readonly entries = new Map<string, DirectoryEntry>();
+  private readonly linkMillisecondsByDataCentre = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
     private readonly ownDataCentre: string,
   ) {}
 
-  /** Takes notes; an older one never replaces a newer one. */
-  learn(notes: readonly SummaryNote[]): void {
+  /** Records summaries; an older one never replaces a newer one. */
+  recordSummaries(notes: readonly SummaryNote[]): void {
     const now = this.clock.monotonicMilliseconds();
     for (const note of notes) {
       const key = `${note.cell} ${note.model}`;
       const madeAt = now - note.ageMilliseconds;
-      if ((this.notes.get(key)?.madeAt ?? -Infinity) <= madeAt) {
-        this.notes.delete(key);
-        this.notes.set(key, {note, madeAt});
+      if ((this.entries.get(key)?.madeAt ?? -Infinity) <= madeAt) {
+        this.entries.delete(key);
+        this.entries.set(key, {note, madeAt});
       }
     }
     this.bound();
   }
 
-  /** Takes the measured time of one trip to a data centre. */
-  learnLink(dataCentre: string, milliseconds: number): void {
-    const known = this.linkByDataCentre.get(dataCentre) ?? milliseconds;
+  /** Records the measured one-way time to a data centre. */
+  recordLinkTime(dataCentre: string, milliseconds: number): void {
+    const known =
+      this.linkMillisecondsByDataCentre.get(dataCentre) ?? milliseconds;
     const smoothed = known + LINK_SMOOTHING * (milliseconds - known);
-    this.linkByDataCentre.set(dataCentre, smoothed);
+    this.linkMillisecondsByDataCentre.set(dataCentre, smoothed);
   }
 
-  /** Summaries of the cells that serve a model, as far as heard. */
+  /** The known summaries of cells that serve a model. */
   serving(model: string, cells: CellMap): readonly CellSummary[] {
     const found: CellSummary[] = [];
-    for (const learned of this.notes.values()) {
-      const cell = cells.get(learned.note.cell);
-      if (learned.note.model === model && cell !== undefined) {
-        found.push(this.summaryOf(learned, cell));
+    for (const entry of this.entries.values()) {
+      const cell = cells.get(entry.note.cell);
+      if (entry.note.model === model && cell !== undefined) {
+        found.push(this.summaryOf(entry, cell));
       }
     }
     return found;
   }
 
-  /** Cells of which nothing was heard, those of the own data centre first. */
-  unheard(cells: CellMap): readonly Cell[] {
-    const heard = new Set([...this.notes.values()].map(({note}) => note.cell));
-    const unheard = cells.all.filter(({id}) => !heard.has(id));
-    const near = unheard.filter(one => one.dataCentre === this.ownDataCentre);
-    const far = unheard.filter(one => one.dataCentre !== this.ownDataCentre);
-    return [...near, ...far];
+  /** Cells without a summary, those in this process's data centre first. */
+  unknownCells(cells: CellMap): readonly Cell[] {
+    const knownIds = new Set(
+      [...this.entries.values()].map(({note}) => note.cell),
+    );
+    const unknown = cells.all.filter(({id}) => !knownIds.has(id));
+    const local = unknown.filter(
+      cell => cell.dataCentre === this.ownDataCentre,
+    );
+    const remote = unknown.filter(
+      cell => cell.dataCentre !== this.ownDataCentre,
+    );
+    return [...local, ...remote];
   }
 
-  /** Cells heard of, the one heard of the longest ago first. */
-  longestUnheard(cells: CellMap): readonly Cell[] {
-    const oldestFirst = [...this.notes.values()].sort(
+  /** Cells with a summary, the one with the oldest summary first. */
+  knownCellsOldestFirst(cells: CellMap): readonly Cell[] {
+    const oldestFirst = [...this.entries.values()].sort(
       (a, b) => a.madeAt - b.madeAt,
     );
     const ids = new Set(oldestFirst.map(({note}) => note.cell));
     return [...ids].map(id => cells.get(id)).filter(cell => cell !== undefined);
   }
 
-  /** A few notes to tell another process, those of the model first, the freshest first. */
-  toTell(model: string | undefined, limit: number): readonly SummaryNote[] {
+  /** Up to `limit` summaries to send to another process: those of the model first, then newer before older. */
+  summariesToShare(
+    model: string | undefined,
+    limit: number,
+  ): readonly SummaryNote[] {
     const now = this.clock.monotonicMilliseconds();
-    const chosen: Learned[] = [];
-    for (const learned of this.notes.values()) {
-      const worse = chosen.findIndex(one => isTold(learned, one, model));
-      const place = worse < 0 ? chosen.length : worse;
-      if (place < limit) {
-        chosen.splice(place, 0, learned);
+    const chosen: DirectoryEntry[] = [];
+    for (const entry of this.entries.values()) {
+      const lessPreferred = chosen.findIndex(other =>
+        isPreferred(entry, other, model),
+      );
+      const position = lessPreferred < 0 ? chosen.length : lessPreferred;
+      if (position < limit) {
+        chosen.splice(position, 0, entry);
         chosen.length = Math.min(chosen.length, limit);
       }
     }
@@ -94,27 +106,27 @@
     }));
   }
 
-  /** Forgets what was heard of cells that no longer exist and what is too old. */
-  retain(cells: CellMap): void {
-    const oldest = this.clock.monotonicMilliseconds() - FORGET_MILLISECONDS;
-    for (const [key, {note, madeAt}] of this.notes) {
+  /** Removes summaries that are too old or whose cell no longer exists. */
+  removeStale(cells: CellMap): void {
+    const oldest = this.clock.monotonicMilliseconds() - RETENTION_MILLISECONDS;
+    for (const [key, {note, madeAt}] of this.entries) {
       if (cells.get(note.cell) === undefined || madeAt < oldest) {
-        this.notes.delete(key);
+        this.entries.delete(key);
       }
     }
   }
 
-  /** Takes what a cell's own authority answered: models that it does not name are not served there. */
-  learnFromOwner(cell: string, notes: readonly SummaryNote[]): void {
-    for (const [key, {note}] of this.notes) {
+  /** Replaces a cell's summaries by its owner's answer: the cell doesn't serve models that are missing there. */
+  replaceSummaries(cell: string, notes: readonly SummaryNote[]): void {
+    for (const [key, {note}] of this.entries) {
       if (note.cell === cell) {
-        this.notes.delete(key);
+        this.entries.delete(key);
       }
     }
-    this.learn(notes);
+    this.recordSummaries(notes);
   }
 
-  private summaryOf({note, madeAt}: Learned, cell: Cell): CellSummary {
+  private summaryOf({note, madeAt}: DirectoryEntry, cell: Cell): CellSummary {
     const {dataCentre} = cell;
     const now = this.clock.monotonicMilliseconds();
     return {
@@ -123,25 +135,25 @@
       dataCentre,
       freeSlots: note.freeSlots,
       earliestStartMilliseconds: note.earliestStartMilliseconds,
-      linkMilliseconds: this.linkByDataCentre.get(dataCentre) ?? 0,
+      linkMilliseconds: this.linkMillisecondsByDataCentre.get(dataCentre) ?? 0,
       ageMilliseconds: now - madeAt,
     };
   }
 
   private bound(): void {
-    for (const key of this.notes.keys()) {
-      if (this.notes.size <= NOTES_KEPT) {
+    for (const key of this.entries.keys()) {
+      if (this.entries.size <= MAX_ENTRIES) {
         return;
       }
-      this.notes.delete(key);
+      this.entries.delete(key);
     }
   }
 }
 
-/** Whether one note is rather told than another. */
-function isTold(
-  left: Learned,
-  right: Learned,
+/** Whether the left summary is sent in preference to the right one. */
+function isPreferred(
+  left: DirectoryEntry,
+  right: DirectoryEntry,
   model: string | undefined,
 ): boolean {
   const leftMatches = left.note.model === model;
--- a/src/features/routing/node/cellOwner.ts
+++ b/src/features/routing/node/cellOwner.ts
@@ -24,15 +24,15 @@
 import {DecayedMean} from '../common/decayedMean.js';
 import {StageRegistry} from './stageRegistry.js';
 
-/** What the owner of a cell works with. */
-export interface CellOwnerParts {
+/** Collaborators of a cell's owner. */
+export interface CellOwnerDependencies {
   readonly registry: StageRegistry;
   readonly policy: RoutingPolicy;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-interface Booking {
+interface ReservationRecord {
   readonly stages: readonly ChosenStage[];
   readonly classOfWork: string;
   readonly clientAccount: string;
@@ -41,60 +41,65 @@
   readonly expiresAt: number;
 }
 
-/** A decision and the version that it was made for. */
+/** A decision and the view, limited to one model version, that it was made on. */
 interface VersionDecision {
   readonly view: CellView;
   readonly decision: RoutingDecision;
 }
 
-/** Milliseconds beyond the deadline after which a reservation is forgotten. */
-const EXPIRY_GRACE_MILLISECONDS = 2000;
-const WORK_MEMORY_MILLISECONDS = 60000;
-const BOOKINGS_KEPT = 8192;
-const EXPIRY_SWEEP_MILLISECONDS = 1000;
+/** Time past its deadline after which an unreleased reservation expires. */
+const EXPIRY_MARGIN_MILLISECONDS = 2000;
+const MEAN_WORK_DECAY_MILLISECONDS = 60000;
+const MAX_RESERVATIONS = 8192;
+const SWEEP_INTERVAL_MILLISECONDS = 1000;
 
-/** Decides over one cell and remembers what it gave out. */
+/** Makes the routing decisions for one cell and tracks its outstanding reservations. */
 export class CellOwner {
-  private readonly bookings = new Map<string, Booking>();
-  private readonly shares = new ShareAccounts();
-  private readonly workByClass = new Map<string, DecayedMean>();
+  private readonly records = new Map<string, ReservationRecord>();
+  private readonly shareAccounts = new ShareAccounts();
+  private readonly meanWorkByClass = new Map<string, DecayedMean>();
   private sweptAt = 0;
 
   constructor(
     private cell: Cell,
-    private readonly parts: CellOwnerParts,
+    private readonly dependencies: CellOwnerDependencies,
   ) {}
 
-  /** Takes a changed list of the cell's engines. */
+  /** Replaces the cell after its list of engines changed. */
   update(cell: Cell): void {
     this.cell = cell;
   }
 
-  /** Decides on one piece of work. */
+  /** Decides on one request. A repeated call replaces the reservation made by the earlier one. */
   reserve(
     call: ReserveCall,
     configuration: Configuration,
     now: number,
   ): ReserveAnswer {
-    this.sweep(now);
-    const repeated = this.bookings.get(call.reservationId);
-    if (repeated !== undefined) {
-      this.take(call.reservationId, repeated, now);
+    this.removeExpired(now);
+    const earlier = this.records.get(call.reservationId);
+    if (earlier !== undefined) {
+      this.endReservation(call.reservationId, earlier, now);
     }
     const shares = this.shareView(configuration, now);
     const {view, decision} = this.decide(call, configuration, shares, now);
-    this.accountWant(call.work, decision, now);
+    this.recordDemand(call.work, decision, now);
     this.log(call, view, decision);
     const summaries = this.summaries(now);
     if (decision.kind === 'refuse') {
       const {reason, retryAfterMilliseconds} = decision;
       return {kind: 'refused', reason, retryAfterMilliseconds, summaries};
     }
-    const reservation = this.book(call, decision, view.version, now);
+    const reservation = this.createReservation(
+      call,
+      decision,
+      view.version,
+      now,
+    );
     return {kind: 'reserved', reservation, summaries};
   }
 
-  /** While replicas are brought to another version one by one, those that still hold the one before serve too. */
+  /** Tries each candidate version: during a rolling update, replicas with the previous version serve too. */
   private decide(
     call: ReserveCall,
     configuration: Configuration,
@@ -102,20 +107,26 @@
     now: number,
   ): VersionDecision {
     let refused: VersionDecision | undefined;
-    for (const version of this.versionsFor(call, configuration)) {
+    for (const version of this.candidateVersions(call, configuration)) {
       const view = this.viewFor(call, configuration, version, now);
-      const decision = this.parts.policy.decide(view, shares, call.work, now);
+      const decision = this.dependencies.policy.decide(
+        view,
+        shares,
+        call.work,
+        now,
+      );
       if (decision.kind === 'admit') {
         return {view, decision};
       }
-      const isTold = refused !== undefined && decision.reason === 'noUpstream';
-      refused = isTold ? refused : {view, decision};
+      const keepsEarlierRefusal =
+        refused !== undefined && decision.reason === 'noUpstream';
+      refused = keepsEarlierRefusal ? refused : {view, decision};
     }
     return refused!;
   }
 
-  /** The version of a reply that has begun, else the configured one and then others held here. */
-  private versionsFor(
+  /** The version that began the reply; otherwise the configured version, then others that the cell's engines hold. */
+  private candidateVersions(
     {model, work}: ReserveCall,
     configuration: Configuration,
   ): readonly string[] {
@@ -124,7 +135,7 @@
     }
     const versions = new Set([configuration.models[model]?.version ?? '']);
     for (const {id} of this.cell.engines) {
-      const report = this.parts.registry.get(id)?.ledger.report?.report;
+      const report = this.dependencies.registry.get(id)?.ledger.report?.report;
       if (report?.model === model) {
         versions.add(report.version);
       }
@@ -132,37 +143,37 @@
     return [...versions];
   }
 
-  /** Decides anew without the excluded upstreams; the old reservation ends only if this succeeds. */
+  /** Decides again without the excluded upstreams. The old reservation ends only if a new one is made. */
   replan(
     call: ReplanCall,
     configuration: Configuration,
     now: number,
   ): ReserveAnswer {
-    const old = this.bookings.get(call.replaces);
-    if (old !== undefined) {
-      this.takeFromLedgers(call.replaces, old, now);
+    const replaced = this.records.get(call.replaces);
+    if (replaced !== undefined) {
+      this.removeFromLedgers(call.replaces, replaced, now);
     }
     const answer = this.reserve(call, configuration, now);
-    if (old === undefined) {
+    if (replaced === undefined) {
       return answer;
     }
     if (answer.kind === 'reserved') {
-      this.take(call.replaces, old, now);
+      this.endReservation(call.replaces, replaced, now);
     } else {
-      this.putBack(call.replaces, old, call.excluded, now);
+      this.restoreReservation(call.replaces, replaced, call.excluded, now);
     }
     return answer;
   }
 
-  /** Takes a reservation back; one that is unknown is ignored. */
+  /** Ends a reservation; an unknown one is ignored. */
   release(reservationId: string, now: number): void {
-    const booking = this.bookings.get(reservationId);
-    if (booking !== undefined) {
-      this.take(reservationId, booking, now);
+    const record = this.records.get(reservationId);
+    if (record !== undefined) {
+      this.endReservation(reservationId, record, now);
     }
   }
 
-  /** Figures for other instances, one for each model that the cell serves. */
+  /** Summaries for other instances, one for each model in the cell. */
   summaries(now: number): readonly SummaryNote[] {
     const byModel = new Map<string, StageView[]>();
     for (const {view, model} of this.stages(now)) {
@@ -176,13 +187,13 @@
     }));
   }
 
-  /** Reservations outstanding. */
-  get reservations(): number {
-    return this.bookings.size;
+  /** Outstanding reservations. */
+  get reservationCount(): number {
+    return this.records.size;
   }
 
   private stages(now: number): Array<{view: StageView; model: string}> {
-    const {registry} = this.parts;
+    const {registry} = this.dependencies;
     return this.cell.engines.flatMap(({id}) => {
       const view = registry.viewOf(id, now);
       const model = registry.get(id)?.ledger.report?.report.model;
@@ -207,14 +218,14 @@
       version,
       layerCount: model?.layerCount ?? 0,
       stages: usable
-        .map(({id}) => this.parts.registry.viewOf(id, now))
+        .map(({id}) => this.dependencies.registry.viewOf(id, now))
         .filter(view => view !== undefined),
     };
   }
 
-  /** Whether an engine holds a version and adapter of the model and may both prefill and decode. */
+  /** Whether an engine holds the model version and adapter and may both prefill and decode. */
   private serves(id: string, call: ReserveCall, version: string): boolean {
-    const report = this.parts.registry.get(id)?.ledger.report?.report;
+    const report = this.dependencies.registry.get(id)?.ledger.report?.report;
     if (report === undefined || report.loading || report.role !== 'both') {
       return false;
     }
@@ -226,7 +237,7 @@
     );
   }
 
-  private book(
+  private createReservation(
     call: ReserveCall,
     decision: RoutingDecision & {kind: 'admit'},
     version: string,
@@ -236,35 +247,37 @@
     const {prediction, candidates, reason} = decision;
     const expectedMilliseconds = prediction.wholeMilliseconds;
     const longest = Math.max(work.deadlineWithin, expectedMilliseconds);
-    const booking: Booking = {
+    const record: ReservationRecord = {
       stages: decision.stages,
       classOfWork: work.classOfWork,
       clientAccount: work.clientAccount,
       reservedAt: now,
       expectedMilliseconds,
-      expiresAt: now + longest + EXPIRY_GRACE_MILLISECONDS,
+      expiresAt: now + longest + EXPIRY_MARGIN_MILLISECONDS,
     };
-    this.bookings.set(call.reservationId, booking);
-    if (this.bookings.size > BOOKINGS_KEPT) {
-      const [oldest] = this.bookings.keys();
-      this.bookings.delete(oldest!);
+    this.records.set(call.reservationId, record);
+    if (this.records.size > MAX_RESERVATIONS) {
+      const [oldest] = this.records.keys();
+      this.records.delete(oldest!);
     }
-    this.enterInLedgers(call.reservationId, booking);
-    this.accountUse(booking, expectedMilliseconds, now);
-    this.meanWork(work.classOfWork).add(expectedMilliseconds, 1, now);
+    this.addToLedgers(call.reservationId, record);
+    this.recordUse(record, expectedMilliseconds, now);
+    this.meanWorkOf(work.classOfWork).add(expectedMilliseconds, 1, now);
     return {
       reservationId: call.reservationId,
       cell: this.cell.id,
-      stages: decision.stages.map(stage => this.describe(stage, version)),
+      stages: decision.stages.map(stage =>
+        this.addStageDetails(stage, version),
+      ),
       prediction: roundPrediction(prediction),
       candidates,
       reason,
     };
   }
 
-  /** Adds what the dispatcher must know of a stage. */
-  private describe(stage: ChosenStage, version: string): ChosenStage {
-    const {registry} = this.parts;
+  /** Adds the version, fencing support and probing state that the dispatcher needs. */
+  private addStageDetails(stage: ChosenStage, version: string): ChosenStage {
+    const {registry} = this.dependencies;
     const report = registry.get(stage.upstream)?.ledger.report;
     const checksFencing = report?.report.checksFencing ?? false;
     const described = {...stage, version, checksFencing};
@@ -273,50 +286,64 @@
       : described;
   }
 
-  private enterInLedgers(id: string, booking: Booking): void {
-    const {reservedAt, expectedMilliseconds, expiresAt} = booking;
+  private addToLedgers(id: string, record: ReservationRecord): void {
+    const {reservedAt, expectedMilliseconds, expiresAt} = record;
     const finishAt = reservedAt + expectedMilliseconds;
-    for (const {upstream} of booking.stages) {
-      this.parts.registry
+    for (const {upstream} of record.stages) {
+      this.dependencies.registry
         .get(upstream)
         ?.ledger.reserve(id, reservedAt, finishAt, expiresAt);
     }
   }
 
-  private takeFromLedgers(id: string, booking: Booking, now: number): void {
-    for (const {upstream} of booking.stages) {
-      this.parts.registry.get(upstream)?.ledger.release(id, now);
+  private removeFromLedgers(
+    id: string,
+    record: ReservationRecord,
+    now: number,
+  ): void {
+    for (const {upstream} of record.stages) {
+      this.dependencies.registry.get(upstream)?.ledger.release(id, now);
     }
   }
 
-  private take(id: string, booking: Booking, now: number): void {
-    this.bookings.delete(id);
-    this.takeFromLedgers(id, booking, now);
-    const held = now - booking.reservedAt;
-    const beyond = held - booking.expectedMilliseconds;
-    const {classOfWork, clientAccount} = booking;
-    this.accountUse(booking, beyond, now);
-    this.shares.recordWant(classOfWork, clientAccount, beyond, now, 0);
+  private endReservation(
+    id: string,
+    record: ReservationRecord,
+    now: number,
+  ): void {
+    this.records.delete(id);
+    this.removeFromLedgers(id, record, now);
+    const heldMilliseconds = now - record.reservedAt;
+    const excessMilliseconds = heldMilliseconds - record.expectedMilliseconds;
+    const {classOfWork, clientAccount} = record;
+    this.recordUse(record, excessMilliseconds, now);
+    this.shareAccounts.recordWant(
+      classOfWork,
+      clientAccount,
+      excessMilliseconds,
+      now,
+      0,
+    );
   }
 
-  /** Restores a reservation on the stages that are still good. */
-  private putBack(
+  /** Restores a reservation on those of its stages that aren't excluded, unless it has expired. */
+  private restoreReservation(
     id: string,
-    old: Booking,
+    replaced: ReservationRecord,
     excluded: readonly string[],
     now: number,
   ): void {
-    const stages = old.stages.filter(
+    const stages = replaced.stages.filter(
       ({upstream}) => !excluded.includes(upstream),
     );
-    const kept = {...old, stages};
-    if (old.expiresAt > now) {
-      this.bookings.set(id, kept);
-      this.enterInLedgers(id, kept);
+    const restored = {...replaced, stages};
+    if (replaced.expiresAt > now) {
+      this.records.set(id, restored);
+      this.addToLedgers(id, restored);
     }
   }
 
-  private accountWant(
+  private recordDemand(
     work: WorkEstimate,
     decision: RoutingDecision,
     now: number,
@@ -324,60 +351,76 @@
     const wanted =
       decision.kind === 'admit'
         ? decision.prediction.wholeMilliseconds
-        : this.meanWork(work.classOfWork).value(work.deadlineWithin / 2, now);
-    this.shares.recordWant(work.classOfWork, work.clientAccount, wanted, now);
+        : this.meanWorkOf(work.classOfWork).value(work.deadlineWithin / 2, now);
+    this.shareAccounts.recordWant(
+      work.classOfWork,
+      work.clientAccount,
+      wanted,
+      now,
+    );
   }
 
-  private accountUse(booking: Booking, amount: number, now: number): void {
-    const {classOfWork, clientAccount} = booking;
-    this.shares.recordUse(classOfWork, clientAccount, amount, now);
+  private recordUse(
+    record: ReservationRecord,
+    amount: number,
+    now: number,
+  ): void {
+    const {classOfWork, clientAccount} = record;
+    this.shareAccounts.recordUse(classOfWork, clientAccount, amount, now);
   }
 
-  private meanWork(classOfWork: string): DecayedMean {
-    const known = this.workByClass.get(classOfWork);
+  private meanWorkOf(classOfWork: string): DecayedMean {
+    const known = this.meanWorkByClass.get(classOfWork);
     if (known !== undefined) {
       return known;
     }
-    const created = new DecayedMean(WORK_MEMORY_MILLISECONDS);
-    this.workByClass.set(classOfWork, created);
+    const created = new DecayedMean(MEAN_WORK_DECAY_MILLISECONDS);
+    this.meanWorkByClass.set(classOfWork, created);
     return created;
   }
 
   private shareView(configuration: Configuration, now: number): ShareView {
     const classes = Object.values(configuration.classes);
     const targets = new Map(
-      classes.map(one => [one.name, one.requestsPerSecond]),
+      classes.map(workClass => [workClass.name, workClass.requestsPerSecond]),
     );
-    for (const name of [...this.workByClass.keys()]) {
+    for (const name of [...this.meanWorkByClass.keys()]) {
       if (!targets.has(name)) {
-        this.workByClass.delete(name);
+        this.meanWorkByClass.delete(name);
       }
     }
     const workByClass = new Map(
-      [...this.workByClass].map(([name, mean]) => [name, mean.value(0, now)]),
+      [...this.meanWorkByClass].map(([name, mean]) => [
+        name,
+        mean.value(0, now),
+      ]),
     );
     const timesByClass = new Map(
-      classes.map(one => [
-        one.name,
+      classes.map(workClass => [
+        workClass.name,
         {
-          firstToken: one.firstTokenMilliseconds,
-          betweenTokens: one.betweenTokensMilliseconds,
+          firstToken: workClass.firstTokenMilliseconds,
+          betweenTokens: workClass.betweenTokensMilliseconds,
         },
       ]),
     );
-    return {...this.shares.view(targets, now), workByClass, timesByClass};
+    return {
+      ...this.shareAccounts.view(targets, now),
+      workByClass,
+      timesByClass,
+    };
   }
 
-  /** Forgets bookings whose release never came. */
-  private sweep(now: number): void {
-    if (now - this.sweptAt < EXPIRY_SWEEP_MILLISECONDS) {
+  /** Removes reservations that expired without a release; runs at most once per interval. */
+  private removeExpired(now: number): void {
+    if (now - this.sweptAt < SWEEP_INTERVAL_MILLISECONDS) {
       return;
     }
     this.sweptAt = now;
-    for (const [id, booking] of this.bookings) {
-      if (booking.expiresAt <= now) {
-        this.bookings.delete(id);
-        this.parts.metrics.count('routing.reservation.expired', 1);
+    for (const [id, record] of this.records) {
+      if (record.expiresAt <= now) {
+        this.records.delete(id);
+        this.dependencies.metrics.count('routing.reservation.expired', 1);
       }
     }
   }
@@ -387,9 +430,9 @@
     view: CellView,
     decision: RoutingDecision,
   ): void {
-    const admitted = decision.kind === 'admit';
+    const isAdmitted = decision.kind === 'admit';
     const ages = view.stages.map(stage => stage.reportAgeMilliseconds);
-    this.parts.logger.decision('reservation', {
+    this.dependencies.logger.decision('reservation', {
       requestId: call.work.requestId,
       classOfWork: call.work.classOfWork,
       clientAccount: call.work.clientAccount,
@@ -401,21 +444,21 @@
       excluded: call.excluded,
       outcome: decision.kind,
       why: decision.reason,
-      chosen: admitted ? decision.stages.map(stage => stage.upstream) : [],
-      prediction: admitted ? decision.prediction : undefined,
-      retryAfterMilliseconds: admitted
+      chosen: isAdmitted ? decision.stages.map(stage => stage.upstream) : [],
+      prediction: isAdmitted ? decision.prediction : undefined,
+      retryAfterMilliseconds: isAdmitted
         ? undefined
         : decision.retryAfterMilliseconds,
       oldestFigureMilliseconds: ages.length > 0 ? Math.max(...ages) : undefined,
     });
-    this.parts.metrics.count('routing.decision', 1, {
+    this.dependencies.metrics.count('routing.decision', 1, {
       outcome: decision.kind,
-      why: admitted ? this.parts.policy.name : decision.reason,
+      why: isAdmitted ? this.dependencies.policy.name : decision.reason,
     });
   }
 }
 
-/** Tenths of a millisecond are precise enough and short on the wire. */
+/** Rounds times to tenths of a millisecond, which are precise enough and keep messages short. */
 function roundPrediction(prediction: Prediction): Prediction {
   const round = (value: number): number => Math.round(value * 10) / 10;
   return {
--- a/src/features/routing/node/cellRouter.ts
+++ b/src/features/routing/node/cellRouter.ts
@@ -21,18 +21,18 @@
 
 const neverAborted = new AbortController().signal;
 
-/** The calls that a process answers for its cells, under the name `cells`. */
+/** Creates the RPC procedures by which peers call a process's cells, under the name `cells`. */
 export function createCellRouter(authority: CellAuthority) {
   const cells = createRpcRouter({
-    reserve: peerProcedure.input(reserveRow).mutation(async call => {
-      const signal = call.signal ?? neverAborted;
-      const asked = decodeReserve(call.input);
-      return encodeAnswer(asked, await authority.reserve(asked, signal));
+    reserve: peerProcedure.input(reserveRow).mutation(async request => {
+      const signal = request.signal ?? neverAborted;
+      const call = decodeReserve(request.input);
+      return encodeAnswer(call, await authority.reserve(call, signal));
     }),
-    replan: peerProcedure.input(replanRow).mutation(async call => {
-      const signal = call.signal ?? neverAborted;
-      const asked = decodeReplan(call.input);
-      return encodeAnswer(asked, await authority.replan(asked, signal));
+    replan: peerProcedure.input(replanRow).mutation(async request => {
+      const signal = request.signal ?? neverAborted;
+      const call = decodeReplan(request.input);
+      return encodeAnswer(call, await authority.replan(call, signal));
     }),
     release: peerProcedure
       .input(releaseRows)
@@ -40,14 +40,16 @@
     reportFailure: peerProcedure
       .input(failureRow)
       .mutation(({input}) => authority.reportFailure(decodeFailure(input))),
-    summaries: peerProcedure.input(summariesCallSchema).mutation(async call => {
-      const signal = call.signal ?? neverAborted;
-      const notes = await authority.summaries(call.input.model, signal);
-      return encodeSummaries(notes);
-    }),
+    summaries: peerProcedure
+      .input(summariesCallSchema)
+      .mutation(async request => {
+        const signal = request.signal ?? neverAborted;
+        const notes = await authority.summaries(request.input.model, signal);
+        return encodeSummaries(notes);
+      }),
   });
   return createRpcRouter({cells});
 }
 
-/** The type that clients are made with. */
+/** Type parameter for clients of the router. */
 export type CellRouter = ReturnType<typeof createCellRouter>;
--- a/src/features/routing/node/cellSearch.ts
+++ b/src/features/routing/node/cellSearch.ts
@@ -13,17 +13,17 @@
   ReservationReply,
   WorkEstimate,
 } from '../common/routing.js';
-import {CellCaller, PlacedAnswer} from './cellCaller.js';
+import {CellOwnerClient, OwnerAnswer} from './cellOwnerClient.js';
 import {CellDirectory} from './cellDirectory.js';
 import {LocalCells} from './localCells.js';
 import {ReservationIds} from './reservationIds.js';
 
-/** What the search works with. */
-export interface CellSearchParts {
+/** Collaborators of a search and the identity of the process that runs it. */
+export interface CellSearchDependencies {
   readonly instanceId: string;
   readonly dataCentre: string;
-  readonly local: LocalCells;
-  readonly caller: CellCaller;
+  readonly localCells: LocalCells;
+  readonly ownerClient: CellOwnerClient;
   readonly directory: CellDirectory;
   readonly ids: ReservationIds;
   readonly clock: Clock;
@@ -34,7 +34,7 @@
 
 type Refusal = ReserveAnswer & {kind: 'refused'};
 
-interface Search {
+interface SearchRequest {
   readonly work: WorkEstimate;
   readonly model: string;
   readonly excluded: readonly string[];
@@ -43,31 +43,31 @@
   readonly token: AbortSignal;
 }
 
-/** Cells that are asked to decide; those that don't serve the model don't count. */
-const MAXIMUM_DECISIONS = 3;
-/** Cells asked at all. */
-const MAXIMUM_ASKED = 8;
-/** Cells in which this process decides itself when no owner answers. */
-const LOCAL_CHOICES = 2;
-const FALLBACK_RETRY_MILLISECONDS = 1000;
-/** Part of the time to the first token that a decision without the owner keeps back, and its growth with the age of figures. */
+/** Refusals after which the search stops. Cells that don't serve the model aren't counted. */
+const MAX_REFUSING_CELLS = 3;
+/** Upper limit on the cells asked, whether or not they serve the model. */
+const MAX_CELLS_ASKED = 8;
+/** Cells with unreachable owners for which this process decides itself. */
+const MAX_LOCAL_DECISIONS = 2;
+const DEFAULT_RETRY_MILLISECONDS = 1000;
+/** Share of the first-token time that a local decision leaves unused, and its growth with the age of the load reports. */
 const LOCAL_MARGIN = 0.1;
 const LOCAL_MARGIN_PER_SECOND = 0.05;
-const LARGEST_LOCAL_MARGIN = 0.5;
+const MAX_LOCAL_MARGIN = 0.5;
 const RETRY_JITTER = 0.5;
 
-/** Finds a cell that takes a piece of work: asks owners in turn, or decides here if none answers. */
+/** Finds a cell with capacity for a request: asks the owners of cells in turn, or decides locally if none decides. */
 export class CellSearch {
   private cells = CellMap.empty;
 
-  constructor(private readonly parts: CellSearchParts) {}
+  constructor(private readonly dependencies: CellSearchDependencies) {}
 
-  /** Takes a new view. */
+  /** Replaces the cells by those of a new system view. */
   update(cells: CellMap): void {
     this.cells = cells;
   }
 
-  /** Finds capacity for new work. */
+  /** Reserves capacity for a new request. */
   reserve(
     work: WorkEstimate,
     model: string,
@@ -79,7 +79,7 @@
     return this.run({work, model, excluded, replaced, startedAt, token});
   }
 
-  /** Finds other stages for work in progress, first in its own cell. */
+  /** Reserves other stages for a request in progress, trying the cell of its reservation first. */
   replan(
     replaced: Reservation,
     work: WorkEstimate,
@@ -91,98 +91,112 @@
     return this.run({work, model, excluded, replaced, startedAt, token});
   }
 
-  private async run(search: Search): Promise<ReservationReply> {
+  private async run(search: SearchRequest): Promise<ReservationReply> {
     const refusals: Refusal[] = [];
     const unanswered: string[] = [];
     for (const cell of this.cellsToAsk(search)) {
-      if (search.token.aborted || isEnough(refusals)) {
+      if (search.token.aborted || hasEnoughRefusals(refusals)) {
         break;
       }
-      const placed = await this.ask(cell, search);
-      if (placed === undefined) {
+      const ownerAnswer = await this.ask(cell, search);
+      if (ownerAnswer === undefined) {
         unanswered.push(cell);
         continue;
       }
-      this.parts.directory.learnFromOwner(cell, placed.answer.summaries);
-      if (placed.answer.kind === 'reserved') {
-        return this.accept(search, placed, refusals.length);
+      this.dependencies.directory.replaceSummaries(
+        cell,
+        ownerAnswer.answer.summaries,
+      );
+      if (ownerAnswer.answer.kind === 'reserved') {
+        return this.accept(search, ownerAnswer, refusals.length);
       }
-      refusals.push(placed.answer);
+      refusals.push(ownerAnswer.answer);
     }
-    const decided = refusals.some(one => one.reason !== 'noUpstream');
-    if (!decided && unanswered.length > 0 && !search.token.aborted) {
-      const own = await this.decideHere(unanswered, search, refusals);
-      if (own !== undefined) {
-        return this.accept(search, own, refusals.length);
+    const hasDecision = refusals.some(
+      refusal => refusal.reason !== 'noUpstream',
+    );
+    if (!hasDecision && unanswered.length > 0 && !search.token.aborted) {
+      const localAnswer = await this.decideLocally(
+        unanswered,
+        search,
+        refusals,
+      );
+      if (localAnswer !== undefined) {
+        return this.accept(search, localAnswer, refusals.length);
       }
     }
     return this.refuse(search, refusals, unanswered.length);
   }
 
-  /** The cells to ask in order: the chosen ones, then ones of which too little is known. */
-  private *cellsToAsk(search: Search): Generator<string> {
+  /** Yields each existing candidate cell once, up to the limit. */
+  private *cellsToAsk(search: SearchRequest): Generator<string> {
     const asked = new Set<string>();
-    for (const id of this.inOrder(search)) {
+    for (const id of this.candidateCells(search)) {
       const isNew = !asked.has(id) && this.cells.get(id) !== undefined;
-      if (isNew && asked.size < MAXIMUM_ASKED) {
+      if (isNew && asked.size < MAX_CELLS_ASKED) {
         asked.add(id);
         yield id;
       }
     }
   }
 
-  /** Lazily, since all but the first few are seldom needed. */
-  private *inOrder(search: Search): Generator<string> {
-    const {directory, dataCentre, random} = this.parts;
+  /**
+   * Yields the cell of the replaced reservation, cells chosen by their summaries, cells without a summary and
+   * then those with the oldest summaries. Lazy, because seldom more than the first few are needed.
+   */
+  private *candidateCells(search: SearchRequest): Generator<string> {
+    const {directory, dataCentre, random} = this.dependencies;
     const {work, model, replaced} = search;
     if (replaced !== undefined) {
       yield replaced.cell;
     }
     const serving = directory.serving(model, this.cells);
     yield* chooseCells(serving, model, work, dataCentre, random);
-    yield* directory.unheard(this.cells).map(({id}) => id);
-    yield* directory.longestUnheard(this.cells).map(({id}) => id);
+    yield* directory.unknownCells(this.cells).map(({id}) => id);
+    yield* directory.knownCellsOldestFirst(this.cells).map(({id}) => id);
   }
 
   private async ask(
     cell: string,
-    search: Search,
-  ): Promise<PlacedAnswer<ReserveAnswer> | undefined> {
-    const call = this.callFor(cell, search);
+    search: SearchRequest,
+  ): Promise<OwnerAnswer<ReserveAnswer> | undefined> {
+    const call = this.createReserveCall(cell, search);
     const {replaced} = search;
-    const inOwnCell = replaced !== undefined && replaced.cell === cell;
-    const lostTo = (instanceId: string): void =>
-      this.parts.caller
-        .authorityOf(instanceId)
+    const isReplacedCell = replaced !== undefined && replaced.cell === cell;
+    const releaseAtInstance = (instanceId: string): void =>
+      this.dependencies.ownerClient
+        .authorityOfInstance(instanceId)
         ?.release([
           {cell, reservationId: call.reservationId, observations: []},
         ]);
-    return this.parts.caller.ask(
+    return this.dependencies.ownerClient.ask(
       cell,
       (authority, signal) =>
-        inOwnCell
+        isReplacedCell
           ? authority.replan(
-              {...call, replaces: this.localId(replaced)},
+              {...call, replaces: this.localIdOf(replaced)},
               signal,
             )
           : authority.reserve(call, signal),
       search.token,
-      lostTo,
+      releaseAtInstance,
     );
   }
 
-  /** Decides without the owner, from what this process can learn itself. */
-  private async decideHere(
+  /** Decides without the owners, using load reports that this process polls itself. */
+  private async decideLocally(
     unanswered: readonly string[],
-    search: Search,
+    search: SearchRequest,
     refusals: Refusal[],
-  ): Promise<PlacedAnswer<ReserveAnswer> | undefined> {
-    const {local, instanceId, metrics} = this.parts;
+  ): Promise<OwnerAnswer<ReserveAnswer> | undefined> {
+    const {localCells, instanceId, metrics} = this.dependencies;
     metrics.count('routing.decision.withoutOwner', 1);
-    for (const cell of unanswered.slice(0, LOCAL_CHOICES)) {
-      await local.prepare(cell);
+    for (const cell of unanswered.slice(0, MAX_LOCAL_DECISIONS)) {
+      await localCells.prepareCell(cell);
       const margin = this.localMargin(cell);
-      const answer = await local.reserve(this.callFor(cell, search, margin));
+      const answer = await localCells.reserve(
+        this.createReserveCall(cell, search, margin),
+      );
       if (answer.kind === 'reserved') {
         return {instanceId, answer};
       }
@@ -192,24 +206,28 @@
   }
 
   private localMargin(cell: string): number {
-    const age = this.parts.local.figuresAge(cell);
+    const age = this.dependencies.localCells.oldestReportAge(cell);
     const growth = (age / 1000) * LOCAL_MARGIN_PER_SECOND;
-    return Math.min(LARGEST_LOCAL_MARGIN, LOCAL_MARGIN + growth);
+    return Math.min(MAX_LOCAL_MARGIN, LOCAL_MARGIN + growth);
   }
 
-  /** The call, its times less what has passed since the search began and less a margin. */
-  private callFor(cell: string, search: Search, margin = 0): ReserveCall {
+  /** Creates the call: both times are reduced by the elapsed time, the first-token time also by the margin. */
+  private createReserveCall(
+    cell: string,
+    search: SearchRequest,
+    margin = 0,
+  ): ReserveCall {
     const {work, model, excluded} = search;
-    const passed = this.now() - search.startedAt;
-    const left = (work.firstTokenWithin - passed) * (1 - margin);
+    const elapsed = this.now() - search.startedAt;
+    const remaining = (work.firstTokenWithin - elapsed) * (1 - margin);
     return {
       cell,
       model,
-      reservationId: this.parts.ids.next(),
+      reservationId: this.dependencies.ids.next(),
       work: {
         ...work,
-        firstTokenWithin: Math.round(left * 10) / 10,
-        deadlineWithin: Math.round((work.deadlineWithin - passed) * 10) / 10,
+        firstTokenWithin: Math.round(remaining * 10) / 10,
+        deadlineWithin: Math.round((work.deadlineWithin - elapsed) * 10) / 10,
       },
       excluded,
       releases: [],
@@ -217,16 +235,16 @@
   }
 
   private accept(
-    search: Search,
-    placed: PlacedAnswer<ReserveAnswer>,
+    search: SearchRequest,
+    ownerAnswer: OwnerAnswer<ReserveAnswer>,
     refusedBefore: number,
   ): ReservationReply {
-    const {answer, instanceId} = placed;
+    const {answer, instanceId} = ownerAnswer;
     if (answer.kind !== 'reserved') {
       return this.refuse(search, [answer], 0);
     }
     const {reservation} = answer;
-    this.endReplaced(search, reservation, instanceId);
+    this.releaseReplaced(search, reservation, instanceId);
     this.log(search, {
       outcome: 'reserved',
       cell: reservation.cell,
@@ -234,50 +252,50 @@
       refusedBefore,
       figuresAgeMilliseconds: reservation.prediction.figuresAgeMilliseconds,
     });
-    const {ids} = this.parts;
+    const {ids} = this.dependencies;
     const reservationId = ids.join(reservation.reservationId, instanceId);
     return {kind: 'reserved', reservation: {...reservation, reservationId}};
   }
 
-  /** Ends the old reservation unless who granted it has replaced it. */
-  private endReplaced(
-    search: Search,
-    found: Reservation,
-    foundAt: string,
+  /** Releases the replaced reservation, unless its cell and instance also granted the new one and so ended it. */
+  private releaseReplaced(
+    search: SearchRequest,
+    granted: Reservation,
+    grantingInstance: string,
   ): void {
     const {replaced} = search;
     if (replaced === undefined) {
       return;
     }
-    const {grantedBy} = this.parts.ids.parse(replaced.reservationId);
-    if (replaced.cell === found.cell && grantedBy === foundAt) {
+    const {grantedBy} = this.dependencies.ids.parse(replaced.reservationId);
+    if (replaced.cell === granted.cell && grantedBy === grantingInstance) {
       return;
     }
-    const reservationId = this.localId(replaced);
+    const reservationId = this.localIdOf(replaced);
     const {cell} = replaced;
-    this.parts.caller
-      .authorityOf(grantedBy)
+    this.dependencies.ownerClient
+      .authorityOfInstance(grantedBy)
       ?.release([{cell, reservationId, observations: []}]);
   }
 
   private refuse(
-    search: Search,
+    search: SearchRequest,
     refusals: readonly Refusal[],
     unanswered: number,
   ): ReservationReply {
-    const decided = refusals.filter(one => one.reason !== 'noUpstream');
-    const counting = decided.length > 0 ? decided : refusals;
-    const soonest = counting.reduce<Refusal | undefined>(
-      (best, one) =>
+    const decided = refusals.filter(refusal => refusal.reason !== 'noUpstream');
+    const considered = decided.length > 0 ? decided : refusals;
+    const soonest = considered.reduce<Refusal | undefined>(
+      (best, refusal) =>
         best === undefined ||
-        one.retryAfterMilliseconds < best.retryAfterMilliseconds
-          ? one
+        refusal.retryAfterMilliseconds < best.retryAfterMilliseconds
+          ? refusal
           : best,
       undefined,
     );
     const reason = soonest?.reason ?? 'noUpstream';
-    const base = soonest?.retryAfterMilliseconds ?? FALLBACK_RETRY_MILLISECONDS;
-    const jitter = 1 + RETRY_JITTER * this.parts.random.next();
+    const base = soonest?.retryAfterMilliseconds ?? DEFAULT_RETRY_MILLISECONDS;
+    const jitter = 1 + RETRY_JITTER * this.dependencies.random.next();
     const retryAfterMilliseconds = Math.ceil(base * jitter);
     this.log(search, {
       outcome: 'refused',
@@ -289,32 +307,32 @@
     return {kind: 'refused', reason, retryAfterMilliseconds};
   }
 
-  private log(search: Search, fields: DecisionFields): void {
+  private log(search: SearchRequest, fields: DecisionFields): void {
     const {work, model, replaced} = search;
-    const took = this.now() - search.startedAt;
-    this.parts.logger.decision('cellChoice', {
+    const elapsed = this.now() - search.startedAt;
+    this.dependencies.logger.decision('cellChoice', {
       requestId: work.requestId,
       classOfWork: work.classOfWork,
       clientAccount: work.clientAccount,
       model,
       replan: replaced !== undefined,
-      tookMilliseconds: took,
+      tookMilliseconds: elapsed,
       ...fields,
     });
-    this.parts.metrics.milliseconds('routing.reserve', took);
+    this.dependencies.metrics.milliseconds('routing.reserve', elapsed);
   }
 
-  private localId(reservation: Reservation): string {
-    return this.parts.ids.parse(reservation.reservationId).localId;
+  private localIdOf(reservation: Reservation): string {
+    return this.dependencies.ids.parse(reservation.reservationId).localId;
   }
 
   private now(): number {
-    return this.parts.clock.monotonicMilliseconds();
+    return this.dependencies.clock.monotonicMilliseconds();
   }
 }
 
-/** Whether enough cells that serve the model have refused. */
-function isEnough(refusals: readonly Refusal[]): boolean {
-  const decided = refusals.filter(one => one.reason !== 'noUpstream');
-  return decided.length >= MAXIMUM_DECISIONS;
+/** Whether the search stops because enough cells that serve the model have refused. */
+function hasEnoughRefusals(refusals: readonly Refusal[]): boolean {
+  const decided = refusals.filter(refusal => refusal.reason !== 'noUpstream');
+  return decided.length >= MAX_REFUSING_CELLS;
 }
--- a/src/features/routing/node/defaultCapacityBroker.ts
+++ b/src/features/routing/node/defaultCapacityBroker.ts
@@ -19,16 +19,16 @@
   WorkEstimate,
 } from '../common/routing.js';
 import {Place, ServiceChooser} from '../common/serviceChooser.js';
-import {CellCaller, PeerCellsFactory} from './cellCaller.js';
+import {CellOwnerClient, PeerAuthorityFactory} from './cellOwnerClient.js';
 import {CellDirectory} from './cellDirectory.js';
 import {CellSearch} from './cellSearch.js';
-import {DirectoryRefresh} from './directoryRefresh.js';
+import {DirectoryRefresher} from './directoryRefresher.js';
 import {LocalCells} from './localCells.js';
 import {PeerCells} from './peerCells.js';
 import {ReservationIds} from './reservationIds.js';
 
-/** What the broker works with. */
-export interface CapacityBrokerParts {
+/** Collaborators and settings of the broker. */
+export interface CapacityBrokerOptions {
   readonly views: SystemViewSource;
   readonly connector: EngineConnector;
   readonly clock: Clock;
@@ -37,56 +37,56 @@
   readonly metrics: Metrics;
   readonly peerKey: string;
   readonly instanceId: string;
-  /** The process, so that its reservations are told from those of an earlier one. */
+  /** Identifies this run of the process, so that its reservation ids differ from those of an earlier run. */
   readonly incarnation: string;
   readonly place: Place;
-  /** Replicas in a cell at most. */
+  /** Approximate number of replicas in a cell. */
   readonly cellSize: number;
-  /** Laxity by default. */
+  /** Defaults to `LaxityPolicy`. */
   readonly policy?: RoutingPolicy;
-  /** Connects to peers by tRPC by default. */
-  readonly createPeer?: PeerCellsFactory;
+  /** Defaults to a client over tRPC. */
+  readonly createPeer?: PeerAuthorityFactory;
 }
 
-/** Obtains capacity from the owners of cells, this process among them. */
+/** Obtains capacity from the owners of cells, which may include this process. */
 export class DefaultCapacityBroker
   extends CapacityBroker
   implements Disposable
 {
-  /** The cells that this process owns; to be served to peers by `createCellRouter`. */
+  /** The cells decided in this process; `createCellRouter` serves them to peers. */
   readonly cells: CellAuthority;
-  private readonly owned = new DisposableStore();
-  private readonly local: LocalCells;
+  private readonly disposables = new DisposableStore();
+  private readonly localCells: LocalCells;
   private readonly directory: CellDirectory;
-  private readonly caller: CellCaller;
-  private readonly search: CellSearch;
-  private readonly refresh: DirectoryRefresh;
+  private readonly ownerClient: CellOwnerClient;
+  private readonly cellSearch: CellSearch;
+  private readonly directoryRefresher: DirectoryRefresher;
   private readonly services: ServiceChooser;
   private readonly ids: ReservationIds;
 
-  constructor(private readonly parts: CapacityBrokerParts) {
+  constructor(private readonly options: CapacityBrokerOptions) {
     super();
-    const {clock, random, logger, metrics, instanceId, place} = parts;
-    this.ids = new ReservationIds(instanceId, parts.incarnation);
+    const {clock, random, logger, metrics, instanceId, place} = options;
+    this.ids = new ReservationIds(instanceId, options.incarnation);
     this.services = new ServiceChooser(place, clock, random);
     this.directory = new CellDirectory(clock, place.dataCentre);
-    this.local = this.owned.add(this.createLocalCells());
-    this.cells = this.local;
-    this.caller = this.owned.add(
-      new CellCaller(
+    this.localCells = this.disposables.add(this.createLocalCells());
+    this.cells = this.localCells;
+    this.ownerClient = this.disposables.add(
+      new CellOwnerClient(
         instanceId,
-        this.local,
-        parts.createPeer ?? (address => this.createPeer(address)),
+        this.localCells,
+        options.createPeer ?? (address => this.createPeer(address)),
         this.directory,
         clock,
         metrics,
       ),
     );
-    this.search = new CellSearch({
+    this.cellSearch = new CellSearch({
       instanceId,
       dataCentre: place.dataCentre,
-      local: this.local,
-      caller: this.caller,
+      localCells: this.localCells,
+      ownerClient: this.ownerClient,
       directory: this.directory,
       ids: this.ids,
       clock,
@@ -94,12 +94,12 @@
       logger,
       metrics,
     });
-    this.refresh = this.owned.add(
-      new DirectoryRefresh(this.directory, this.caller, clock, random),
+    this.directoryRefresher = this.disposables.add(
+      new DirectoryRefresher(this.directory, this.ownerClient, clock, random),
     );
-    this.owned.add(parts.views.onDidChange(view => this.update(view)));
-    if (parts.views.current !== undefined) {
-      this.update(parts.views.current);
+    this.disposables.add(options.views.onDidChange(view => this.update(view)));
+    if (options.views.current !== undefined) {
+      this.update(options.views.current);
     }
   }
 
@@ -108,7 +108,7 @@
     model: string,
     token: AbortSignal,
   ): Promise<ReservationReply> {
-    return this.search.reserve(work, model, [], token);
+    return this.cellSearch.reserve(work, model, [], token);
   }
 
   override async replan(
@@ -118,7 +118,7 @@
     excluded: readonly string[],
     token: AbortSignal,
   ): Promise<ReservationReply> {
-    return this.search.replan(reservation, work, model, excluded, token);
+    return this.cellSearch.replan(reservation, work, model, excluded, token);
   }
 
   override release(
@@ -132,7 +132,7 @@
       reservationId: localId,
       observations: observations.map(roundObservation),
     };
-    this.forAuthorities(cell, grantedBy, authority =>
+    this.notifyAuthorities(cell, grantedBy, authority =>
       authority.release([note]),
     );
   }
@@ -148,7 +148,7 @@
       reservationId: localId,
       observation: roundObservation(observation),
     };
-    this.forAuthorities(cell, grantedBy, authority =>
+    this.notifyAuthorities(cell, grantedBy, authority =>
       authority.reportFailure(note),
     );
   }
@@ -169,43 +169,44 @@
   }
 
   dispose(): void {
-    this.owned.dispose();
+    this.disposables.dispose();
   }
 
-  /** Tells the process that granted a reservation and, if it is another, the cell's present owner. */
-  private forAuthorities(
+  /** Notifies the instance that granted a reservation and the cell's current owner; only once if they are the same. */
+  private notifyAuthorities(
     cell: string,
     grantedBy: string,
-    tell: (authority: CellAuthority) => void,
+    notify: (authority: CellAuthority) => void,
   ): void {
     const authorities = new Set([
-      this.caller.authorityOf(grantedBy),
-      this.caller.ownerOf(cell),
+      this.ownerClient.authorityOfInstance(grantedBy),
+      this.ownerClient.authorityOfOwner(cell),
     ]);
     for (const authority of authorities) {
       if (authority !== undefined) {
-        tell(authority);
+        notify(authority);
       }
     }
   }
 
   private update(view: SystemView): void {
-    const cells = CellMap.of(view, this.parts.cellSize);
-    const instances = view.instances.map(one => one.member);
-    this.directory.retain(cells);
-    this.caller.update(cells, instances);
-    this.search.update(cells);
-    this.refresh.update(cells);
+    const cells = CellMap.of(view, this.options.cellSize);
+    const instances = view.instances.map(instance => instance.member);
+    this.directory.removeStale(cells);
+    this.ownerClient.update(cells, instances);
+    this.cellSearch.update(cells);
+    this.directoryRefresher.update(cells);
     this.services.update(view.upstreams);
-    this.local.update(view, cells);
+    this.localCells.update(view, cells);
   }
 
   private createLocalCells(): LocalCells {
-    const {instanceId, connector, clock, random, logger, metrics} = this.parts;
+    const {instanceId, connector, clock, random, logger, metrics} =
+      this.options;
     return new LocalCells({
       instanceId,
       connector,
-      policy: this.parts.policy ?? new LaxityPolicy(),
+      policy: this.options.policy ?? new LaxityPolicy(),
       directory: this.directory,
       clock,
       random,
@@ -215,12 +216,12 @@
   }
 
   private createPeer(address: string): CellAuthority {
-    const {peerKey, clock, metrics} = this.parts;
+    const {peerKey, clock, metrics} = this.options;
     return new PeerCells(address, peerKey, clock, metrics);
   }
 }
 
-/** Hundredths of a millisecond are precise enough and short on the wire. */
+/** Rounds times to hundredths of a millisecond, which are precise enough and keep messages short. */
 function roundObservation(observation: StageObservation): StageObservation {
   const round = (value: number | undefined): number | undefined =>
     value === undefined ? undefined : Math.round(value * 100) / 100;
--- a/src/features/routing/node/directoryRefresh.ts
+++ b/src/features/routing/node/directoryRefresher.ts
@@ -6,19 +6,19 @@
 } from '../../../base/common/lifecycle.js';
 import {RandomSource} from '../../../base/common/randomSource.js';
 import {CellMap} from '../common/cellMap.js';
-import {CellCaller} from './cellCaller.js';
+import {CellOwnerClient} from './cellOwnerClient.js';
 import {CellDirectory} from './cellDirectory.js';
 
-/** Milliseconds between calls while some cells were never heard of. */
-const LEARNING_INTERVAL_MILLISECONDS = 500;
-/** Milliseconds between calls once all were heard of. */
-const INTERVAL_MILLISECONDS = 10000;
+/** Interval between calls while cells without a summary are left to ask. */
+const UNKNOWN_CELLS_INTERVAL_MILLISECONDS = 500;
+/** Interval between calls otherwise. */
+const REFRESH_INTERVAL_MILLISECONDS = 10000;
 const JITTER = 0.5;
-/** Milliseconds before a cell that told nothing is asked again. */
-const ASK_AGAIN_MILLISECONDS = 10000;
+/** Delay before the owner of a cell that still has no summary is asked again. */
+const REPEAT_INTERVAL_MILLISECONDS = 10000;
 
-/** Learns of cells that no reply told of, by asking one owner at a time for summaries. */
-export class DirectoryRefresh extends DisposableOwner {
+/** Keeps the cell directory current by asking one owner at a time for summaries, for unknown cells first. */
+export class DirectoryRefresher extends DisposableOwner {
   private cells = CellMap.empty;
   private readonly askedAt = new Map<string, number>();
   private readonly stopped = new AbortController();
@@ -26,7 +26,7 @@
 
   constructor(
     private readonly directory: CellDirectory,
-    private readonly caller: CellCaller,
+    private readonly ownerClient: CellOwnerClient,
     private readonly clock: Clock,
     private readonly random: RandomSource,
   ) {
@@ -40,7 +40,7 @@
     this.schedule();
   }
 
-  /** Takes a new view. */
+  /** Replaces the cells by those of a new system view. */
   update(cells: CellMap): void {
     this.cells = cells;
     for (const id of [...this.askedAt.keys()]) {
@@ -54,36 +54,37 @@
     if (this.isDisposed) {
       return;
     }
-    const isLearning = this.nextUnheard() !== undefined;
-    const interval = isLearning
-      ? LEARNING_INTERVAL_MILLISECONDS
-      : INTERVAL_MILLISECONDS;
+    const hasUnknownCell = this.nextUnknownCell() !== undefined;
+    const interval = hasUnknownCell
+      ? UNKNOWN_CELLS_INTERVAL_MILLISECONDS
+      : REFRESH_INTERVAL_MILLISECONDS;
     const jitter = 1 + JITTER * (2 * this.random.next() - 1);
     this.timer = this.clock.setTimer(interval * jitter, () => {
       void this.refresh().finally(() => this.schedule());
     });
   }
 
-  private nextUnheard(): string | undefined {
-    const askable = this.clock.monotonicMilliseconds() - ASK_AGAIN_MILLISECONDS;
+  private nextUnknownCell(): string | undefined {
+    const latestAskedAt =
+      this.clock.monotonicMilliseconds() - REPEAT_INTERVAL_MILLISECONDS;
     return this.directory
-      .unheard(this.cells)
-      .find(({id}) => (this.askedAt.get(id) ?? -Infinity) <= askable)?.id;
+      .unknownCells(this.cells)
+      .find(({id}) => (this.askedAt.get(id) ?? -Infinity) <= latestAskedAt)?.id;
   }
 
   private async refresh(): Promise<void> {
-    const [stalest] = this.directory.longestUnheard(this.cells);
-    const cell = this.nextUnheard() ?? stalest?.id;
+    const [oldestKnown] = this.directory.knownCellsOldestFirst(this.cells);
+    const cell = this.nextUnknownCell() ?? oldestKnown?.id;
     if (cell === undefined) {
       return;
     }
     this.askedAt.set(cell, this.clock.monotonicMilliseconds());
-    const placed = await this.caller.ask(
+    const ownerAnswer = await this.ownerClient.ask(
       cell,
       (authority, signal) => authority.summaries(undefined, signal),
       this.stopped.signal,
       () => undefined,
     );
-    this.directory.learn(placed?.answer ?? []);
+    this.directory.recordSummaries(ownerAnswer?.answer ?? []);
   }
 }
--- a/src/features/routing/node/localCells.ts
+++ b/src/features/routing/node/localCells.ts
@@ -27,8 +27,8 @@
 import {StageRegistry} from './stageRegistry.js';
 import {UpstreamJoins} from '../common/upstreamJoins.js';
 
-/** What the local cells work with. */
-export interface LocalCellsParts {
+/** Collaborators of the local cells. */
+export interface LocalCellsDependencies {
   readonly instanceId: string;
   readonly connector: EngineConnector;
   readonly policy: RoutingPolicy;
@@ -41,35 +41,37 @@
 
 interface HeldCell {
   readonly owner: CellOwner;
-  /** Monotonic milliseconds of the last call or of the last view that named this process its owner. */
-  neededAt: number;
+  /** Monotonic milliseconds of the last call, or of the last view in which this process owned the cell. */
+  lastNeededAt: number;
 }
 
-/** Milliseconds after which a cell that another process owns is given up. */
-const GIVE_UP_MILLISECONDS = 10000;
-/** Cells held at once that other processes should own. */
-const FOREIGN_CELLS_KEPT = 64;
-const HOUSEKEEPING_MILLISECONDS = 1000;
-const FIRST_REPORTS_MILLISECONDS = 150;
-/** Summaries of other cells in each answer. */
-const OTHERS_TOLD = 2;
-/** Summaries in answer to a call for them. */
-const SUMMARIES_TOLD = 32;
+/** Idle time after which a cell that another instance owns is dropped. */
+const FOREIGN_CELL_IDLE_MILLISECONDS = 10000;
+/** Cells of other owners that are held at once. */
+const MAX_FOREIGN_CELLS = 64;
+const HOUSEKEEPING_INTERVAL_MILLISECONDS = 1000;
+const FIRST_REPORT_TIMEOUT_MILLISECONDS = 150;
+/** Summaries of other cells added to each answer. */
+const OTHER_CELL_SUMMARIES = 2;
+/** Most summaries in the answer to a call of `summaries`. */
+const MAX_SUMMARIES = 32;
 
-/** The cells that this process owns, or decides on because it was asked. */
+/** The cells that this process owns, or decides for because a peer asked it to or no owner answered. */
 export class LocalCells extends CellAuthority {
   private readonly held = new Map<string, HeldCell>();
   private readonly registry: StageRegistry;
   private readonly poller: ReportPoller;
-  private readonly joins = new UpstreamJoins();
+  private readonly upstreamJoins = new UpstreamJoins();
   private cells = CellMap.empty;
   private configuration: Configuration = emptyConfiguration;
-  private housekeeping: Disposable | undefined;
+  private housekeepingTimer: Disposable | undefined;
 
-  constructor(private readonly parts: LocalCellsParts) {
+  constructor(private readonly dependencies: LocalCellsDependencies) {
     super();
-    const {connector, clock, random, metrics} = parts;
-    this.registry = new StageRegistry(change => this.healthChanged(change));
+    const {connector, clock, random, metrics} = dependencies;
+    this.registry = new StageRegistry(change =>
+      this.handleHealthChange(change),
+    );
     this.poller = this.register(
       new ReportPoller(this.registry, connector, clock, random, metrics),
     );
@@ -77,14 +79,14 @@
     this.scheduleHousekeeping();
   }
 
-  /** Takes a new view of the system: takes over and gives up cells. */
+  /** Applies a new system view: takes over the cells that it owns now and drops those that no longer exist. */
   update(view: SystemView, cells: CellMap): void {
     this.configuration = view.configuration;
     this.cells = cells;
     const now = this.now();
-    this.joins.update(view.upstreams, now);
-    for (const id of cells.ownedBy(this.parts.instanceId)) {
-      this.hold(id, now);
+    this.upstreamJoins.update(view.upstreams, now);
+    for (const id of cells.ownedBy(this.dependencies.instanceId)) {
+      this.holdCell(id, now);
     }
     for (const [id, held] of this.held) {
       const cell = cells.get(id);
@@ -94,20 +96,20 @@
         held.owner.update(cell);
       }
     }
-    this.follow(now);
+    this.trackEngines(now);
   }
 
   override async reserve(call: ReserveCall): Promise<ReserveAnswer> {
-    const owner = await this.readyOwner(call);
+    const owner = await this.prepareOwner(call);
     return owner === undefined
-      ? unknownCell()
+      ? refuseUnknownCell()
       : this.answer(call, owner.reserve(call, this.configuration, this.now()));
   }
 
   override async replan(call: ReplanCall): Promise<ReserveAnswer> {
-    const owner = await this.readyOwner(call);
+    const owner = await this.prepareOwner(call);
     return owner === undefined
-      ? unknownCell()
+      ? refuseUnknownCell()
       : this.answer(call, owner.replan(call, this.configuration, this.now()));
   }
 
@@ -128,17 +130,17 @@
   override async summaries(
     model: string | undefined,
   ): Promise<readonly SummaryNote[]> {
-    this.tellDirectory();
-    return this.parts.directory.toTell(model, SUMMARIES_TOLD);
+    this.updateDirectory();
+    return this.dependencies.directory.summariesToShare(model, MAX_SUMMARIES);
   }
 
-  /** Ids of the cells held, whether owned or taken on. */
+  /** Ids of the held cells, owned by this process or not. */
   get heldCells(): readonly string[] {
     return [...this.held.keys()];
   }
 
-  /** Age of the oldest load report of a cell in milliseconds; Infinity if one never came. */
-  figuresAge(cell: string): number {
+  /** Age of a cell's oldest load report in milliseconds; Infinity if an engine has none. */
+  oldestReportAge(cell: string): number {
     const now = this.now();
     const ages = (this.cells.get(cell)?.engines ?? []).map(
       ({id}) => this.registry.get(id)?.ledger.reportAge(now) ?? Infinity,
@@ -146,146 +148,154 @@
     return Math.max(0, ...ages);
   }
 
-  /** Adds a few summaries of other cells, so that requesters learn of them at no further call. */
+  /** Adds a few summaries of other cells, so that requesters learn of them without another call. */
   private answer(call: ReserveCall, answer: ReserveAnswer): ReserveAnswer {
-    const {directory} = this.parts;
-    directory.learn(answer.summaries);
+    const {directory} = this.dependencies;
+    directory.recordSummaries(answer.summaries);
     const others = directory
-      .toTell(call.model, OTHERS_TOLD + answer.summaries.length)
+      .summariesToShare(
+        call.model,
+        OTHER_CELL_SUMMARIES + answer.summaries.length,
+      )
       .filter(note => note.cell !== call.cell)
-      .slice(0, OTHERS_TOLD);
+      .slice(0, OTHER_CELL_SUMMARIES);
     return {...answer, summaries: [...answer.summaries, ...others]};
   }
 
-  private tellDirectory(): void {
+  private updateDirectory(): void {
     const now = this.now();
     for (const {owner} of this.held.values()) {
-      this.parts.directory.learn(owner.summaries(now));
+      this.dependencies.directory.recordSummaries(owner.summaries(now));
     }
   }
 
   override dispose(): void {
-    this.housekeeping?.dispose();
+    this.housekeepingTimer?.dispose();
     super.dispose();
   }
 
-  /** Takes a cell on and waits shortly for its first load report if none came yet. */
-  async prepare(id: string): Promise<CellOwner | undefined> {
+  /** Holds a cell from now on and, if none of its engines has reported yet, waits briefly for the first reports. */
+  async prepareCell(id: string): Promise<CellOwner | undefined> {
     const cell = this.cells.get(id);
     if (cell === undefined) {
       return undefined;
     }
     const isNew = !this.held.has(id);
-    const {owner} = this.hold(id, this.now());
+    const {owner} = this.holdCell(id, this.now());
     if (isNew) {
-      this.follow(this.now());
+      this.trackEngines(this.now());
     }
     const upstreams = cell.engines.map(engine => engine.id);
-    const isKnown = upstreams.some(
+    const hasReport = upstreams.some(
       upstream => this.registry.get(upstream)?.ledger.report !== undefined,
     );
-    if (!isKnown) {
-      await this.firstReports(upstreams);
+    if (!hasReport) {
+      await this.waitForFirstReports(upstreams);
     }
     return owner;
   }
 
-  private readyOwner(call: ReserveCall): Promise<CellOwner | undefined> {
+  private prepareOwner(call: ReserveCall): Promise<CellOwner | undefined> {
     this.release(call.releases);
-    return this.prepare(call.cell);
+    return this.prepareCell(call.cell);
   }
 
-  /** Waits for the first load reports, but not long: the caller's time runs. */
-  private async firstReports(upstreams: readonly string[]): Promise<void> {
+  /** Waits for the first load reports, only briefly because the wait uses up the request's time. */
+  private async waitForFirstReports(
+    upstreams: readonly string[],
+  ): Promise<void> {
     let timer: Disposable | undefined;
     const timeout = new Promise<void>(resolve => {
-      timer = this.parts.clock.setTimer(FIRST_REPORTS_MILLISECONDS, resolve);
+      timer = this.dependencies.clock.setTimer(
+        FIRST_REPORT_TIMEOUT_MILLISECONDS,
+        resolve,
+      );
     });
     await Promise.race([this.poller.pollUnknown(upstreams), timeout]);
     timer?.dispose();
   }
 
-  private hold(id: string, now: number): HeldCell {
+  private holdCell(id: string, now: number): HeldCell {
     const known = this.held.get(id);
     if (known !== undefined) {
-      known.neededAt = now;
+      known.lastNeededAt = now;
       return known;
     }
-    const {policy, logger, metrics} = this.parts;
+    const {policy, logger, metrics} = this.dependencies;
     const {registry} = this;
     const cell = this.cells.get(id)!;
     const owner = new CellOwner(cell, {registry, policy, logger, metrics});
-    const held = {owner, neededAt: now};
+    const held = {owner, lastNeededAt: now};
     this.held.set(id, held);
     return held;
   }
 
-  private follow(now: number): void {
+  private trackEngines(now: number): void {
     const engines = [...this.held.keys()].flatMap(
       id => this.cells.get(id)?.engines ?? [],
     );
-    this.registry.follow(engines, now, id => this.joins.isNew(id, now));
+    this.registry.track(engines, now, id => this.upstreamJoins.isNew(id, now));
   }
 
   private scheduleHousekeeping(): void {
-    this.housekeeping = this.parts.clock.setTimer(
-      HOUSEKEEPING_MILLISECONDS,
+    this.housekeepingTimer = this.dependencies.clock.setTimer(
+      HOUSEKEEPING_INTERVAL_MILLISECONDS,
       () => {
-        this.giveUpForeign();
-        this.tellDirectory();
-        this.report();
+        this.dropIdleForeignCells();
+        this.updateDirectory();
+        this.recordGauges();
         this.scheduleHousekeeping();
       },
     );
   }
 
-  /** Gives up cells of other owners that were not asked for lately, the longest idle first. */
-  private giveUpForeign(): void {
+  /** Drops the cells of other owners that are idle or, the longest idle first, exceed the limit. */
+  private dropIdleForeignCells(): void {
     const now = this.now();
-    const owned = new Set(this.cells.ownedBy(this.parts.instanceId));
+    const owned = new Set(this.cells.ownedBy(this.dependencies.instanceId));
     const foreign = [...this.held]
       .filter(([id]) => !owned.has(id))
-      .sort((a, b) => b[1].neededAt - a[1].neededAt);
-    const givenUp = foreign.filter(
+      .sort((a, b) => b[1].lastNeededAt - a[1].lastNeededAt);
+    const dropped = foreign.filter(
       ([, held], index) =>
-        index >= FOREIGN_CELLS_KEPT ||
-        now - held.neededAt > GIVE_UP_MILLISECONDS,
+        index >= MAX_FOREIGN_CELLS ||
+        now - held.lastNeededAt > FOREIGN_CELL_IDLE_MILLISECONDS,
     );
-    for (const [id] of givenUp) {
+    for (const [id] of dropped) {
       this.held.delete(id);
     }
-    if (givenUp.length > 0) {
-      this.follow(now);
+    if (dropped.length > 0) {
+      this.trackEngines(now);
     }
   }
 
-  private report(): void {
-    const {metrics} = this.parts;
+  private recordGauges(): void {
+    const {metrics} = this.dependencies;
     metrics.gauge('routing.cells.held', this.held.size);
     const reservations = [...this.held.values()].reduce(
-      (sum, {owner}) => sum + owner.reservations,
+      (sum, {owner}) => sum + owner.reservationCount,
       0,
     );
     metrics.gauge('routing.reservations', reservations);
   }
 
-  private healthChanged(change: HealthChange): void {
+  private handleHealthChange(change: HealthChange): void {
     const {upstream, to, cause} = change;
     if (to === 'quarantined') {
-      this.poller.hurry(upstream);
+      this.poller.pollSoon(upstream);
     }
-    this.parts.logger.decision('upstreamHealth', {...change});
-    this.parts.metrics.count('routing.health.changed', 1, {to, cause});
+    this.dependencies.logger.decision('upstreamHealth', {...change});
+    this.dependencies.metrics.count('routing.health.changed', 1, {to, cause});
   }
 
   private now(): number {
-    return this.parts.clock.monotonicMilliseconds();
+    return this.dependencies.clock.monotonicMilliseconds();
   }
 }
 
 const UNKNOWN_CELL_RETRY_MILLISECONDS = 1000;
 
-function unknownCell(): ReserveAnswer {
+function refuseUnknownCell(): ReserveAnswer {
   return {
     kind: 'refused',
     reason: 'noUpstream',
--- a/src/features/routing/node/peerCells.ts
+++ b/src/features/routing/node/peerCells.ts
@@ -22,13 +22,13 @@
 import {answerRow, summaryRows} from '../common/cellSchemas.js';
 import {CellRouter} from './cellRouter.js';
 
-/** Milliseconds for which releases are gathered if no call takes them along. */
-const GATHER_MILLISECONDS = 100;
-/** Releases kept for a peer; what is beyond heals by the reservations' time-out. */
-const RELEASES_KEPT = 512;
-const NOTICE_TIMEOUT_MILLISECONDS = 1000;
+/** Time for which releases are batched if no other call carries them. */
+const RELEASE_BATCH_MILLISECONDS = 100;
+/** Pending releases of a peer. Older ones are dropped, and their reservations end when they expire. */
+const MAX_PENDING_RELEASES = 512;
+const BEST_EFFORT_TIMEOUT_MILLISECONDS = 1000;
 
-/** The cells of one peer, over its peer address. Rejects when the peer can't be reached or the signal fires. */
+/** Client for the cells of one peer. Calls reject if the peer is unreachable or the signal is aborted. */
 export class PeerCells extends CellAuthority {
   private readonly client;
   private releases: ReleaseNote[] = [];
@@ -49,7 +49,7 @@
     call: ReserveCall,
     signal: AbortSignal,
   ): Promise<ReserveAnswer> {
-    const row = encodeReserve(this.withReleases(call));
+    const row = encodeReserve(this.withPendingReleases(call));
     const answer = await this.client.call.cells.reserve.mutate(row, {signal});
     return decodeAnswer(call, answerRow.parse(answer));
   }
@@ -58,20 +58,20 @@
     call: ReplanCall,
     signal: AbortSignal,
   ): Promise<ReserveAnswer> {
-    const row = encodeReplan(this.withReleases(call));
+    const row = encodeReplan(this.withPendingReleases(call));
     const answer = await this.client.call.cells.replan.mutate(row, {signal});
     return decodeAnswer(call, answerRow.parse(answer));
   }
 
-  /** Gathers releases; they go with the next call or shortly by themselves. */
+  /** Batches releases; they are sent with the next call or, soon after, on their own. */
   override release(notes: readonly ReleaseNote[]): void {
     this.releases.push(...notes);
-    const dropped = this.releases.length - RELEASES_KEPT;
-    if (dropped > 0) {
-      this.releases = this.releases.slice(dropped);
-      this.metrics.count('routing.release.dropped', dropped);
+    const excess = this.releases.length - MAX_PENDING_RELEASES;
+    if (excess > 0) {
+      this.releases = this.releases.slice(excess);
+      this.metrics.count('routing.release.dropped', excess);
     }
-    this.flushTimer ??= this.clock.setTimer(GATHER_MILLISECONDS, () =>
+    this.flushTimer ??= this.clock.setTimer(RELEASE_BATCH_MILLISECONDS, () =>
       this.flush(),
     );
   }
@@ -93,12 +93,15 @@
     return decodeSummaries(summaryRows.parse(rows));
   }
 
-  private withReleases<Call extends ReserveCall>(call: Call): Call {
-    return {...call, releases: [...call.releases, ...this.takeReleases()]};
+  private withPendingReleases<Call extends ReserveCall>(call: Call): Call {
+    return {
+      ...call,
+      releases: [...call.releases, ...this.takePendingReleases()],
+    };
   }
 
   private flush(): void {
-    const releases = this.takeReleases();
+    const releases = this.takePendingReleases();
     if (releases.length > 0) {
       this.notice(signal =>
         this.client.call.cells.release.mutate(encodeReleases(releases), {
@@ -108,18 +111,18 @@
     }
   }
 
-  private takeReleases(): readonly ReleaseNote[] {
+  private takePendingReleases(): readonly ReleaseNote[] {
     this.flushTimer?.dispose();
     this.flushTimer = undefined;
-    const taken = this.releases;
+    const releases = this.releases;
     this.releases = [];
-    return taken;
+    return releases;
   }
 
-  /** Sends something whose loss harms only estimates. */
+  /** Sends a message without retries: losing it only makes estimates less accurate. */
   private notice(send: (signal: AbortSignal) => Promise<unknown>): void {
     const controller = new AbortController();
-    const timer = this.clock.setTimer(NOTICE_TIMEOUT_MILLISECONDS, () =>
+    const timer = this.clock.setTimer(BEST_EFFORT_TIMEOUT_MILLISECONDS, () =>
       controller.abort(),
     );
     send(controller.signal)
--- a/src/features/routing/node/reportPoller.ts
+++ b/src/features/routing/node/reportPoller.ts
@@ -4,26 +4,26 @@
 import {RandomSource} from '../../../base/common/randomSource.js';
 import {EngineConnector} from '../../../infrastructure/engine/common/engineConnection.js';
 import {Metrics} from '../../../infrastructure/metrics/common/metrics.js';
-import {FollowedStage, StageRegistry} from './stageRegistry.js';
+import {TrackedStage, StageRegistry} from './stageRegistry.js';
 
-const INTERVAL_MILLISECONDS = 1000;
-const RETURN_INTERVAL_MILLISECONDS = 300;
-/** Share of the interval by which each poll is put off or brought forward at random. */
-const JITTER = 0.2;
+const POLL_INTERVAL_MILLISECONDS = 1000;
+const UNREACHABLE_INTERVAL_MILLISECONDS = 300;
+/** Largest random change of each interval, up or down, as a share of the interval. */
+const POLL_JITTER = 0.2;
 const TICK_MILLISECONDS = 50;
-const TIMEOUT_MILLISECONDS = 1000;
-const CONCURRENT_POLLS = 64;
-/** A poll that took this many times its time-out shows that this process was paused. */
+const POLL_TIMEOUT_MILLISECONDS = 1000;
+const MAX_CONCURRENT_POLLS = 64;
+/** A poll that takes longer than this multiple of its time-out shows that this process was paused. */
 const PAUSE_RATIO = 2;
 
 /**
- * Asks each followed engine for its load report about once a second, a bounded number at once; a
- * second time after the first report, whose round trip holds the time to connect.
+ * Polls each tracked engine for its load report about once a second, with bounded concurrency. Polls a second time
+ * right after the first report, because the first round trip includes the time to connect.
  */
 export class ReportPoller extends DisposableOwner {
   private readonly dueAt = new Map<string, number>();
-  private readonly polling = new Map<string, Promise<void>>();
-  private readonly sources = new Set<CancellationSource>();
+  private readonly pollsInFlight = new Map<string, Promise<void>>();
+  private readonly cancellationSources = new Set<CancellationSource>();
   private timer: Disposable | undefined;
 
   constructor(
@@ -36,17 +36,16 @@
     super();
   }
 
-  /** Starts polling. */
   start(): void {
     this.tick();
   }
 
-  /** Brings an engine's next poll forward to now, as when a dispatcher saw it fail. */
-  hurry(upstream: string): void {
+  /** Makes an engine's next poll due now, for example because a dispatcher saw it fail. */
+  pollSoon(upstream: string): void {
     this.dueAt.delete(upstream);
   }
 
-  /** Polls engines of which nothing is known yet at once, and waits until they answered or failed. */
+  /** Polls the engines that have no report yet at once, and waits until each poll succeeds or fails. */
   async pollUnknown(upstreams: readonly string[]): Promise<void> {
     const unknown = upstreams
       .map(id => this.registry.get(id))
@@ -57,7 +56,7 @@
 
   override dispose(): void {
     this.timer?.dispose();
-    for (const source of this.sources) {
+    for (const source of this.cancellationSources) {
       source.cancel('stopped');
     }
     super.dispose();
@@ -74,19 +73,19 @@
   }
 
   private pollDue(now: number): void {
-    const followed = this.registry.followed;
-    for (const stage of followed) {
+    const stages = this.registry.trackedStages;
+    for (const stage of stages) {
       const isDue = (this.dueAt.get(stage.member.id) ?? 0) <= now;
-      if (isDue && this.polling.size < CONCURRENT_POLLS) {
+      if (isDue && this.pollsInFlight.size < MAX_CONCURRENT_POLLS) {
         void this.pollOnce(stage);
       }
     }
-    if (this.dueAt.size > followed.length) {
-      this.forgetUnfollowed();
+    if (this.dueAt.size > stages.length) {
+      this.removeUntracked();
     }
   }
 
-  private forgetUnfollowed(): void {
+  private removeUntracked(): void {
     for (const id of [...this.dueAt.keys()]) {
       if (this.registry.get(id) === undefined) {
         this.dueAt.delete(id);
@@ -94,32 +93,34 @@
     }
   }
 
-  private pollOnce(stage: FollowedStage): Promise<void> {
+  private pollOnce(stage: TrackedStage): Promise<void> {
     const {id} = stage.member;
-    const running = this.polling.get(id);
-    if (running !== undefined) {
-      return running;
+    const inFlight = this.pollsInFlight.get(id);
+    if (inFlight !== undefined) {
+      return inFlight;
     }
-    const jitter = 1 + JITTER * (2 * this.random.next() - 1);
+    const jitter = 1 + POLL_JITTER * (2 * this.random.next() - 1);
     const now = this.clock.monotonicMilliseconds();
-    this.dueAt.set(id, now + this.intervalOf(id) * jitter);
-    const poll = this.poll(stage, now).finally(() => this.polling.delete(id));
-    this.polling.set(id, poll);
+    this.dueAt.set(id, now + this.intervalMillisecondsOf(id) * jitter);
+    const poll = this.poll(stage, now).finally(() =>
+      this.pollsInFlight.delete(id),
+    );
+    this.pollsInFlight.set(id, poll);
     return poll;
   }
 
-  /** Engines out of reach are asked more often, so that their return is noticed soon. */
-  private intervalOf(id: string): number {
-    return this.registry.isOutOfReach(id)
-      ? RETURN_INTERVAL_MILLISECONDS
-      : INTERVAL_MILLISECONDS;
+  /** Unreachable engines are polled more often, to detect their recovery sooner. */
+  private intervalMillisecondsOf(id: string): number {
+    return this.registry.isUnreachable(id)
+      ? UNREACHABLE_INTERVAL_MILLISECONDS
+      : POLL_INTERVAL_MILLISECONDS;
   }
 
-  private async poll(stage: FollowedStage, startedAt: number): Promise<void> {
+  private async poll(stage: TrackedStage, startedAt: number): Promise<void> {
     const {id, address} = stage.member;
     const source = new CancellationSource();
-    this.sources.add(source);
-    const timeout = this.clock.setTimer(TIMEOUT_MILLISECONDS, () =>
+    this.cancellationSources.add(source);
+    const timeout = this.clock.setTimer(POLL_TIMEOUT_MILLISECONDS, () =>
       source.cancel('timed out'),
     );
     const answer = await this.connector
@@ -127,23 +128,23 @@
       .report(source.token);
     timeout.dispose();
     source.dispose();
-    this.sources.delete(source);
+    this.cancellationSources.delete(source);
     if (this.isDisposed) {
       return;
     }
     const now = this.clock.monotonicMilliseconds();
     if (answer.ok) {
       if (stage.ledger.report === undefined) {
-        this.hurry(id);
+        this.pollSoon(id);
       }
-      this.registry.reportCame(answer.value, now - startedAt, now);
+      this.registry.recordReport(answer.value, now - startedAt, now);
       return;
     }
     const {kind} = answer.error;
     this.metrics.count('routing.report.failed', 1, {kind});
-    const wasPaused = now - startedAt > PAUSE_RATIO * TIMEOUT_MILLISECONDS;
+    const wasPaused = now - startedAt > PAUSE_RATIO * POLL_TIMEOUT_MILLISECONDS;
     if (kind !== 'overloaded' && !wasPaused) {
-      this.registry.reportFailed(id, kind === 'unreachable', now);
+      this.registry.recordReportFailure(id, kind === 'unreachable', now);
     }
   }
 }
--- a/src/features/routing/node/reservationIds.ts
+++ b/src/features/routing/node/reservationIds.ts
@@ -1,39 +1,39 @@
 import {createHash} from 'node:crypto';
 
-/** The parts of a reservation's id. */
+/** The parts of a reservation id as the requester keeps it. */
 export interface ParsedReservationId {
-  /** What the granting process knows it by. */
+  /** The id within the granting process. */
   readonly localId: string;
-  /** The instance that granted it. */
+  /** The instance that granted the reservation. */
   readonly grantedBy: string;
 }
 
 const SEPARATOR = '@';
-/** Characters that stand for a process: 72 bits, so that no two are ever alike. */
-const PROCESS_CHARACTERS = 12;
+/** Characters that identify a process: 72 bits make collisions negligible. */
+const PROCESS_ID_CHARACTERS = 12;
 
-/** Names reservations: unique for each process, and telling who granted them, so that nothing need be kept here. */
+/** Creates reservation ids that are unique per process and name the granting instance, so that no lookup is needed. */
 export class ReservationIds {
-  private readonly process: string;
+  private readonly processId: string;
   private count = 0;
 
   constructor(instanceId: string, incarnation: string) {
     const hash = createHash('sha256').update(`${instanceId} ${incarnation}`);
-    this.process = hash.digest('base64url').slice(0, PROCESS_CHARACTERS);
+    this.processId = hash.digest('base64url').slice(0, PROCESS_ID_CHARACTERS);
   }
 
-  /** A new id as the granting process will know it. */
+  /** Creates an id for use within the granting process. */
   next(): string {
     this.count += 1;
-    return `${this.process}.${this.count.toString(36)}`;
+    return `${this.processId}.${this.count.toString(36)}`;
   }
 
-  /** The id as the requester keeps it. */
+  /** Joins both parts into the id that the requester keeps. */
   join(localId: string, grantedBy: string): string {
     return `${localId}${SEPARATOR}${grantedBy}`;
   }
 
-  /** Takes a requester's id apart. */
+  /** Splits the id that the requester keeps. */
   parse(reservationId: string): ParsedReservationId {
     const separator = reservationId.lastIndexOf(SEPARATOR);
     return {
--- a/src/features/routing/node/stageRegistry.ts
+++ b/src/features/routing/node/stageRegistry.ts
@@ -9,65 +9,64 @@
   UpstreamHealthTracker,
 } from '../common/upstreamHealthTracker.js';
 
-/** An engine that this process follows. */
-export interface FollowedStage {
+/** An engine that this process tracks. */
+export interface TrackedStage {
   readonly member: UpstreamMember;
   readonly ledger: StageLedger;
 }
 
-/** Milliseconds for which an engine that refused a step as leaving or not holding the layers gets nothing new. */
-const REFUSED_MILLISECONDS = 1000;
+/** Time without new work after an engine refused a step because it is leaving or doesn't hold the layers. */
+const REFUSAL_BACKOFF_MILLISECONDS = 1000;
 
-/** Load reports missed in a row after which an engine counts as out of reach, unless it refuses connections. */
-const FAILURES_NEEDED = 2;
+/** Consecutive missed load reports that make an engine unreachable. A failed connection alone suffices. */
+const FAILURES_UNTIL_UNREACHABLE = 2;
 
-/** Everything known of the engines that this process follows: ledgers, health, learned limits. */
+/** State of the engines that this process tracks: ledgers, health and learned concurrency limits. */
 export class StageRegistry {
-  private readonly stages = new Map<string, FollowedStage>();
-  private readonly tracker = new UpstreamHealthTracker();
+  private readonly stages = new Map<string, TrackedStage>();
+  private readonly healthTracker = new UpstreamHealthTracker();
   private readonly limits = new ConcurrencyLimit();
-  private readonly refusedUntil = new Map<string, number>();
-  private readonly reportFailures = new Map<string, number>();
+  private readonly backoffUntil = new Map<string, number>();
+  private readonly consecutiveReportFailures = new Map<string, number>();
 
-  /** @param onHealthChange told of each change of health */
+  /** @param onHealthChange called for each change of an engine's health */
   constructor(
     private readonly onHealthChange: (change: HealthChange) => void,
   ) {}
 
   /**
-   * Follows exactly these engines; what is known of those that stay is kept. `joined` tells which
-   * engines are new to the system, not only to this process; all that weren't followed if absent.
+   * Tracks exactly these engines and keeps the state of those already tracked at the same address. `isNew` tells
+   * whether an engine is new to the system, not only to this process; if omitted, all that weren't tracked are new.
    */
-  follow(
+  track(
     members: readonly UpstreamMember[],
     now: number,
-    joined: (upstream: string) => boolean = () => true,
+    isNew: (upstream: string) => boolean = () => true,
   ): void {
-    const wanted = new Set(members.map(member => member.id));
+    const listedIds = new Set(members.map(member => member.id));
     for (const id of [...this.stages.keys()]) {
-      if (!wanted.has(id)) {
+      if (!listedIds.has(id)) {
         this.forget(id);
       }
     }
     for (const member of members) {
       const known = this.stages.get(member.id);
-      const stays = known?.member.address === member.address;
-      const ledger = stays ? known.ledger : new StageLedger();
+      const isSameAddress = known?.member.address === member.address;
+      const ledger = isSameAddress ? known.ledger : new StageLedger();
       this.stages.set(member.id, {member, ledger});
     }
-    this.tellTracker(now, joined);
+    this.updateHealthTracker(now, isNew);
   }
 
-  get(upstream: string): FollowedStage | undefined {
+  get(upstream: string): TrackedStage | undefined {
     return this.stages.get(upstream);
   }
 
-  /** All engines followed. */
-  get followed(): readonly FollowedStage[] {
+  get trackedStages(): readonly TrackedStage[] {
     return [...this.stages.values()];
   }
 
-  /** Takes what a dispatcher saw of an engine. */
+  /** Records what a dispatcher observed at an engine; engines that aren't tracked are ignored. */
   observe(observation: StageObservation, now: number): void {
     const stage = this.stages.get(observation.upstream);
     if (stage === undefined) {
@@ -75,26 +74,34 @@
     }
     const {decodeMilliseconds, linkMilliseconds, steps} = observation;
     stage.ledger.learn(decodeMilliseconds, linkMilliseconds, steps, now);
-    this.learnLimit(stage, decodeMilliseconds, now);
+    this.updateConcurrencyLimit(stage, decodeMilliseconds, now);
     if (observation.outcome === 'refused') {
-      const until = now + REFUSED_MILLISECONDS;
-      this.refusedUntil.set(observation.upstream, until);
+      const until = now + REFUSAL_BACKOFF_MILLISECONDS;
+      this.backoffUntil.set(observation.upstream, until);
     }
-    this.apply(this.tracker.observe(observation, now));
+    this.apply(this.healthTracker.observe(observation, now));
   }
 
-  /** A load report could not be had; `isSure` if no connection was made. Engines out of reach get nothing new. */
-  reportFailed(upstream: string, isSure: boolean, now: number): void {
-    const before = this.reportFailures.get(upstream) ?? 0;
-    const after = before + (isSure ? FAILURES_NEEDED : 1);
-    this.reportFailures.set(upstream, after);
-    if (before < FAILURES_NEEDED && after >= FAILURES_NEEDED) {
-      this.apply(this.tracker.connectionFailed(upstream, now));
+  /** Records a failed poll. A connection failure makes the engine unreachable at once, so that it gets no new work. */
+  recordReportFailure(
+    upstream: string,
+    isConnectionFailure: boolean,
+    now: number,
+  ): void {
+    const previous = this.consecutiveReportFailures.get(upstream) ?? 0;
+    const failures =
+      previous + (isConnectionFailure ? FAILURES_UNTIL_UNREACHABLE : 1);
+    this.consecutiveReportFailures.set(upstream, failures);
+    if (
+      previous < FAILURES_UNTIL_UNREACHABLE &&
+      failures >= FAILURES_UNTIL_UNREACHABLE
+    ) {
+      this.apply(this.healthTracker.connectionFailed(upstream, now));
     }
   }
 
-  /** Takes a load report. */
-  reportCame(
+  /** Records a load report, which makes the engine reachable again. */
+  recordReport(
     report: EngineReport,
     roundTripMilliseconds: number,
     now: number,
@@ -103,39 +110,39 @@
     if (stage === undefined) {
       return;
     }
-    this.reportFailures.delete(report.upstream);
-    const before = stage.ledger.report?.report;
-    const restarted = stage.ledger.takeReport(
+    this.consecutiveReportFailures.delete(report.upstream);
+    const previousReport = stage.ledger.report?.report;
+    const hasRestarted = stage.ledger.takeReport(
       report,
       roundTripMilliseconds,
       now,
     );
-    if (restarted) {
-      this.restart(report.upstream, now);
+    if (hasRestarted) {
+      this.handleRestart(report.upstream, now);
     }
-    if (before?.leaving !== report.leaving) {
-      this.tellTracker(now);
+    if (previousReport?.leaving !== report.leaving) {
+      this.updateHealthTracker(now);
     }
   }
 
-  /** Lets quarantined engines be probed once their time is over. */
+  /** Starts probing the engines whose quarantine is over. */
   tick(now: number): void {
-    this.apply(this.tracker.tick(now));
+    this.apply(this.healthTracker.tick(now));
   }
 
-  /** The stage as the policy sees it; undefined if it may get nothing new or nothing is known of it. */
+  /** The stage as routing policies see it; undefined if it has no report yet or must not get new work. */
   viewOf(upstream: string, now: number): StageView | undefined {
     const stage = this.stages.get(upstream);
     const report = stage?.ledger.report?.report;
     if (stage === undefined || report === undefined) {
       return undefined;
     }
-    const isBarred = isLeaving(stage) || this.isOutOfReach(upstream);
-    if (isBarred || this.wasRefused(upstream, now)) {
+    const isUnavailable = isLeaving(stage) || this.isUnreachable(upstream);
+    if (isUnavailable || this.isBackingOff(upstream, now)) {
       return undefined;
     }
     const {member, ledger} = stage;
-    const learned = this.limits.limit(upstream, report.sequenceLimit);
+    const learnedLimit = this.limits.limit(upstream, report.sequenceLimit);
     return {
       upstream,
       address: member.address,
@@ -143,9 +150,13 @@
       replica: member.group,
       acceleratorKind: report.acceleratorKind,
       layers: report.layers,
-      health: this.tracker.health(upstream),
+      health: this.healthTracker.health(upstream),
       leaving: false,
-      sequenceLimit: this.tracker.sequenceLimit(upstream, learned, now),
+      sequenceLimit: this.healthTracker.sequenceLimit(
+        upstream,
+        learnedLimit,
+        now,
+      ),
       busyUntil: ledger.busyUntil(now),
       decodeMilliseconds: ledger.decodeMilliseconds(now),
       prefillMillisecondsPerToken: report.prefillMillisecondsPerToken,
@@ -155,63 +166,68 @@
     };
   }
 
-  /** Whether one request is trying an engine after a quarantine. */
+  /** Whether an engine's quarantine is over and a single request is testing it. */
   isProbing(upstream: string): boolean {
-    return this.tracker.health(upstream) === 'probing';
+    return this.healthTracker.health(upstream) === 'probing';
   }
 
-  private learnLimit(
-    stage: FollowedStage,
+  private updateConcurrencyLimit(
+    stage: TrackedStage,
     decodeMilliseconds: number | undefined,
     now: number,
   ): void {
-    const reported = stage.ledger.report?.report.sequenceLimit;
-    if (decodeMilliseconds === undefined || reported === undefined) {
+    const reportedLimit = stage.ledger.report?.report.sequenceLimit;
+    if (decodeMilliseconds === undefined || reportedLimit === undefined) {
       return;
     }
     const {id} = stage.member;
     const resident = stage.ledger.busyUntil(now).length;
-    this.limits.observe(id, decodeMilliseconds, resident, reported, now);
+    this.limits.observe(id, decodeMilliseconds, resident, reportedLimit, now);
   }
 
-  /** Whether load reports can't be had, so that no request should try. */
-  isOutOfReach(upstream: string): boolean {
-    return (this.reportFailures.get(upstream) ?? 0) >= FAILURES_NEEDED;
+  /** Whether polls failed so often that the engine must not get new work. */
+  isUnreachable(upstream: string): boolean {
+    return (
+      (this.consecutiveReportFailures.get(upstream) ?? 0) >=
+      FAILURES_UNTIL_UNREACHABLE
+    );
   }
 
-  /** A new process is a new upstream: what its predecessor failed at is not held against it. */
-  private restart(upstream: string, now: number): void {
+  /** Treats a restarted engine as a new upstream: failures of the earlier process don't affect its health. */
+  private handleRestart(upstream: string, now: number): void {
     this.limits.forget(upstream);
-    const others = this.followed.filter(one => one.member.id !== upstream);
-    this.apply(this.tracker.list(others.map(listedUpstream), now));
-    this.tellTracker(now);
+    const others = this.trackedStages.filter(
+      stage => stage.member.id !== upstream,
+    );
+    this.apply(this.healthTracker.list(others.map(toListedUpstream), now));
+    this.updateHealthTracker(now);
   }
 
-  private wasRefused(upstream: string, now: number): boolean {
-    const until = this.refusedUntil.get(upstream);
+  private isBackingOff(upstream: string, now: number): boolean {
+    const until = this.backoffUntil.get(upstream);
     if (until === undefined || until > now) {
       return until !== undefined;
     }
-    this.refusedUntil.delete(upstream);
+    this.backoffUntil.delete(upstream);
     return false;
   }
 
   private forget(upstream: string): void {
     this.stages.delete(upstream);
     this.limits.forget(upstream);
-    this.refusedUntil.delete(upstream);
-    this.reportFailures.delete(upstream);
+    this.backoffUntil.delete(upstream);
+    this.consecutiveReportFailures.delete(upstream);
   }
 
-  private tellTracker(
+  private updateHealthTracker(
     now: number,
-    joined: (upstream: string) => boolean = () => true,
+    isNew: (upstream: string) => boolean = () => true,
   ): void {
-    const listed = this.followed.map(stage => ({
-      ...listedUpstream(stage),
-      established: !joined(stage.member.id),
+    const listed = this.trackedStages.map(stage => ({
+      ...toListedUpstream(stage),
+      established: !isNew(stage.member.id),
     }));
-    this.apply(this.tracker.list(listed, now));
+    this.apply(this.healthTracker.list(listed, now));
   }
 
   private apply(changes: readonly HealthChange[]): void {
@@ -224,12 +240,12 @@
   }
 }
 
-function isLeaving(stage: FollowedStage): boolean {
-  const reported = stage.ledger.report?.report.leaving ?? false;
-  return reported || stage.member.state === 'leaving';
+function isLeaving(stage: TrackedStage): boolean {
+  const isReportedLeaving = stage.ledger.report?.report.leaving ?? false;
+  return isReportedLeaving || stage.member.state === 'leaving';
 }
 
-function listedUpstream(stage: FollowedStage): ListedUpstream {
+function toListedUpstream(stage: TrackedStage): ListedUpstream {
   const {member, ledger} = stage;
   const report = ledger.report?.report;
   const layerCount = report ? report.layers.to - report.layers.from : 0;
--- a/src/features/routing/test/brokerBench.ts
+++ b/src/features/routing/test/brokerCluster.ts
@@ -22,19 +22,19 @@
   systemView,
 } from './routingFakes.js';
 
-/** How messages to an instance fare. */
-export type Reach = 'up' | 'down' | 'silent';
+/** Whether an instance answers calls, refuses connections or never answers. */
+export type Reachability = 'up' | 'down' | 'silent';
 
-/** Several brokers in one process, joined by fakes of the peer calls; messages pass as JSON. */
-export class BrokerBench {
+/** Several brokers in one process, connected by fake peers that pass messages as JSON. */
+export class BrokerCluster {
   readonly clock = new FakeClock();
   readonly engines = new FakeEngines();
   readonly logger = new RecordingLogger();
-  readonly reach = new Map<string, Reach>();
+  readonly reachability = new Map<string, Reachability>();
   readonly brokers = new Map<string, DefaultCapacityBroker>();
   readonly views = new Map<string, FakeViews>();
   /** Whether releases sent to peers are lost. */
-  losesReleases = false;
+  dropsReleases = false;
   private sequence = 0;
 
   constructor(
@@ -55,11 +55,11 @@
     return this.brokers.get(id)!;
   }
 
-  /** Shows a view to some instances, to all by default. */
+  /** Sets the view of some instances, of all by default. */
   show(
     instances: readonly InstanceMember[],
     upstreams: readonly UpstreamMember[],
-    to: readonly string[] = this.instances.map(one => one.id),
+    to: readonly string[] = this.instances.map(instance => instance.id),
   ): void {
     this.sequence += 1;
     for (const id of to) {
@@ -67,8 +67,8 @@
     }
   }
 
-  /** Runs until a promise settles, moving time on by up to ten seconds. */
-  async complete<T>(promise: Promise<T>): Promise<T> {
+  /** Advances time until a promise settles, by ten seconds at most. */
+  async runUntilSettled<T>(promise: Promise<T>): Promise<T> {
     let isDone = false;
     void promise.finally(() => (isDone = true));
     for (let passed = 0; passed < 10000 && !isDone; passed += 10) {
@@ -114,32 +114,32 @@
 class FakePeer extends CellAuthority {
   constructor(
     private readonly id: string,
-    private readonly bench: BrokerBench,
+    private readonly cluster: BrokerCluster,
   ) {
     super();
   }
 
   override reserve(call: ReserveCall, signal: AbortSignal) {
     return this.send<ReserveAnswer>(signal, target =>
-      target.reserve(throughJson(call), signal),
+      target.reserve(cloneAsJson(call), signal),
     );
   }
 
   override replan(call: ReplanCall, signal: AbortSignal) {
     return this.send<ReserveAnswer>(signal, target =>
-      target.replan(throughJson(call), signal),
+      target.replan(cloneAsJson(call), signal),
     );
   }
 
   override release(notes: readonly ReleaseNote[]): void {
-    if (this.isUp && !this.bench.losesReleases) {
-      this.target.release(throughJson(notes));
+    if (this.isUp && !this.cluster.dropsReleases) {
+      this.target.release(cloneAsJson(notes));
     }
   }
 
   override reportFailure(note: FailureNote): void {
     if (this.isUp) {
-      this.target.reportFailure(throughJson(note));
+      this.target.reportFailure(cloneAsJson(note));
     }
   }
 
@@ -150,18 +150,18 @@
   }
 
   private get target(): CellAuthority {
-    return this.bench.broker(this.id).cells;
+    return this.cluster.broker(this.id).cells;
   }
 
   private get isUp(): boolean {
-    return (this.bench.reach.get(this.id) ?? 'up') === 'up';
+    return (this.cluster.reachability.get(this.id) ?? 'up') === 'up';
   }
 
   private async send<T>(
     signal: AbortSignal,
     call: (target: CellAuthority) => Promise<T>,
   ): Promise<T> {
-    if (this.bench.reach.get(this.id) === 'down') {
+    if (this.cluster.reachability.get(this.id) === 'down') {
       throw new Error('connection refused');
     }
     if (!this.isUp) {
@@ -169,10 +169,10 @@
         signal.addEventListener('abort', () => reject(new Error('aborted'))),
       );
     }
-    return throughJson(await call(this.target));
+    return cloneAsJson(await call(this.target));
   }
 }
 
-function throughJson<T>(value: T): T {
+function cloneAsJson<T>(value: T): T {
   return JSON.parse(JSON.stringify(value)) as T;
 }
--- a/src/features/routing/test/capacityBroker.test.ts
+++ b/src/features/routing/test/capacityBroker.test.ts
@@ -8,7 +8,7 @@
   ReservationReply,
   StageObservation,
 } from '../common/routing.js';
-import {BrokerBench, Reach} from './brokerBench.js';
+import {BrokerCluster, Reachability} from './brokerCluster.js';
 import {
   engineMember,
   instanceMember,
@@ -20,15 +20,15 @@
 const instances = ['i1', 'i2', 'i3'].map(id => instanceMember(id));
 const engines = ['e1', 'e2', 'e3', 'e4'].map(id => engineMember(id));
 
-let bench: BrokerBench;
+let cluster: BrokerCluster;
 
-afterEach(() => bench.dispose());
+afterEach(() => cluster.dispose());
 
-async function startBench(
+async function startCluster(
   upstreams: readonly UpstreamMember[] = engines,
 ): Promise<void> {
-  bench = new BrokerBench(instances, upstreams, 8);
-  await bench.clock.advanceAsync(3000);
+  cluster = new BrokerCluster(instances, upstreams, 8);
+  await cluster.clock.advanceAsync(3000);
 }
 
 function ownerOf(): string {
@@ -36,16 +36,21 @@
   return CellMap.of(view, 8).ownersOf('north-1/0', 1)[0]!.id;
 }
 
-function others(): string[] {
-  return instances.map(one => one.id).filter(id => id !== ownerOf());
+function nonOwners(): string[] {
+  return instances.map(instance => instance.id).filter(id => id !== ownerOf());
 }
 
 function reserve(from: string, requestId = 'r1'): Promise<ReservationReply> {
   const work = workEstimate(requestId);
-  return bench.complete(bench.broker(from).reserve(work, 'm', signal));
+  return cluster.runUntilSettled(
+    cluster.broker(from).reserve(work, 'm', signal),
+  );
 }
 
-async function reserved(from: string, requestId = 'r1'): Promise<Reservation> {
+async function reserveOrThrow(
+  from: string,
+  requestId = 'r1',
+): Promise<Reservation> {
   const reply = await reserve(from, requestId);
   if (reply.kind !== 'reserved') {
     throw new Error(`refused: ${reply.reason}`);
@@ -62,65 +67,70 @@
   return {upstream, outcome, decodeMilliseconds, linkMilliseconds, steps: 0};
 }
 
-describe('who decides', () => {
+describe('a reservation is granted by', () => {
   const cases: Array<{
     name: string;
     from: () => string;
-    owner: Reach;
+    owner: Reachability;
     by: string;
   }> = [
-    {name: 'the owner itself', from: ownerOf, owner: 'up', by: 'owner'},
     {
-      name: 'the owner, asked',
-      from: () => others()[0]!,
+      name: 'the owner when it is the requester',
+      from: ownerOf,
+      owner: 'up',
+      by: 'owner',
+    },
+    {
+      name: 'the owner when another instance is the requester',
+      from: () => nonOwners()[0]!,
       owner: 'up',
       by: 'owner',
     },
     {
-      name: 'the next when the owner refuses connections',
-      from: () => others()[0]!,
+      name: 'the next instance when the owner refuses connections',
+      from: () => nonOwners()[0]!,
       owner: 'down',
       by: 'other',
     },
     {
-      name: 'the next when the owner is silent',
-      from: () => others()[0]!,
+      name: 'the next instance when the owner does not answer',
+      from: () => nonOwners()[0]!,
       owner: 'silent',
       by: 'other',
     },
   ];
   test.each(cases)('$name', async ({from, owner, by}) => {
-    await startBench();
-    bench.reach.set(ownerOf(), owner);
-    const {reservationId} = await reserved(from());
+    await startCluster();
+    cluster.reachability.set(ownerOf(), owner);
+    const {reservationId} = await reserveOrThrow(from());
     const isOwner = reservationId.endsWith(`@${ownerOf()}`);
     expect(isOwner ? 'owner' : 'other').toBe(by);
   });
 
-  test('the requester itself when no instance answers', async () => {
-    await startBench();
-    const [from] = others();
+  test('the requester when no other instance answers', async () => {
+    await startCluster();
+    const [from] = nonOwners();
     instances
-      .filter(one => one.id !== from)
-      .forEach(one => bench.reach.set(one.id, 'silent'));
-    const {reservationId} = await reserved(from!);
+      .filter(instance => instance.id !== from)
+      .forEach(instance => cluster.reachability.set(instance.id, 'silent'));
+    const {reservationId} = await reserveOrThrow(from!);
     expect(reservationId.endsWith(`@${from}`)).toBe(true);
   });
 });
 
-test('a process that starts uses engines that ran before in full', async () => {
-  bench = new BrokerBench(instances, engines, 8);
-  await bench.clock.advanceAsync(100);
+test('a process that starts uses the full limit of earlier engines but not of new ones', async () => {
+  cluster = new BrokerCluster(instances, engines, 8);
+  await cluster.clock.advanceAsync(100);
   const starts = [];
   for (let index = 0; index < 64; index++) {
-    const {prediction} = await reserved(ownerOf(), `r${index}`);
+    const {prediction} = await reserveOrThrow(ownerOf(), `r${index}`);
     starts.push(prediction.startsInMilliseconds);
   }
   expect(Math.max(...starts)).toBe(0);
   const joined = [...engines, engineMember('e5')];
-  bench.engines.set('e5');
-  bench.show(instances, joined);
-  await bench.clock.advanceAsync(100);
+  cluster.engines.set('e5');
+  cluster.show(instances, joined);
+  await cluster.clock.advanceAsync(100);
   const taken = await Promise.all(
     Array.from({length: 16}, (_, index) => reserve(ownerOf(), `n${index}`)),
   );
@@ -132,40 +142,40 @@
   expect(atOnce.length).toBe(4);
 });
 
-describe('upstreams that may get nothing new', () => {
+describe('an upstream gets no new work', () => {
   const leavingList = [
     engineMember('e1', {state: 'leaving'}),
     ...engines.slice(1),
   ];
   const cases: Array<{name: string; cause: () => void}> = [
     {
-      name: 'leaving by the list',
-      cause: () => bench.show(instances, leavingList),
+      name: 'while the list shows it as leaving',
+      cause: () => cluster.show(instances, leavingList),
     },
     {
-      name: 'leaving by its report',
-      cause: () => bench.engines.set('e1', {leaving: true}),
+      name: 'while its report shows it as leaving',
+      cause: () => cluster.engines.set('e1', {leaving: true}),
     },
     {
-      name: 'loading',
-      cause: () => bench.engines.set('e1', {loading: true}),
+      name: 'while it loads',
+      cause: () => cluster.engines.set('e1', {loading: true}),
     },
     {
-      name: 'of another version',
-      cause: () => bench.engines.set('e1', {version: '0'}),
+      name: 'while it does not hold the configured version',
+      cause: () => cluster.engines.set('e1', {version: '0'}),
     },
     {
-      name: 'not found any more',
-      cause: () => bench.engines.reports.delete('e1'),
+      name: 'after it became unreachable',
+      cause: () => cluster.engines.reports.delete('e1'),
     },
   ];
   test.each(cases)('$name', async ({cause}) => {
-    await startBench();
+    await startCluster();
     cause();
-    await bench.clock.advanceAsync(1300);
+    await cluster.clock.advanceAsync(1300);
     const used = new Set<string>();
     for (let index = 0; index < 40; index++) {
-      const reservation = await reserved(others()[0]!, `r${index}`);
+      const reservation = await reserveOrThrow(nonOwners()[0]!, `r${index}`);
       reservation.stages.forEach(stage => used.add(stage.upstream));
     }
     expect(used.has('e1')).toBe(false);
@@ -175,55 +185,70 @@
     {outcome: 'refused'},
     {outcome: 'failed'},
     {outcome: 'silent'},
-  ] as const)('seen as $outcome, for a while', async ({outcome}) => {
-    await startBench([engines[0]!, engines[1]!]);
-    const first = await reserved(ownerOf(), 'first');
-    const {upstream} = first.stages[0]!;
-    const owner = bench.broker(ownerOf());
-    owner.reportFailure(first, observation(upstream, outcome));
-    for (let index = 0; index < 10; index++) {
-      const {stages} = await reserved(ownerOf(), `soon${index}`);
-      expect(stages[0]!.upstream).not.toBe(upstream);
-    }
-    const other = upstream === 'e1' ? 'e2' : 'e1';
-    bench.engines.set(other, {leaving: true});
-    await bench.clock.advanceAsync(1300);
-    const later = await reserved(ownerOf(), 'later');
-    expect(later.stages[0]).toMatchObject(
-      outcome === 'refused' ? {upstream} : {upstream, probing: true},
-    );
-    owner.reportFailure(later, observation(upstream, 'completed'));
-    const next = await reserved(ownerOf(), 'next');
-    expect(next.stages[0]!.probing).toBe(undefined);
-    expect(next.prediction.startsInMilliseconds).toBe(0);
-  });
+  ] as const)(
+    'for a limited time after the outcome $outcome',
+    async ({outcome}) => {
+      await startCluster([engines[0]!, engines[1]!]);
+      const first = await reserveOrThrow(ownerOf(), 'first');
+      const {upstream} = first.stages[0]!;
+      const owner = cluster.broker(ownerOf());
+      owner.reportFailure(first, observation(upstream, outcome));
+      for (let index = 0; index < 10; index++) {
+        const {stages} = await reserveOrThrow(ownerOf(), `soon${index}`);
+        expect(stages[0]!.upstream).not.toBe(upstream);
+      }
+      const other = upstream === 'e1' ? 'e2' : 'e1';
+      cluster.engines.set(other, {leaving: true});
+      await cluster.clock.advanceAsync(1300);
+      const later = await reserveOrThrow(ownerOf(), 'later');
+      expect(later.stages[0]).toMatchObject(
+        outcome === 'refused' ? {upstream} : {upstream, probing: true},
+      );
+      owner.reportFailure(later, observation(upstream, 'completed'));
+      const next = await reserveOrThrow(ownerOf(), 'next');
+      expect(next.stages[0]!.probing).toBe(undefined);
+      expect(next.prediction.startsInMilliseconds).toBe(0);
+    },
+  );
 });
 
-describe('while versions change', () => {
+describe('during a rolling update', () => {
   const cases = [
-    {name: 'the version before serves', began: undefined, served: '0'},
-    {name: 'a reply goes on with its version', began: '0', served: '0'},
-    {name: 'none takes over a reply of another', began: '1', served: undefined},
+    {
+      name: 'the previous version serves new requests',
+      began: undefined,
+      served: '0',
+    },
+    {name: 'a reply continues on its version', began: '0', served: '0'},
+    {
+      name: 'no version continues a reply of another',
+      began: '1',
+      served: undefined,
+    },
   ];
   test.each(cases)('$name', async ({began, served}) => {
-    await startBench([engines[0]!]);
-    bench.engines.set('e1', {version: '0'});
-    await bench.clock.advanceAsync(1300);
+    await startCluster([engines[0]!]);
+    cluster.engines.set('e1', {version: '0'});
+    await cluster.clock.advanceAsync(1300);
     const work = {...workEstimate('r1'), version: began};
-    const broker = bench.broker(ownerOf());
-    const reply = await bench.complete(broker.reserve(work, 'm', signal));
+    const broker = cluster.broker(ownerOf());
+    const reply = await cluster.runUntilSettled(
+      broker.reserve(work, 'm', signal),
+    );
     const stages = reply.kind === 'reserved' ? reply.reservation.stages : [];
     expect(stages[0]?.version).toBe(served);
   });
 });
 
 describe('reservations', () => {
-  test('of a full cell are refused with differing times to come back', async () => {
-    await startBench([engines[0]!]);
-    bench.engines.set('e1', {sequenceLimit: 1});
-    await bench.clock.advanceAsync(1300);
+  test('are refused by a full cell with a different retry time for each requester', async () => {
+    await startCluster([engines[0]!]);
+    cluster.engines.set('e1', {sequenceLimit: 1});
+    await cluster.clock.advanceAsync(1300);
     const long = {...workEstimate('long'), outputTokens: 300};
-    await bench.complete(bench.broker('i1').reserve(long, 'm', signal));
+    await cluster.runUntilSettled(
+      cluster.broker('i1').reserve(long, 'm', signal),
+    );
     const times: number[] = [];
     for (const from of ['i1', 'i2', 'i3']) {
       const reply = await reserve(from, `late-${from}`);
@@ -235,72 +260,77 @@
   });
 
   test.each([
-    {name: 'released', loses: false, wait: 200, after: 'reserved'},
-    {name: 'lost release, soon', loses: true, wait: 200, after: 'refused'},
+    {name: 'after a release', loses: false, wait: 200, after: 'reserved'},
     {
-      name: 'lost release, timed out',
+      name: 'soon after a lost release',
+      loses: true,
+      wait: 200,
+      after: 'refused',
+    },
+    {
+      name: 'after a lost release, once the reservation has expired',
       loses: true,
       wait: 9000,
       after: 'reserved',
     },
-  ])('$name: the next is $after', async ({loses, wait, after}) => {
-    await startBench([engines[0]!]);
-    bench.engines.set('e1', {sequenceLimit: 1, residentSequences: 0});
-    await bench.clock.advanceAsync(1300);
-    const from = others()[0]!;
+  ])('$name the next request is $after', async ({loses, wait, after}) => {
+    await startCluster([engines[0]!]);
+    cluster.engines.set('e1', {sequenceLimit: 1, residentSequences: 0});
+    await cluster.clock.advanceAsync(1300);
+    const from = nonOwners()[0]!;
     const long = {...workEstimate('long'), outputTokens: 300};
-    const reply = await bench.complete(
-      bench.broker(from).reserve(long, 'm', signal),
+    const reply = await cluster.runUntilSettled(
+      cluster.broker(from).reserve(long, 'm', signal),
     );
-    bench.losesReleases = loses;
+    cluster.dropsReleases = loses;
     if (reply.kind === 'reserved') {
-      bench.broker(from).release(reply.reservation, []);
+      cluster.broker(from).release(reply.reservation, []);
     }
-    bench.engines.set('e1', {sequenceLimit: 1, ageMilliseconds: 60000});
-    await bench.clock.advanceAsync(wait);
+    cluster.engines.set('e1', {sequenceLimit: 1, ageMilliseconds: 60000});
+    await cluster.clock.advanceAsync(wait);
     const next = await reserve(from, 'next');
     expect(next).toMatchObject({kind: after});
   });
 
-  test('outlive their owner: the release is harmless and the next owner grants', async () => {
-    await startBench();
-    const from = others()[0]!;
-    const reservation = await reserved(from);
-    const left = instances.filter(one => one.id !== ownerOf());
-    bench.reach.set(ownerOf(), 'down');
-    bench.show(
+  test('can be released after their owner left, and the next owner grants new ones', async () => {
+    await startCluster();
+    const from = nonOwners()[0]!;
+    const reservation = await reserveOrThrow(from);
+    const left = instances.filter(instance => instance.id !== ownerOf());
+    cluster.reachability.set(ownerOf(), 'down');
+    cluster.show(
       left,
       engines,
-      left.map(one => one.id),
+      left.map(instance => instance.id),
     );
-    await bench.clock.advanceAsync(1500);
-    bench.broker(from).release(reservation, [observation('e1', 'completed')]);
+    await cluster.clock.advanceAsync(1500);
+    cluster.broker(from).release(reservation, [observation('e1', 'completed')]);
     expect((await reserve(from, 'next')).kind).toBe('reserved');
   });
 
-  test('are granted by two owners whose views differ', async () => {
-    await startBench();
+  test('are granted by two instances that both own the cell in differing views', async () => {
+    await startCluster();
     const owner = ownerOf();
-    const [other, third] = others();
-    const left = instances.filter(one => one.id !== owner);
-    bench.show(left, engines, [other!]);
-    await bench.clock.advanceAsync(1500);
-    const byOther = await reserved(other!, 'r1');
-    const byOwner = await reserved(third!, 'r2');
+    const [other, third] = nonOwners();
+    const left = instances.filter(instance => instance.id !== owner);
+    cluster.show(left, engines, [other!]);
+    await cluster.clock.advanceAsync(1500);
+    const byOther = await reserveOrThrow(other!, 'r1');
+    const byOwner = await reserveOrThrow(third!, 'r2');
     expect(byOwner.reservationId.endsWith(`@${owner}`)).toBe(true);
     expect(byOther.reservationId.endsWith(`@${owner}`)).toBe(false);
   });
 
   test.each([{from: 'owner'}, {from: 'other'}])(
-    'are replanned without excluded upstreams, asked by the $from',
+    'are replanned without excluded upstreams when the $from asks',
     async ({from}) => {
-      await startBench();
-      const asker = from === 'owner' ? ownerOf() : others()[0]!;
-      const first = await reserved(asker);
+      await startCluster();
+      const requester = from === 'owner' ? ownerOf() : nonOwners()[0]!;
+      const first = await reserveOrThrow(requester);
       const excluded = first.stages.map(stage => stage.upstream);
-      const reply = await bench.complete(
-        bench
-          .broker(asker)
+      const reply = await cluster.runUntilSettled(
+        cluster
+          .broker(requester)
           .replan(first, workEstimate('r1'), 'm', excluded, signal),
       );
       const stages = reply.kind === 'reserved' ? reply.reservation.stages : [];
@@ -309,34 +339,36 @@
     },
   );
 
-  test('are found in another cell where a summary is stale', async () => {
-    bench = new BrokerBench(instances, engines, 1);
-    await bench.clock.advanceAsync(20000);
+  test('are granted by another cell when a summary is stale', async () => {
+    cluster = new BrokerCluster(instances, engines, 1);
+    await cluster.clock.advanceAsync(20000);
     const moved = ['e1', 'e2'];
-    moved.forEach(id => bench.engines.set(id, {model: 'other'}));
-    await bench.clock.advanceAsync(1300);
+    moved.forEach(id => cluster.engines.set(id, {model: 'other'}));
+    await cluster.clock.advanceAsync(1300);
     for (let index = 0; index < 10; index++) {
-      const {stages} = await reserved('i1', `r${index}`);
+      const {stages} = await reserveOrThrow('i1', `r${index}`);
       expect(moved).not.toContain(stages[0]!.upstream);
     }
   });
 
-  test('and refusals each leave one line for the decision and one for the choice of cell', async () => {
-    await startBench();
-    await reserved(others()[0]!);
-    const names = bench.logger.decisions.map(one => one.name);
+  test('each write one log line for the decision and one for the choice of cell', async () => {
+    await startCluster();
+    await reserveOrThrow(nonOwners()[0]!);
+    const names = cluster.logger.decisions.map(entry => entry.name);
     expect(names.filter(name => name === 'reservation').length).toBe(1);
     expect(names.filter(name => name === 'cellChoice').length).toBe(1);
   });
 
-  test('end with the request: a cancelled one is given back', async () => {
-    await startBench();
-    instances.forEach(one => bench.reach.set(one.id, 'silent'));
+  test('are refused when the request is cancelled', async () => {
+    await startCluster();
+    instances.forEach(instance =>
+      cluster.reachability.set(instance.id, 'silent'),
+    );
     const controller = new AbortController();
-    const from = others()[0]!;
+    const from = nonOwners()[0]!;
     const work = workEstimate('r1');
-    const pending = bench.broker(from).reserve(work, 'm', controller.signal);
+    const pending = cluster.broker(from).reserve(work, 'm', controller.signal);
     controller.abort();
-    expect((await bench.complete(pending)).kind).toBe('refused');
+    expect((await cluster.runUntilSettled(pending)).kind).toBe('refused');
   });
 });
--- a/src/features/routing/test/cellRouter.test.ts
+++ b/src/features/routing/test/cellRouter.test.ts
@@ -67,10 +67,10 @@
     owned.add(await serveRpc(router, member.entryPeerAddress, 'key'));
   }
   const owner = CellMap.of(view, 8).ownersOf('north-1/0', 1)[0]!.id;
-  const asker = brokers[members.findIndex(one => one.id !== owner)]!;
+  const requester = brokers[members.findIndex(member => member.id !== owner)]!;
   const {signal} = neverCancelled;
   const work = workEstimate('r1');
-  const first = await asker.reserve(work, 'm', signal);
+  const first = await requester.reserve(work, 'm', signal);
   if (first.kind !== 'reserved') {
     throw new Error(first.reason);
   }
@@ -89,13 +89,19 @@
     linkMilliseconds,
     steps: 3,
   };
-  asker.reportFailure(reservation, failed);
-  const next = await asker.replan(reservation, work, 'm', [upstream], signal);
+  requester.reportFailure(reservation, failed);
+  const next = await requester.replan(
+    reservation,
+    work,
+    'm',
+    [upstream],
+    signal,
+  );
   if (next.kind !== 'reserved') {
     throw new Error(next.reason);
   }
   expect(next.reservation.stages[0]!.upstream).not.toBe(upstream);
-  asker.release(next.reservation, [failed]);
-  const again = await asker.reserve(workEstimate('r2'), 'm', signal);
+  requester.release(next.reservation, [failed]);
+  const again = await requester.reserve(workEstimate('r2'), 'm', signal);
   expect(again.kind).toBe('reserved');
 });
--- a/src/features/routing/test/cells.test.ts
+++ b/src/features/routing/test/cells.test.ts
@@ -23,7 +23,7 @@
 }
 
 describe('cells', () => {
-  test('hold every engine once', () => {
+  test('hold every engine exactly once', () => {
     fc.assert(
       fc.property(
         replicaCount,
@@ -33,7 +33,9 @@
           const cells = [
             ...divideIntoCells(replicas(count, prefix), size).values(),
           ];
-          const ids = cells.flatMap(cell => cell.engines.map(one => one.id));
+          const ids = cells.flatMap(cell =>
+            cell.engines.map(engine => engine.id),
+          );
           expect(ids.length).toBe(count);
           expect(new Set(ids).size).toBe(count);
           expect(cells.length).toBeLessThanOrEqual(Math.ceil(count / size));
@@ -43,7 +45,7 @@
     );
   });
 
-  test('change for few replicas when one is added', () => {
+  test('change for only a few replicas when one is added', () => {
     fc.assert(
       fc.property(
         replicaCount,
@@ -69,8 +71,8 @@
 
   test.each([
     {name: 'most engines', centres: ['b', 'a', 'b'], home: 'b/0'},
-    {name: 'the first by name among equals', centres: ['b', 'a'], home: 'a/0'},
-  ])('of a replica across data centres are where it has $name', row => {
+    {name: 'the first name on a tie', centres: ['b', 'a'], home: 'a/0'},
+  ])('of a replica across data centres are in the one with $name', row => {
     const engines = row.centres.map((dataCentre, index) =>
       engineMember(`e${index}`, {dataCentre, group: 'replica'}),
     );
@@ -92,12 +94,14 @@
     );
   }
 
-  test('moves only for the cells of the instance that leaves', () => {
+  test('changes only for the cells of an instance that leaves', () => {
     const before = owners(instances);
     fc.assert(
       fc.property(fc.integer({min: 0, max: 39}), gone => {
         const leaving = `i${gone}`;
-        const after = owners(instances.filter(one => one.id !== leaving));
+        const after = owners(
+          instances.filter(instance => instance.id !== leaving),
+        );
         for (const [cell, owner] of before) {
           expect(after.get(cell) === owner).toBe(owner !== leaving);
         }
@@ -117,7 +121,7 @@
     expect(new Set(owners(among).values())).toEqual(new Set([owner]));
   });
 
-  test('is never with an instance that is not ready', () => {
+  test('never goes to an instance that is not ready', () => {
     const leaving = instanceMember('near', {state: 'leaving'});
     expect([...owners([leaving, far]).values()]).not.toContain('near');
   });
--- a/src/features/routing/test/routingFakes.ts
+++ b/src/features/routing/test/routingFakes.ts
@@ -20,9 +20,9 @@
 import {SystemViewSource} from '../../membership/common/systemViewSource.js';
 import {WorkEstimate} from '../common/routing.js';
 
-/** Fakes for the tests of routing. */
+/** Fakes and sample data for the routing tests. */
 
-/** An engine of a replica with one stage of two layers unless told otherwise. */
+/** The list entry of a live engine that is a replica by itself; `changes` override its fields. */
 export function engineMember(
   id: string,
   changes: Partial<UpstreamMember> = {},
@@ -39,7 +39,7 @@
   };
 }
 
-/** An instance of the system. */
+/** The list entry of a live instance; `changes` override its fields. */
 export function instanceMember(
   id: string,
   changes: Partial<InstanceMember> = {},
@@ -57,7 +57,7 @@
   };
 }
 
-/** A view with one model of two layers and one class. */
+/** A system view with one model of two layers and one class of work. */
 export function systemView(
   instances: readonly InstanceMember[],
   upstreams: readonly UpstreamMember[],
@@ -90,7 +90,7 @@
   repeatable: false,
 };
 
-/** A piece of work that an idle engine can do in time. */
+/** A request that an idle engine can serve within its targets. */
 export function workEstimate(requestId: string): WorkEstimate {
   return {
     requestId,
@@ -107,7 +107,7 @@
   };
 }
 
-/** An idle engine's report. */
+/** The load report of an idle engine with all two layers of the model. */
 export function engineReport(upstream: string): EngineReport {
   return {
     upstream,
@@ -132,17 +132,17 @@
   };
 }
 
-/** Engines that only report. */
+/** Connects to fake engines that serve load reports and fail all other calls. */
 export class FakeEngines extends EngineConnector {
   readonly reports = new Map<string, EngineReport>();
-  /** Whether reports stay away until they are cancelled. */
+  /** Whether report calls stay unanswered until they are cancelled. */
   isSilent = false;
 
   override connect(upstream: string): EngineConnection {
     return new ReportingConnection(upstream, this);
   }
 
-  /** Changes what an engine reports. */
+  /** Sets an engine's report: that of an idle engine with some changes. */
   set(upstream: string, changes: Partial<EngineReport> = {}): void {
     this.reports.set(upstream, {...engineReport(upstream), ...changes});
   }
@@ -181,7 +181,7 @@
   override order = async () => unused;
 }
 
-/** Views as a test sets them. */
+/** A source of the views that a test sets. */
 export class FakeViews extends SystemViewSource {
   private readonly changed = new Emitter<SystemView>();
   override readonly heardAt = 0;
@@ -200,7 +200,7 @@
   }
 }
 
-/** Keeps decision lines. */
+/** Records decision log lines. */
 export class RecordingLogger extends SilentLogger {
   readonly decisions: Array<{name: string; fields: LogFields}> = [];
 
--- a/src/features/routing/test/serviceChooser.test.ts
+++ b/src/features/routing/test/serviceChooser.test.ts
@@ -24,17 +24,22 @@
 const far = replica('far', {dataCentre: 'x', region: 'y'});
 const leaving = replica('leaving', {state: 'leaving'});
 
-describe('the replica chosen', () => {
+describe('the chosen replica', () => {
   const none: string[] = [];
   test.each([
-    {name: 'is near', among: [far, region, near], excluded: none, is: 'near'},
     {
-      name: 'else in the region',
+      name: 'is in the data centre if one is there',
+      among: [far, region, near],
+      excluded: none,
+      is: 'near',
+    },
+    {
+      name: 'is otherwise in the region',
       among: [far, region],
       excluded: none,
       is: 'region',
     },
-    {name: 'else anywhere', among: [far], excluded: none, is: 'far'},
+    {name: 'is otherwise anywhere', among: [far], excluded: none, is: 'far'},
     {
       name: 'is not excluded',
       among: [near, region],
@@ -42,7 +47,12 @@
       is: 'region',
     },
     {name: 'is not leaving', among: [leaving, far], excluded: none, is: 'far'},
-    {name: 'may be none', among: [leaving], excluded: none, is: undefined},
+    {
+      name: 'is none if all are leaving',
+      among: [leaving],
+      excluded: none,
+      is: undefined,
+    },
   ])('$name', ({among, excluded, is}) => {
     const choice = chooser(among).made.choose('stock', excluded);
     expect(choice.kind === 'chosen' ? choice.upstream : undefined).toBe(is);
@@ -80,7 +90,7 @@
     ]);
   });
 
-  test('takes no more than its limit learned from refusals', () => {
+  test('gets no more calls than the limit learned from its refusals', () => {
     const {made} = chooser([near]);
     for (let index = 0; index < 10; index++) {
       made.choose('stock', []);
--- a/src/features/routing/test/stageLedger.test.ts
+++ b/src/features/routing/test/stageLedger.test.ts
@@ -8,7 +8,7 @@
   readonly at: number;
   readonly reserve?: string;
   readonly release?: string;
-  /** Resident sequences reported. */
+  /** Resident sequences in a load report. */
   readonly report?: number;
   readonly reportAge?: number;
   readonly incarnation?: string;
@@ -16,7 +16,7 @@
 
 const HOLD = 10000;
 
-function play(steps: readonly Step[]): StageLedger {
+function ledgerAfter(steps: readonly Step[]): StageLedger {
   const ledger = new StageLedger();
   for (const step of steps) {
     if (step.reserve !== undefined) {
@@ -38,13 +38,13 @@
   return ledger;
 }
 
-test('the link time of an engine not used yet is its shortest round trip of late', () => {
+test('the link time of an engine not used yet is its shortest recent round trip', () => {
   const ledger = new StageLedger();
   [200, 2, 9].forEach(trip => ledger.takeReport(engineReport('e1'), trip, 0));
   expect(ledger.linkMilliseconds(0)).toBe(2);
 });
 
-describe('sequences counted at an engine', () => {
+describe('the count of sequences at an engine', () => {
   const a = {at: 0, reserve: 'a'};
   const b = {at: 0, reserve: 'b'};
   const cases: Array<{
@@ -53,33 +53,33 @@
     now: number;
     count: number;
   }> = [
-    {name: 'own reservations', steps: [a, b], now: 1, count: 2},
+    {name: 'includes own reservations', steps: [a, b], now: 1, count: 2},
     {
-      name: 'less what was released',
+      name: 'excludes released reservations',
       steps: [a, b, {at: 5, release: 'a'}],
       now: 6,
       count: 1,
     },
     {
-      name: 'a release of something unknown',
+      name: 'ignores the release of an unknown reservation',
       steps: [a, {at: 5, release: 'x'}],
       now: 6,
       count: 1,
     },
     {
-      name: 'reported ones that nobody here reserved',
+      name: 'includes reported sequences without a reservation here',
       steps: [{at: 0, report: 3}],
       now: 1,
       count: 3,
     },
     {
-      name: 'reported ones that are the own',
+      name: 'includes reported sequences with a reservation here only once',
       steps: [a, b, {at: 3000, report: 2}],
       now: 3001,
       count: 2,
     },
     {
-      name: 'a report older than a release counts the released one no more',
+      name: 'excludes a released reservation that an older report still counts',
       steps: [
         a,
         {at: 3000, release: 'a'},
@@ -89,13 +89,13 @@
       count: 0,
     },
     {
-      name: 'long settled ones that the engine no longer holds are taken as ended',
+      name: 'excludes old reservations that the engine no longer holds',
       steps: [a, b, {at: 3000, report: 1}],
       now: 3001,
       count: 1,
     },
     {
-      name: 'new ones that the report can not show yet',
+      name: 'includes new reservations that the report can not show yet',
       steps: [
         {at: 2900, reserve: 'c'},
         {at: 3000, report: 0},
@@ -103,20 +103,25 @@
       now: 3001,
       count: 1,
     },
-    {name: 'not after the time-out', steps: [a], now: 2 * HOLD, count: 0},
     {
-      name: 'none after a restart',
+      name: 'excludes expired reservations',
+      steps: [a],
+      now: 2 * HOLD,
+      count: 0,
+    },
+    {
+      name: 'is zero after a restart',
       steps: [a, {at: 1, report: 1}, {at: 2, report: 0, incarnation: 'next'}],
       now: 3,
       count: 0,
     },
   ];
   test.each(cases)('$name', ({steps, now, count}) => {
-    expect(play(steps).busyUntil(now).length).toBe(count);
+    expect(ledgerAfter(steps).busyUntil(now).length).toBe(count);
   });
 
-  test('overdue ones still count, in order of their expected finish', () => {
-    const late = play([
+  test('includes overdue reservations, in order of their expected finish', () => {
+    const late = ledgerAfter([
       {at: 100, reserve: 'b'},
       {at: 0, reserve: 'a'},
     ]);
@@ -127,9 +132,9 @@
 describe('a decayed mean', () => {
   test.each([
     {name: 'without samples is the fallback', samples: [], now: 0, value: 7},
-    {name: 'of fresh samples', samples: [2, 4], now: 0, value: 3},
+    {name: 'of fresh samples is their mean', samples: [2, 4], now: 0, value: 3},
     {
-      name: 'of old samples nears the fallback',
+      name: 'of old samples approaches the fallback',
       samples: [2],
       now: 1e6,
       value: 7,
--- a/src/features/routing/test/stageRegistry.test.ts
+++ b/src/features/routing/test/stageRegistry.test.ts
@@ -12,7 +12,7 @@
 
 afterEach(() => poller.dispose());
 
-async function follow(ids: readonly string[]) {
+async function startPolling(ids: readonly string[]) {
   const clock = new FakeClock();
   const engines = new FakeEngines();
   ids.forEach(id => engines.set(id));
@@ -25,7 +25,7 @@
     new SeededRandomSource(1),
     new SilentMetrics(),
   );
-  registry.follow(
+  registry.track(
     ids.map(id => engineMember(id)),
     0,
   );
@@ -39,8 +39,8 @@
 }
 
 describe('an engine that refuses connections', () => {
-  test('gets nothing until it reports again, however long that takes', async () => {
-    const {clock, engines, isUsable} = await follow(['e1', 'e2']);
+  test('gets no new work until it reports again, however long that takes', async () => {
+    const {clock, engines, isUsable} = await startPolling(['e1', 'e2']);
     engines.reports.delete('e1');
     await clock.advanceAsync(1300);
     for (let round = 0; round < 50; round++) {
@@ -66,21 +66,24 @@
   test.each([
     {name: 'the same process', incarnation: 'e1-1', usable: false},
     {name: 'a new process', incarnation: 'e1-2', usable: true},
-  ])('twice, then reports as $name', async ({incarnation, usable}) => {
-    const ids = ['e1', 'e2', 'e3', 'e4'];
-    const {clock, engines, registry, isUsable} = await follow(ids);
-    registry.observe(failed, clock.monotonicMilliseconds());
-    await clock.advanceAsync(600);
-    registry.observe(failed, clock.monotonicMilliseconds());
-    engines.set('e1', {engineIncarnation: incarnation});
-    poller.hurry('e1');
-    await clock.advanceAsync(700);
-    expect(isUsable('e1')).toBe(usable);
-  });
+  ])(
+    'twice and then reports as $name: usable is $usable',
+    async ({incarnation, usable}) => {
+      const ids = ['e1', 'e2', 'e3', 'e4'];
+      const {clock, engines, registry, isUsable} = await startPolling(ids);
+      registry.observe(failed, clock.monotonicMilliseconds());
+      await clock.advanceAsync(600);
+      registry.observe(failed, clock.monotonicMilliseconds());
+      engines.set('e1', {engineIncarnation: incarnation});
+      poller.pollSoon('e1');
+      await clock.advanceAsync(700);
+      expect(isUsable('e1')).toBe(usable);
+    },
+  );
 });
 
-test('a pause of this process is held against no engine', async () => {
-  const {clock, engines, changes} = await follow(['e1', 'e2', 'e3']);
+test('a pause of this process does not change the health of engines', async () => {
+  const {clock, engines, changes} = await startPolling(['e1', 'e2', 'e3']);
   engines.isSilent = true;
   await clock.advanceAsync(1250);
   clock.pause(60000);
@@ -89,8 +92,8 @@
   expect(changes).toEqual([]);
 });
 
-test('an engine whose reports stay away twice in a row counts as failed', async () => {
-  const {clock, engines, changes} = await follow(['e1', 'e2', 'e3']);
+test('an engine that misses two reports in a row counts as failed', async () => {
+  const {clock, engines, changes} = await startPolling(['e1', 'e2', 'e3']);
   engines.isSilent = true;
   await clock.advanceAsync(1900);
   expect(changes.length).toBe(0);
