--- a/src/features/placement/common/dataCentreReplicas.ts
+++ b/src/features/placement/common/dataCentreReplicas.ts
@@ -2,8 +2,8 @@
 import {divideIntoCells} from '../../routing/common/cells.js';
 
 /**
- * The replicas whose home is a data centre, by group. A replica over several data centres belongs
- * to the one that routing takes as its home, so that one lease alone covers it.
+ * Returns the engines of a data centre's replicas by group. A replica that spans data centres belongs to the one that
+ * routing assigns it to, so that only one lease covers it.
  */
 export function replicasOf(
   upstreams: readonly UpstreamMember[],
--- a/src/features/placement/common/demandMeter.ts
+++ b/src/features/placement/common/demandMeter.ts
@@ -4,59 +4,62 @@
 const SMOOTHING_MILLISECONDS = 60_000;
 
 /**
- * Smooths the load that engines report, by model. No message is spent on it: by Little's law the
- * sequences resident and queued are the request rate times the time that requests take.
+ * Smooths the reported load of each model. Needs no messages of its own: by Little's law, the number of resident and
+ * queued sequences is the request rate times the time that requests take.
  */
 export class DemandMeter {
-  private sequences = new Map<string, number>();
+  private smoothedSequences = new Map<string, number>();
   private startedAt: number | undefined;
-  private observedAt = 0;
+  private lastObservedAt = 0;
 
-  /** Takes the replicas as they are now. */
+  /** Adds the current load of the replicas. */
   observe(states: readonly ReplicaState[], now: number): void {
-    const present = sequencesByModel(states);
+    const current = sequencesByModel(states);
     const isFirst = this.startedAt === undefined;
-    const elapsed = now - this.observedAt;
+    const elapsed = now - this.lastObservedAt;
     const weight = isFirst
       ? 1
       : 1 - Math.exp(-elapsed / SMOOTHING_MILLISECONDS);
-    const names = new Set([...present.keys(), ...this.sequences.keys()]);
+    const names = new Set([
+      ...current.keys(),
+      ...this.smoothedSequences.keys(),
+    ]);
     const smoothed = new Map<string, number>();
     for (const name of names) {
-      const before = this.sequences.get(name) ?? 0;
-      const value = before + weight * ((present.get(name) ?? 0) - before);
-      if (value > NEGLIGIBLE) {
+      const previous = this.smoothedSequences.get(name) ?? 0;
+      const value = previous + weight * ((current.get(name) ?? 0) - previous);
+      if (value > NEGLIGIBLE_SEQUENCES) {
         smoothed.set(name, value);
       }
     }
-    this.sequences = smoothed;
+    this.smoothedSequences = smoothed;
     this.startedAt ??= now;
-    this.observedAt = now;
+    this.lastObservedAt = now;
   }
 
-  /** What was observed so far. */
+  /** Returns the smoothed load and the time over which it was observed. */
   demand(now: number): Demand {
     const observedMilliseconds = now - (this.startedAt ?? now);
-    return {sequences: this.sequences, observedMilliseconds};
+    return {sequences: this.smoothedSequences, observedMilliseconds};
   }
 
-  /** Forgets everything, as after a time without observation. */
+  /** Discards the load, which is outdated after a time without observation. */
   reset(): void {
-    this.sequences = new Map();
+    this.smoothedSequences = new Map();
     this.startedAt = undefined;
   }
 }
 
-const NEGLIGIBLE = 0.01;
+const NEGLIGIBLE_SEQUENCES = 0.01;
 
 function sequencesByModel(
   states: readonly ReplicaState[],
 ): ReadonlyMap<string, number> {
-  const found = new Map<string, number>();
+  const totals = new Map<string, number>();
   for (const {model, occupied} of states) {
     if (model !== undefined) {
-      found.set(model, (found.get(model) ?? 0) + occupied);
+      totals.set(model, (totals.get(model) ?? 0) + occupied);
     }
   }
-  return found;
+  return totals;
 }
--- a/src/features/placement/common/engineWatch.ts
+++ b/src/features/placement/common/engineWatch.ts
@@ -8,33 +8,33 @@
 import {withDeadline} from '../../configuration/common/callDeadline.js';
 import {EngineView} from './placementView.js';
 
-interface Watched {
+interface WatchedEngine {
   member: UpstreamMember;
   report: EngineReport | undefined;
-  /** Monotonic milliseconds at which the report's figures were taken at the latest. */
-  takenAt: number;
-  /** Monotonic milliseconds of the last call, answered or not. */
-  askedAt: number;
+  /** Latest monotonic milliseconds at which the engine can have made the report. */
+  reportMadeAt: number;
+  /** Monotonic milliseconds at which the last poll began, answered or not. */
+  polledAt: number;
   reachable: boolean;
-  /** Monotonic milliseconds of the last order; its effect shows only in later figures. */
+  /** Monotonic milliseconds at which the last order ended. Only later reports show its effect. */
   orderedAt: number;
 }
 
-const CALL_MILLISECONDS = 2_000;
-/** An order whose effect no report shows for so long counts as without effect. */
-const READ_BACK_MILLISECONDS = 60_000;
+const POLL_TIMEOUT_MILLISECONDS = 2_000;
+/** Time after which an order whose effect no report shows counts as having none. */
+const ORDER_EFFECT_TIMEOUT_MILLISECONDS = 60_000;
 
-/** Keeps the newest report of each engine of one data centre; asks few engines at a time. */
+/** Keeps the newest load report of each engine of one data centre. */
 export class EngineWatch {
-  private readonly engines = new Map<string, Watched>();
+  private readonly engines = new Map<string, WatchedEngine>();
 
   constructor(
     private readonly connector: EngineConnector,
     private readonly clock: Clock,
   ) {}
 
-  /** Watches exactly these engines. */
-  follow(members: readonly UpstreamMember[]): void {
+  /** Watches exactly these engines and keeps the reports of those already watched. */
+  setEngines(members: readonly UpstreamMember[]): void {
     const wanted = new Set(members.map(member => member.id));
     for (const id of this.engines.keys()) {
       if (!wanted.has(id)) {
@@ -46,51 +46,55 @@
       if (known?.member.address === member.address) {
         known.member = member;
       } else {
-        this.engines.set(member.id, newlyWatched(member));
+        this.engines.set(member.id, createWatchedEngine(member));
       }
     }
   }
 
-  /** Whether each engine was asked at least once. */
-  get isComplete(): boolean {
-    return [...this.engines.values()].every(one => one.askedAt > -Infinity);
+  /** Whether each engine was polled at least once. */
+  get hasPolledAll(): boolean {
+    return [...this.engines.values()].every(
+      engine => engine.polledAt > -Infinity,
+    );
   }
 
-  /** The engines not asked for the longest. */
-  oldest(count: number): readonly string[] {
+  /** Ids of the engines whose last poll is the longest ago. */
+  leastRecentlyPolled(count: number): readonly string[] {
     return [...this.engines.values()]
-      .sort((left, right) => left.askedAt - right.askedAt)
+      .sort((left, right) => left.polledAt - right.polledAt)
       .slice(0, count)
-      .map(one => one.member.id);
+      .map(engine => engine.member.id);
   }
 
-  /** Whether all of the engines were asked after a time. */
-  wereAskedSince(ids: readonly string[], time: number): boolean {
-    return ids.every(id => (this.engines.get(id)?.askedAt ?? 0) >= time);
+  /** Whether all of these engines were polled at or after a time. */
+  werePolledSince(ids: readonly string[], time: number): boolean {
+    return ids.every(id => (this.engines.get(id)?.polledAt ?? 0) >= time);
   }
 
-  /** Asks engines for their reports. */
+  /** Polls engines concurrently, each id once. */
   async poll(ids: readonly string[], token: CancellationToken): Promise<void> {
     await Promise.all([...new Set(ids)].map(id => this.pollOne(id, token)));
   }
 
-  /** Notes that an order ended just now, whatever became of it. */
-  noteOrder(id: string): void {
+  /** Records that an order ended now, whatever its outcome. */
+  recordOrder(id: string): void {
     const watched = this.engines.get(id);
     if (watched !== undefined) {
       watched.orderedAt = this.clock.monotonicMilliseconds();
     }
   }
 
-  /** The engine as placement sees it. */
+  /** The engine with its newest report; undefined if it isn't watched. */
   view(id: string): EngineView | undefined {
     const watched = this.engines.get(id);
     if (watched === undefined) {
       return undefined;
     }
-    const {member, report, reachable, takenAt, orderedAt} = watched;
+    const {member, report, reachable, reportMadeAt, orderedAt} = watched;
     const sinceOrder = this.clock.monotonicMilliseconds() - orderedAt;
-    const pending = takenAt <= orderedAt && sinceOrder < READ_BACK_MILLISECONDS;
+    const pending =
+      reportMadeAt <= orderedAt &&
+      sinceOrder < ORDER_EFFECT_TIMEOUT_MILLISECONDS;
     return {member, report, reachable, pending};
   }
 
@@ -104,24 +108,24 @@
     const answer = await withDeadline(
       this.clock,
       token,
-      CALL_MILLISECONDS,
+      POLL_TIMEOUT_MILLISECONDS,
       call => this.connector.connect(id, member.address).report(call),
     );
-    watched.askedAt = startedAt;
+    watched.polledAt = startedAt;
     watched.reachable = answer.ok;
     if (answer.ok) {
       watched.report = answer.value;
-      watched.takenAt = startedAt - answer.value.ageMilliseconds;
+      watched.reportMadeAt = startedAt - answer.value.ageMilliseconds;
     }
   }
 }
 
-function newlyWatched(member: UpstreamMember): Watched {
+function createWatchedEngine(member: UpstreamMember): WatchedEngine {
   return {
     member,
     report: undefined,
-    takenAt: -Infinity,
-    askedAt: -Infinity,
+    reportMadeAt: -Infinity,
+    polledAt: -Infinity,
     reachable: true,
     orderedAt: -Infinity,
   };
--- a/src/features/placement/common/layerSplit.ts
+++ b/src/features/placement/common/layerSplit.ts
@@ -3,70 +3,70 @@
   LayerRange,
 } from '../../../infrastructure/engine/common/engineConnection.js';
 
-/** Divides a model's layers over the engines of one replica. */
+/** Splits a model's layers over the engines of one replica. */
 
 /**
- * An engine gets at most so many times the layers that it holds: reports don't state memory, so
- * only what an engine holds shows what it can hold.
+ * Largest ratio of an engine's new layer count to its present one. Reports don't state memory, so the layers that an
+ * engine holds are the only sign of how many it can hold.
  */
-const GROWTH_LIMIT = 2;
+const MAX_LAYER_GROWTH = 2;
 
-/** Whether ranges, sorted by their start, cover all layers once and in order. */
-export function coversOnce(
+/** Whether ranges, sorted by their start, cover all layers without gap or overlap. */
+export function partitionsLayers(
   ranges: readonly LayerRange[],
   layerCount: number,
 ): boolean {
-  let reached = 0;
+  let coveredTo = 0;
   for (const {from, to} of ranges) {
-    if (from !== reached || to <= from) {
+    if (from !== coveredTo || to <= from) {
       return false;
     }
-    reached = to;
+    coveredTo = to;
   }
-  return reached === layerCount;
+  return coveredTo === layerCount;
 }
 
-/** Whether some of the ranges, sorted by their start, form a chain over all layers. */
-export function hasChain(
+/** Whether a subset of the ranges, sorted by their start, covers all layers without gap or overlap. */
+export function hasLayerChain(
   ranges: readonly LayerRange[],
   layerCount: number,
 ): boolean {
-  const reached = new Set([0]);
+  const reachable = new Set([0]);
   for (const {from, to} of ranges) {
-    if (reached.has(from) && to > from) {
-      reached.add(to);
+    if (reachable.has(from) && to > from) {
+      reachable.add(to);
     }
   }
-  return layerCount > 0 && reached.has(layerCount);
+  return layerCount > 0 && reachable.has(layerCount);
 }
 
 /**
- * Ranges for engines in order; those held are kept if they cover the layers, else each engine gets
- * layers in proportion to its speed. Undefined if the engines can't hold the model.
+ * Returns one range per engine, in order. Keeps the present ranges if they cover the layers without overlap; otherwise
+ * gives each engine layers in proportion to its speed. Undefined if the engines can't hold the model.
  */
 export function splitLayers(
   reports: readonly EngineReport[],
   layerCount: number,
 ): readonly LayerRange[] | undefined {
   const held = reports.map(report => report.layers);
-  if (coversOnce(held, layerCount)) {
+  if (partitionsLayers(held, layerCount)) {
     return held;
   }
   if (reports.length === 0 || reports.length > layerCount) {
     return undefined;
   }
-  const counts = countsBySpeed(reports, layerCount);
+  const counts = layerCountsBySpeed(reports, layerCount);
   return counts && toRanges(counts);
 }
 
-/** Gives layer after layer to the engine that would be done with one more the soonest. */
-function countsBySpeed(
+/** Assigns layers one by one, each to the engine that would have the shortest step time with it. */
+function layerCountsBySpeed(
   reports: readonly EngineReport[],
   layerCount: number,
 ): readonly number[] | undefined {
   const counts = reports.map(() => 1);
-  for (let given = reports.length; given < layerCount; given++) {
-    const next = soonestDone(reports, counts);
+  for (let assigned = reports.length; assigned < layerCount; assigned++) {
+    const next = engineForNextLayer(reports, counts);
     if (next === undefined) {
       return undefined;
     }
@@ -75,17 +75,20 @@
   return counts;
 }
 
-function soonestDone(
+function engineForNextLayer(
   reports: readonly EngineReport[],
   counts: readonly number[],
 ): number | undefined {
   let found: number | undefined;
-  let least = Infinity;
+  let leastMilliseconds = Infinity;
   reports.forEach((report, index) => {
-    const wanted = counts[index]! + 1;
-    const time = wanted * millisecondsPerLayer(report);
-    if (wanted <= GROWTH_LIMIT * layersOf(report) && time < least) {
-      least = time;
+    const newCount = counts[index]! + 1;
+    const stepMilliseconds = newCount * millisecondsPerLayer(report);
+    if (
+      newCount <= MAX_LAYER_GROWTH * layerCountOf(report) &&
+      stepMilliseconds < leastMilliseconds
+    ) {
+      leastMilliseconds = stepMilliseconds;
       found = index;
     }
   });
@@ -93,10 +96,10 @@
 }
 
 function millisecondsPerLayer(report: EngineReport): number {
-  return Math.max(report.decodeMilliseconds, 0.001) / layersOf(report);
+  return Math.max(report.decodeMilliseconds, 0.001) / layerCountOf(report);
 }
 
-function layersOf({layers}: EngineReport): number {
+function layerCountOf({layers}: EngineReport): number {
   return Math.max(1, layers.to - layers.from);
 }
 
--- a/src/features/placement/common/leaseChart.ts
+++ b/src/features/placement/common/leaseChart.ts
@@ -4,12 +4,12 @@
 } from '../../../infrastructure/stateChart/common/stateChart.js';
 import chartDefinition from './lease.chart.json' with {type: 'json'};
 
-/** The life cycle of a lease, from its file. */
+/** The state chart of a lease, as its JSON file defines it. */
 
 /** States of a lease as one process sees it. */
 export type LeaseState = 'idle' | 'acquiring' | 'held' | 'uncertain' | 'lost';
 
-/** What happens to a lease. */
+/** Events that change a lease's state. */
 export type LeaseEvent =
   | 'observed'
   | 'takeable'
@@ -22,7 +22,7 @@
   | 'expired'
   | 'released';
 
-/** What the life cycle asks to be done. */
+/** Actions that the chart requests on a transition. */
 export type LeaseAction =
   | 'readRow'
   | 'writeTaking'
@@ -34,7 +34,7 @@
   | 'announceLost'
   | 'forget';
 
-/** The chart that `TableLease` follows. */
+/** The chart that `TableLease` interprets. */
 export const leaseChart = new StateChart<LeaseState, LeaseEvent, LeaseAction>(
   chartDefinition as ChartDefinition,
 );
--- a/src/features/placement/common/leaseObserver.ts
+++ b/src/features/placement/common/leaseObserver.ts
@@ -2,34 +2,37 @@
 import {TableRow} from '../../../infrastructure/table/common/tableService.js';
 import {LeaseRecord, readLeaseRecord} from './leaseRecord.js';
 
-/** A row as it was seen. */
+/** A lease row as this process last read it. */
 export interface ObservedLease {
   readonly version: number;
   readonly record: LeaseRecord;
-  /** Monotonic milliseconds at which the version was first seen, after the answer. */
+  /** Monotonic milliseconds at which the first answer with this version arrived. */
   readonly since: number;
 }
 
-/** Whether a holder that wrote its row before a monotonic time has surely ended, so that it can't act any more. */
-export type HolderCheck = (holder: string, writtenBefore: number) => boolean;
+/** Whether a holder that wrote its row before a monotonic time is known to have ended and so can no longer act. */
+export type HolderEndedCheck = (
+  holder: string,
+  writtenBefore: number,
+) => boolean;
 
-/** Watches a lease of others and knows when it may be taken. */
+/** Observes a lease of other processes and determines when it may be acquired. */
 export class LeaseObserver {
   private seen: ObservedLease | undefined;
 
   constructor(
     private readonly clock: Clock,
     private readonly durationMilliseconds: number,
-    private readonly hasEnded: HolderCheck,
+    private readonly hasEnded: HolderEndedCheck,
   ) {}
 
-  /** The row as it was seen last; undefined when there is none. */
+  /** The row as last read; undefined if there is none. */
   get observed(): ObservedLease | undefined {
     return this.seen;
   }
 
-  /** Takes a row that was just read. */
-  note(row: TableRow | undefined): void {
+  /** Records a row that was just read. */
+  recordRow(row: TableRow | undefined): void {
     const record = readLeaseRecord(row);
     if (row === undefined || record === undefined) {
       this.seen = undefined;
@@ -39,8 +42,8 @@
     }
   }
 
-  /** Whether there is no row, its holder gave it up or has ended, or it stayed the same for a whole duration. */
-  get isTakeable(): boolean {
+  /** Whether there is no row, its holder released it or has ended, or it stayed unchanged for a whole duration. */
+  get isAvailable(): boolean {
     const {seen} = this;
     if (seen === undefined || seen.record.released) {
       return true;
@@ -52,7 +55,7 @@
     return unchanged >= this.durationMilliseconds;
   }
 
-  /** Begins anew: what was seen before counts for nothing. */
+  /** Discards earlier observations. */
   forget(): void {
     this.seen = undefined;
   }
--- a/src/features/placement/common/leaseRecord.ts
+++ b/src/features/placement/common/leaseRecord.ts
@@ -2,15 +2,15 @@
 
 import {TableRow} from '../../../infrastructure/table/common/tableService.js';
 
-/** The row of a lease. */
+/** The stored form of a lease. */
 
-/** What the row holds; every taking grows the fencing number, every write has its own nonce. */
+/** Value of a lease's row. Each acquisition raises the fencing number, and each write has a nonce of its own. */
 export interface LeaseRecord {
   /** Incarnation of the process that holds the lease. */
   readonly holder: string;
   readonly fencing: number;
   readonly nonce: string;
-  /** Given up by its holder: the next may take it at once. */
+  /** Whether the holder released the lease, so that another process may acquire it at once. */
   readonly released: boolean;
 }
 
@@ -21,14 +21,14 @@
   released: zod.boolean(),
 });
 
-/** Reads a row; undefined when there is none. Throws on a row that this feature did not write. */
+/** Parses a row; undefined if there is none. Throws if the row doesn't hold a lease record. */
 export function readLeaseRecord(
   row: TableRow | undefined,
 ): LeaseRecord | undefined {
   return row === undefined ? undefined : schema.parse(JSON.parse(row.value));
 }
 
-/** Whether two records come from the same write. */
+/** Whether two records were written by the same write. */
 export function isSameWrite(
   left: LeaseRecord | undefined,
   right: LeaseRecord | undefined,
@@ -41,8 +41,8 @@
   );
 }
 
-/** Whether the row still names the taking that is held, whatever its nonce. */
-export function isHeldStill(
+/** Whether the record still belongs to the held acquisition, whatever its nonce. */
+export function isStillHeld(
   record: LeaseRecord | undefined,
   held: LeaseRecord | undefined,
 ): boolean {
--- a/src/features/placement/common/leaseRow.ts
+++ b/src/features/placement/common/leaseRow.ts
@@ -10,16 +10,16 @@
 import {withDeadline} from '../../configuration/common/callDeadline.js';
 import {LeaseRecord} from './leaseRecord.js';
 
-/** How a write of the row ended. */
-export type RowOutcome =
+/** Outcome of writing the row. */
+export type RowWriteOutcome =
   | {readonly kind: 'written'; readonly version: number}
   | {readonly kind: 'conflict'; readonly row: TableRow | undefined}
-  /** It may have taken effect, or may yet. */
+  /** The write may have taken effect or may still do so. */
   | {readonly kind: 'answerLost'}
-  /** It surely has no effect. */
+  /** The write has no effect. */
   | {readonly kind: 'failed'};
 
-/** Reads and writes the row of a lease, each within a time limit. */
+/** Reads and writes the row of a lease. Each call has a time limit. */
 export class LeaseRow {
   constructor(
     private readonly key: string,
@@ -31,7 +31,7 @@
   async read(
     token: CancellationToken,
   ): Promise<Result<TableRow | undefined, StorageError>> {
-    const rows = await this.bounded(token, call =>
+    const rows = await this.withTimeLimit(token, call =>
       this.table.read([this.key], call),
     );
     return rows.ok ? success(rows.value[0]) : rows;
@@ -41,10 +41,10 @@
     record: LeaseRecord,
     condition: RowCondition,
     token: CancellationToken,
-  ): Promise<RowOutcome> {
+  ): Promise<RowWriteOutcome> {
     const value = JSON.stringify(record);
     const writes = [{key: this.key, value, condition}];
-    const result = await this.bounded(token, call =>
+    const result = await this.withTimeLimit(token, call =>
       this.table.transact(writes, 'all', call),
     );
     if (!result.ok) {
@@ -57,7 +57,7 @@
       : {kind: 'conflict', row: outcome?.current};
   }
 
-  private bounded<T>(
+  private withTimeLimit<T>(
     token: CancellationToken,
     call: (token: CancellationToken) => Promise<T>,
   ): Promise<T> {
@@ -65,8 +65,8 @@
   }
 }
 
-/** Whether a row would meet the condition of a write. */
-export function meets(
+/** Whether a row satisfies the condition of a write. */
+export function satisfiesCondition(
   row: TableRow | undefined,
   condition: RowCondition,
 ): boolean {
--- a/src/features/placement/common/leaseSettings.ts
+++ b/src/features/placement/common/leaseSettings.ts
@@ -1,18 +1,18 @@
-/** Times of a lease in milliseconds. */
+/** Times and behaviour of a lease. */
 export interface LeaseSettings {
   readonly durationMilliseconds: number;
-  /** Kept free before the expiry, for clocks that run at different speeds. */
+  /** Time before the expiry in which the lease isn't used, because clocks may run at different speeds. */
   readonly marginMilliseconds: number;
-  /** Longest time of one call to the table. */
+  /** Time limit of one call to the table. */
   readonly callMilliseconds: number;
   /**
-   * Whether a holder whose renewal failed acts on until the end of what was confirmed, for which all others
-   * wait. Otherwise it stands still until its next call is confirmed.
+   * Whether a holder whose renewal failed keeps acting until its last confirmed write expires, which all other
+   * processes wait for. Otherwise it stops acting until a call is confirmed again.
    */
   readonly actsUnrenewed: boolean;
 }
 
-/** One call every 8 s per instance keeps 370 instances under 50 reads a second. */
+/** Defaults. One call every 8 s per instance keeps 370 instances below 50 reads per second. */
 export const defaultLeaseSettings: LeaseSettings = {
   durationMilliseconds: 30_000,
   marginMilliseconds: 3_000,
--- a/src/features/placement/common/manifestCache.ts
+++ b/src/features/placement/common/manifestCache.ts
@@ -8,11 +8,11 @@
 import {Model} from '../../configuration/common/configuration.js';
 import {manifestKey, Manifests} from './placementView.js';
 
-const CALL_MILLISECONDS = 2_000;
-/** A version that the weight store does not have yet is asked for again after so long. */
-const RETRY_MILLISECONDS = 10_000;
+const CALL_TIMEOUT_MILLISECONDS = 2_000;
+/** Delay before the weight store is asked again for a manifest that it didn't return. */
+const RETRY_DELAY_MILLISECONDS = 10_000;
 
-/** Manifests of the configured versions; a version's weights don't change, so each is read once. */
+/** Caches the manifests of the configured versions. A version's weights never change, so each is read once. */
 export class ManifestCache {
   private readonly found = new Map<string, WeightManifest>();
   private readonly askedAt = new Map<string, number>();
@@ -26,12 +26,12 @@
     return this.found;
   }
 
-  /** Reads what is missing and forgets what is no longer configured. */
+  /** Reads missing manifests and removes those of versions that are no longer configured. */
   async refresh(
     models: readonly Model[],
     token: CancellationToken,
   ): Promise<void> {
-    this.retain(models);
+    this.removeUnconfigured(models);
     await Promise.all(models.map(model => this.ask(model, token)));
   }
 
@@ -42,14 +42,14 @@
     const key = manifestKey(name, version);
     const now = this.clock.monotonicMilliseconds();
     const askedAt = this.askedAt.get(key) ?? -Infinity;
-    if (this.found.has(key) || now - askedAt < RETRY_MILLISECONDS) {
+    if (this.found.has(key) || now - askedAt < RETRY_DELAY_MILLISECONDS) {
       return;
     }
     this.askedAt.set(key, now);
     const answer = await withDeadline(
       this.clock,
       token,
-      CALL_MILLISECONDS,
+      CALL_TIMEOUT_MILLISECONDS,
       call => this.store.manifest(name, version, call),
     );
     if (answer.ok && answer.value !== undefined) {
@@ -57,7 +57,7 @@
     }
   }
 
-  private retain(models: readonly Model[]): void {
+  private removeUnconfigured(models: readonly Model[]): void {
     const wanted = new Set(
       models.map(({name, version}) => manifestKey(name, version)),
     );
--- a/src/features/placement/common/modelNeeds.ts
+++ b/src/features/placement/common/modelNeeds.ts
@@ -2,32 +2,32 @@
 import {Demand, PlacementView} from './placementView.js';
 import {ReplicaState} from './replicaState.js';
 
-/** How much each model needs and has in one data centre, in sequences at once. */
+/** Needed and available capacity of each model in one data centre, in concurrent sequences. */
 
-/** Need and supply of one model. */
+/** Needed and available capacity of one model. */
 export interface ModelNeed {
   readonly model: string;
-  /** Sequences at once that the targets and the observed load call for. */
+  /** Concurrent sequences that the targets and the observed load require. */
   readonly needed: number;
-  /** Sequences that live replicas hold at once. */
+  /** Concurrent sequences that live replicas can hold. */
   readonly capacity: number;
-  /** Sequences that it holds at once when the changes in progress have ended. */
+  /** Capacity once the changes in progress have ended. */
   readonly planned: number;
   /** Sequences resident or queued now. */
   readonly occupied: number;
-  /** Replicas that serve now. */
+  /** Replicas that serve the model now. */
   readonly live: number;
-  /** Replicas that serve, are emptied or load for it. */
+  /** Replicas that serve the model, or drain or load for it. */
   readonly replicas: number;
 }
 
-/** Reply length taken to size targets; a reply's length is no target. */
+/** Assumed reply length for sizing, because targets don't state one. */
 const TYPICAL_OUTPUT_TOKENS = 64;
-/** Observed load is met with so much room, as load below it is served without waiting. */
-const HEADROOM = 1.25;
+/** Ratio of needed capacity to observed load, so that requests don't queue at the observed load. */
+const LOAD_HEADROOM = 1.25;
 
-/** Works out the needs of all configured models. */
-export function needsOf(
+/** Computes the needs of all configured models. */
+export function computeNeeds(
   view: PlacementView,
   states: readonly ReplicaState[],
   demand: Demand,
@@ -35,49 +35,52 @@
   const names = Object.keys(view.models).sort();
   const targeted = targetedSequences(view);
   const needs = names.map(model => {
-    const own = states.filter(state => belongsTo(state, model));
-    const live = own.filter(state => state.kind === 'live');
-    const observed = (demand.sequences.get(model) ?? 0) * HEADROOM;
+    const modelReplicas = states.filter(state => countsForModel(state, model));
+    const live = modelReplicas.filter(state => state.kind === 'live');
+    const observed = (demand.sequences.get(model) ?? 0) * LOAD_HEADROOM;
     const share = shareOfTargets(model, names, demand);
     return {
       model,
       needed: Math.max(targeted * share, observed),
-      capacity: total(live, state => state.sequences),
-      planned: total(own, state => state.sequences),
-      occupied: total(own, state => state.occupied),
+      capacity: sumOf(live, state => state.sequences),
+      planned: sumOf(modelReplicas, state => state.sequences),
+      occupied: sumOf(modelReplicas, state => state.occupied),
       live: live.length,
-      replicas: own.length,
+      replicas: modelReplicas.length,
     };
   });
   return new Map(needs.map(need => [need.model, need]));
 }
 
-/** Whether a replica serves a model or is about to. */
-export function belongsTo(state: ReplicaState, model: string): boolean {
+/** Whether a replica counts for a model: it serves the model or is being changed to do so. */
+export function countsForModel(state: ReplicaState, model: string): boolean {
   const {kind, view} = state;
   if (kind === 'live' || kind === 'unknown') {
     return state.model === model;
   }
   const isChanging = kind === 'draining' || kind === 'loading';
-  return isChanging && (view.intent?.model ?? state.model) === model;
+  return isChanging && (view.intendedVersion?.model ?? state.model) === model;
 }
 
-/** Sequences at once by which this data centre meets its share of the classes' targets. */
+/** Concurrent sequences that this data centre's share of the classes' targets requires. */
 function targetedSequences(view: PlacementView): number {
   const classes = Object.values(view.classes);
-  return total(classes, sequencesOfClass) * view.share;
+  return sumOf(classes, sequencesOfClass) * view.share;
 }
 
-/** Rate times the longest time that a request on target takes (Little's law). */
+/** Request rate times the longest time of a request within its targets (Little's law). */
 function sequencesOfClass(classOfWork: ClassOfWork): number {
   const {firstTokenMilliseconds, betweenTokensMilliseconds} = classOfWork;
-  const longest =
+  const longestMilliseconds =
     firstTokenMilliseconds + TYPICAL_OUTPUT_TOKENS * betweenTokensMilliseconds;
-  const held = Math.min(longest, classOfWork.deadlineMilliseconds);
-  return (classOfWork.requestsPerSecond * held) / 1000;
+  const heldMilliseconds = Math.min(
+    longestMilliseconds,
+    classOfWork.deadlineMilliseconds,
+  );
+  return (classOfWork.requestsPerSecond * heldMilliseconds) / 1000;
 }
 
-/** Classes name no model: their targets are divided by observed load, evenly where there is none. */
+/** A model's share of the targets. Classes name no model, so observed load divides targets, evenly if there is none. */
 function shareOfTargets(
   model: string,
   names: readonly string[],
@@ -85,9 +88,9 @@
 ): number {
   const weight = (name: string): number =>
     1 + (demand.sequences.get(name) ?? 0);
-  return weight(model) / total(names, weight);
+  return weight(model) / sumOf(names, weight);
 }
 
-function total<T>(items: readonly T[], figure: (item: T) => number): number {
-  return items.reduce((sum, item) => sum + figure(item), 0);
+function sumOf<T>(items: readonly T[], valueOf: (item: T) => number): number {
+  return items.reduce((sum, item) => sum + valueOf(item), 0);
 }
--- a/src/features/placement/common/orderSender.ts
+++ b/src/features/placement/common/orderSender.ts
@@ -9,16 +9,16 @@
 import {EngineTarget} from './placementPlan.js';
 import {TableLease} from './tableLease.js';
 
-/** Longest time of one order; the lease must last for longer when it is sent. */
-export const ORDER_MILLISECONDS = 3_000;
+/** Time limit of one order. An order is sent only if the lease lasts longer than this. */
+export const ORDER_TIMEOUT_MILLISECONDS = 3_000;
 
-/** An order as it was sent. */
+/** The engine and the number of a sent order. */
 export interface SentOrder {
   readonly upstream: string;
   readonly order: number;
 }
 
-/** How the orders of one change went. */
+/** Outcome of sending the orders of one change. */
 export type SendOutcome =
   | {readonly kind: 'sent'; readonly orders: readonly SentOrder[]}
   | {
@@ -27,10 +27,10 @@
       readonly upstream: string;
       readonly error: EngineError;
     }
-  /** The lease did not last for one more order: the rest was not sent. */
+  /** The lease would expire during the next order, so the rest wasn't sent. */
   | {readonly kind: 'leaseEnds'; readonly orders: readonly SentOrder[]};
 
-/** Sends orders under a lease, which is checked right before each. */
+/** Sends orders under a lease and checks the lease immediately before each order. */
 export class OrderSender {
   private lastOrder = 0;
 
@@ -41,7 +41,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Sends one desired state after the other; stops at the first that fails. */
+  /** Sends the desired states in order and stops at the first failure. */
   async send(
     targets: readonly EngineTarget[],
     token: CancellationToken,
@@ -50,7 +50,10 @@
     for (const {member, desired} of targets) {
       const connection = this.connector.connect(member.id, member.address);
       const {fencing} = this.lease;
-      if (fencing === undefined || !this.lease.permits(ORDER_MILLISECONDS)) {
+      if (
+        fencing === undefined ||
+        !this.lease.permits(ORDER_TIMEOUT_MILLISECONDS)
+      ) {
         return {kind: 'leaseEnds', orders};
       }
       this.lastOrder += 1;
@@ -59,12 +62,12 @@
       const result = await withDeadline(
         this.clock,
         token,
-        ORDER_MILLISECONDS,
+        ORDER_TIMEOUT_MILLISECONDS,
         call => connection.order({...desired, fencing, order}, call),
       );
-      this.watch.noteOrder(member.id);
+      this.watch.recordOrder(member.id);
       if (!result.ok) {
-        await this.noteStale(result.error, token);
+        await this.handleStaleFencing(result.error, token);
         const {error} = result;
         return {kind: 'failed', orders, upstream: member.id, error};
       }
@@ -72,7 +75,7 @@
     return {kind: 'sent', orders};
   }
 
-  private async noteStale(
+  private async handleStaleFencing(
     error: EngineError,
     token: CancellationToken,
   ): Promise<void> {
--- a/src/features/placement/common/placementCandidates.ts
+++ b/src/features/placement/common/placementCandidates.ts
@@ -14,64 +14,68 @@
   gainOfSequences,
   gainOfVersion,
   isWorthwhile,
-  Worth,
-} from './placementWorth.js';
+  ChangeValue,
+} from './changeValue.js';
 import {ReplicaState} from './replicaState.js';
 
-/** Finds for one replica the change that is worth most. */
+/** Finds the change of one replica with the highest net gain. */
 
-/** A change that is worth making. */
-export interface Candidate extends Worth {
+/** A possible change whose gain exceeds its cost. */
+export interface Candidate extends ChangeValue {
   readonly state: ReplicaState;
   readonly model: Model;
   readonly reason: ChangeReason;
   readonly targets: readonly EngineTarget[];
 }
 
-/** What candidates are judged by. */
+/** Data that changes are evaluated with. */
 export interface CandidateInput {
   readonly view: PlacementView;
   readonly needs: ReadonlyMap<string, ModelNeed>;
   readonly manifests: Manifests;
   readonly now: number;
-  /** Whether load was observed for long enough to move replicas for it. */
-  readonly knowsLoad: boolean;
+  /** Whether load was observed for long enough to move replicas because of it. */
+  readonly isLoadKnown: boolean;
 }
 
-/** Engines that can't be reached come back often: a replica is given other layers only after so long. */
-const INCOMPLETE_MILLISECONDS = 120_000;
+/** Unreachable engines often come back, so layers move to the other engines of the replica only after this time. */
+const INCOMPLETE_GRACE_MILLISECONDS = 120_000;
 
-/** Sequence-seconds below which a gain is nothing but rounding. */
-const LEAST_GAIN = 1;
+/** Gain in sequence-seconds below which the difference is only a rounding error. */
+const MIN_GAIN = 1;
 
-/** The best change of a replica, or what stands against the one that is wanted. */
+/** Returns the best change of a replica, else the cause that holds a wanted change back, if there is one. */
 export function candidateFor(
   state: ReplicaState,
   input: CandidateInput,
 ): Candidate | HeldBack | undefined {
-  const options = wantsOf(state, input).map(want => judge(state, want, input));
+  const options = wantedChangesOf(state, input).map(wanted =>
+    evaluate(state, wanted, input),
+  );
   const candidates = options.filter(isCandidate);
-  const best = candidates.reduce<Candidate | undefined>(
-    (found, one) =>
-      found === undefined || netOf(one) > netOf(found) ? one : found,
+  const bestCandidate = candidates.reduce<Candidate | undefined>(
+    (best, candidate) =>
+      best === undefined || netGainOf(candidate) > netGainOf(best)
+        ? candidate
+        : best,
     undefined,
   );
-  return best ?? options.find(option => !isCandidate(option));
+  return bestCandidate ?? options.find(option => !isCandidate(option));
 }
 
-/** Whether a judgement came to a change. */
+/** Whether an evaluated change may be made. */
 export function isCandidate(
   option: Candidate | HeldBack | undefined,
 ): option is Candidate {
   return option !== undefined && 'targets' in option;
 }
 
-/** Gain less cost. */
-export function netOf({gain, cost}: Worth): number {
+/** Gain minus cost. */
+export function netGainOf({gain, cost}: ChangeValue): number {
   return gain - cost;
 }
 
-/** The state that the engines of a replica have when they serve a model; undefined if they can't hold it. */
+/** The desired states with which a replica's engines serve a model; undefined if they can't hold it. */
 export function servingTargets(
   state: ReplicaState,
   model: Model,
@@ -91,25 +95,31 @@
   });
 }
 
-interface Want {
+interface WantedChange {
   readonly model: Model;
   readonly reason: ChangeReason;
   readonly gain: number;
 }
 
-function wantsOf(state: ReplicaState, input: CandidateInput): readonly Want[] {
+function wantedChangesOf(
+  state: ReplicaState,
+  input: CandidateInput,
+): readonly WantedChange[] {
   const {models} = input.view;
   const own = state.model === undefined ? undefined : models[state.model];
   switch (state.kind) {
     case 'live':
       return own === undefined
-        ? anyModel(state, input, 'notConfigured')
-        : [...ownWants(state, own), ...moves(state, own, input)];
+        ? changesToAnyModel(state, input, 'notConfigured')
+        : [
+            ...configurationChanges(state, own),
+            ...movesToOtherModels(state, own, input),
+          ];
     case 'draining':
-      return intended(state, own, input);
+      return intendedChange(state, own, input);
     case 'incomplete':
-      return isGivenUp(state, input.now)
-        ? anyModel(state, input, 'incomplete')
+      return isRepairDue(state, input.now)
+        ? changesToAnyModel(state, input, 'incomplete')
         : [];
     case 'loading':
     case 'unknown':
@@ -117,8 +127,11 @@
   }
 }
 
-/** What the stated model itself asks of a replica that serves it. */
-function ownWants(state: ReplicaState, model: Model): readonly Want[] {
+/** Changes that bring a replica in line with the configuration of the model that it serves. */
+function configurationChanges(
+  state: ReplicaState,
+  model: Model,
+): readonly WantedChange[] {
   const {sequences} = state;
   if (state.version !== model.version) {
     return [{model, reason: 'version', gain: gainOfVersion(sequences)}];
@@ -131,14 +144,14 @@
     : [{model, reason: 'idleStage', gain: gainOfEvenLayers(sequences)}];
 }
 
-/** Other models that need the replica more. */
-function moves(
+/** Moves of a replica to models that need it more. */
+function movesToOtherModels(
   state: ReplicaState,
   own: Model,
   input: CandidateInput,
-): readonly Want[] {
+): readonly WantedChange[] {
   const donor = input.needs.get(own.name);
-  if (donor === undefined || !input.knowsLoad) {
+  if (donor === undefined || !input.isLoadKnown) {
     return [];
   }
   const loss = gainOfSequences(donor, -state.sequences);
@@ -149,31 +162,33 @@
       const gain = gainOfSequences(need, state.sequences) + loss;
       return {model, reason: 'load' as const, gain};
     })
-    .filter(({gain}) => gain >= LEAST_GAIN);
+    .filter(({gain}) => gain >= MIN_GAIN);
 }
 
-/** What an emptied replica was emptied for; without that knowledge, what its model is stated to be. */
-function intended(
+/** The change that a replica was drained for; if unknown, the change to its model's configuration. */
+function intendedChange(
   state: ReplicaState,
   own: Model | undefined,
   input: CandidateInput,
-): readonly Want[] {
-  const {intent} = state.view;
-  const model = intent ? input.view.models[intent.model] : undefined;
-  if (model !== undefined && model.version === intent?.version) {
+): readonly WantedChange[] {
+  const {intendedVersion} = state.view;
+  const model = intendedVersion
+    ? input.view.models[intendedVersion.model]
+    : undefined;
+  if (model !== undefined && model.version === intendedVersion?.version) {
     const reason = model.name === state.model ? 'version' : 'load';
     return [{model, reason, gain: gainOfVersion(state.sequences)}];
   }
   return own === undefined
-    ? anyModel(state, input, 'notConfigured')
-    : ownWants(state, own);
+    ? changesToAnyModel(state, input, 'notConfigured')
+    : configurationChanges(state, own);
 }
 
-function anyModel(
+function changesToAnyModel(
   state: ReplicaState,
   input: CandidateInput,
   reason: ChangeReason,
-): readonly Want[] {
+): readonly WantedChange[] {
   return Object.values(input.view.models).map(model => {
     const need = input.needs.get(model.name)!;
     const own = model.name === state.model ? 1 : 0;
@@ -182,16 +197,16 @@
   });
 }
 
-/** Whether engines that are out of reach have been so for long; half-done orders are mended at once. */
-function isGivenUp({view, engines}: ReplicaState, now: number): boolean {
+/** Whether to repair an incomplete replica: at once if all its engines are usable, else after a wait for the others. */
+function isRepairDue({view, engines}: ReplicaState, now: number): boolean {
   const isWhole = engines.length === view.engines.length;
   const since = view.incompleteSince ?? now;
-  return isWhole || now - since >= INCOMPLETE_MILLISECONDS;
+  return isWhole || now - since >= INCOMPLETE_GRACE_MILLISECONDS;
 }
 
-function judge(
+function evaluate(
   state: ReplicaState,
-  {model, reason, gain}: Want,
+  {model, reason, gain}: WantedChange,
   input: CandidateInput,
 ): Candidate | HeldBack {
   const to = {model: model.name, version: model.version};
--- a/src/features/placement/common/placementChanges.ts
+++ b/src/features/placement/common/placementChanges.ts
@@ -2,18 +2,18 @@
 import {EngineTarget, PlacementChange} from './placementPlan.js';
 import {ReplicaState} from './replicaState.js';
 
-/** What an engine goes on holding while it takes no new work. */
+/** The desired state of a draining engine: what it holds now, without new work. */
 export function drainTarget({
   member,
   report,
 }: ReplicaState['engines'][number]): EngineTarget {
   const {model, version, adapters, layers} = report!;
-  // An engine of this role goes on with requests that it holds and takes no prompts.
+  // In this role an engine continues the requests that it holds and takes no prompts.
   const desired = {model, version, adapters, layers, role: 'decode'} as const;
   return {member, desired};
 }
 
-/** The change that carries a candidate out. */
+/** Creates the change that implements a candidate. */
 export function toChange(
   kind: PlacementChange['kind'],
   candidate: Candidate,
--- a/src/features/placement/common/placementController.ts
+++ b/src/features/placement/common/placementController.ts
@@ -12,17 +12,21 @@
 import {WeightStore} from '../../../infrastructure/weights/common/weightStore.js';
 import {RepeatingTask} from '../../membership/common/repeatingTask.js';
 import {SystemView} from '../../membership/common/systemView.js';
-import {ORDER_MILLISECONDS, OrderSender, SendOutcome} from './orderSender.js';
+import {
+  ORDER_TIMEOUT_MILLISECONDS,
+  OrderSender,
+  SendOutcome,
+} from './orderSender.js';
 import {PlacementLog} from './placementLog.js';
 import {PlacementChange} from './placementPlan.js';
-import {PlacementSurvey} from './placementSurvey.js';
+import {PlacementPlanner} from './placementPlanner.js';
 import {defaultLeaseSettings} from './leaseSettings.js';
 import {TableLease} from './tableLease.js';
 
-/** What placement of one data centre works with. */
-export interface PlacementParts {
+/** Collaborators of the placement of one data centre. */
+export interface PlacementOptions {
   readonly dataCentre: string;
-  /** Names this process in the lease. */
+  /** Identifies this process as the holder of the lease. */
   readonly incarnation: string;
   readonly view: () => SystemView;
   readonly table: TableService;
@@ -36,135 +40,139 @@
 }
 
 const LEASE_KEY_PREFIX = 'placement/lease/';
-const LEASE_STEPS = 4;
-const ROUND_MILLISECONDS = 1_000;
-/** A replica is left alone for so long after an order failed, or was refused. */
-const FAILED_MILLISECONDS = 10_000;
-const REFUSED_MILLISECONDS = 60_000;
+const LEASE_STEPS_PER_DURATION = 4;
+const ROUND_INTERVAL_MILLISECONDS = 1_000;
+/** Time for which a replica isn't changed after an order failed, or was refused. */
+const FAILED_BACKOFF_MILLISECONDS = 10_000;
+const REFUSED_BACKOFF_MILLISECONDS = 60_000;
 
-/** Holds the lease of one data centre's placement if it can, and carries the decisions out. */
+/** Competes for the placement lease of one data centre and, while it holds the lease, plans and sends orders. */
 export class PlacementController extends DisposableOwner {
   private readonly lease: TableLease;
-  private readonly survey: PlacementSurvey;
-  private readonly sender: OrderSender;
+  private readonly planner: PlacementPlanner;
+  private readonly orderSender: OrderSender;
   private readonly log: PlacementLog;
   private readonly tasks: readonly RepeatingTask[];
-  private leaseCalls: Promise<void> = Promise.resolve();
+  private pendingLeaseCalls: Promise<void> = Promise.resolve();
   private isStopped = false;
 
-  constructor(private readonly parts: PlacementParts) {
+  constructor(private readonly options: PlacementOptions) {
     super();
-    const {dataCentre, incarnation, clock, connector} = parts;
-    const {logger, metrics, table, weights, nonce} = parts;
+    const {dataCentre, incarnation, clock, connector} = options;
+    const {logger, metrics, table, weights, nonce} = options;
     const key = `${LEASE_KEY_PREFIX}${dataCentre}`;
     this.lease = this.register(
       new TableLease(key, incarnation, table, clock, nonce),
     );
-    this.survey = new PlacementSurvey(dataCentre, connector, weights, clock);
-    const {watch} = this.survey;
-    this.sender = new OrderSender(this.lease, connector, watch, clock);
+    this.planner = new PlacementPlanner(dataCentre, connector, weights, clock);
+    const {watch} = this.planner;
+    this.orderSender = new OrderSender(this.lease, connector, watch, clock);
     this.log = new PlacementLog(dataCentre, logger, metrics);
     this.register(
       this.lease.onDidChange(state =>
-        this.log.lease(state, this.lease.fencing),
+        this.log.logLease(state, this.lease.fencing),
       ),
     );
     const {durationMilliseconds} = defaultLeaseSettings;
     this.tasks = [
-      this.task(durationMilliseconds / LEASE_STEPS, token =>
+      this.createTask(durationMilliseconds / LEASE_STEPS_PER_DURATION, token =>
         this.advanceLease(token),
       ),
-      this.task(ROUND_MILLISECONDS, token => this.round(token)),
+      this.createTask(ROUND_INTERVAL_MILLISECONDS, token =>
+        this.runRound(token),
+      ),
     ];
   }
 
-  /** Begins to compete for the lease. */
+  /** Starts competing for the lease. */
   start(): void {
     for (const task of this.tasks) {
       task.runNow();
     }
   }
 
-  /** Sends nothing more and gives the lease up. */
+  /** Stops sending orders and releases the lease. */
   async stop(): Promise<void> {
     this.isStopped = true;
     this.dispose();
-    await this.leaseCalls;
+    await this.pendingLeaseCalls;
     await this.lease.release(neverCancelled);
   }
 
-  private task(
+  private createTask(
     milliseconds: number,
     run: (token: CancellationToken) => Promise<void>,
   ): RepeatingTask {
-    const {clock, random} = this.parts;
+    const {clock, random} = this.options;
     return this.register(
       new RepeatingTask(clock, random, () => milliseconds, run),
     );
   }
 
   private advanceLease(token: CancellationToken): Promise<void> {
-    const isServing = this.parts.view().standing.kind === 'serving';
+    const isServing = this.options.view().standing.kind === 'serving';
     if (isServing && !this.isStopped) {
-      this.leaseCalls = this.leaseCalls
+      this.pendingLeaseCalls = this.pendingLeaseCalls
         .then(() => this.lease.advance(token))
-        .catch((error: unknown) => this.log.unreadableLease(error));
+        .catch((error: unknown) => this.log.logUnreadableLease(error));
     }
-    return this.leaseCalls;
+    return this.pendingLeaseCalls;
   }
 
-  private async round(token: CancellationToken): Promise<void> {
+  private async runRound(token: CancellationToken): Promise<void> {
     if (this.lease.state === 'idle' || this.lease.state === 'lost') {
-      this.survey.forget();
+      this.planner.forget();
     }
-    if (!this.mayAct()) {
+    if (!this.canSendOrders()) {
       return;
     }
-    const system = this.parts.view();
-    await this.survey.refresh(system, token);
-    if (!this.survey.isDue(system)) {
+    const system = this.options.view();
+    await this.planner.refresh(system, token);
+    if (!this.planner.isDecisionDue(system)) {
       return;
     }
-    const plan = this.survey.decide(system);
-    this.log.heldBack(plan.heldBack);
+    const plan = this.planner.decide(system);
+    this.log.logHeldBack(plan.heldBack);
     for (const change of plan.changes) {
-      if (await this.survey.isStillPlanned(change, system, token)) {
-        await this.carryOut(change, token);
+      if (await this.planner.isStillPlanned(change, system, token)) {
+        await this.applyChange(change, token);
       }
     }
   }
 
-  /** Whether the lease is held for certain, the configuration confirmed, and this process stays. */
-  private mayAct(): boolean {
+  /** Whether the lease outlasts one order, the configuration is confirmed and this process isn't stopping. */
+  private canSendOrders(): boolean {
     return (
       !this.isStopped &&
-      this.lease.permits(ORDER_MILLISECONDS) &&
-      this.parts.view().standing.kind === 'serving'
+      this.lease.permits(ORDER_TIMEOUT_MILLISECONDS) &&
+      this.options.view().standing.kind === 'serving'
     );
   }
 
-  private async carryOut(
+  private async applyChange(
     change: PlacementChange,
     token: CancellationToken,
   ): Promise<void> {
     const {fencing} = this.lease;
-    if (!this.mayAct()) {
+    if (!this.canSendOrders()) {
       return;
     }
     if (change.kind !== 'restore') {
-      this.survey.memory.intend(change.group, change.to);
+      this.planner.replicaHistory.setIntendedVersion(change.group, change.to);
     }
-    const outcome = await this.sender.send(change.targets, token);
+    const outcome = await this.orderSender.send(change.targets, token);
     this.log.change(change, outcome, fencing);
-    this.barAfterFailure(change.group, outcome);
+    this.backOffAfterFailure(change.group, outcome);
   }
 
-  private barAfterFailure(group: string, outcome: SendOutcome): void {
+  private backOffAfterFailure(group: string, outcome: SendOutcome): void {
     if (outcome.kind === 'failed') {
       const isRefused = outcome.error.kind === 'refused';
-      const wait = isRefused ? REFUSED_MILLISECONDS : FAILED_MILLISECONDS;
-      const now = this.parts.clock.monotonicMilliseconds();
-      this.survey.memory.bar(group, now + wait);
+      const wait = isRefused
+        ? REFUSED_BACKOFF_MILLISECONDS
+        : FAILED_BACKOFF_MILLISECONDS;
+      const now = this.options.clock.monotonicMilliseconds();
+      this.planner.replicaHistory.setBackoff(group, now + wait);
     }
   }
 }
--- a/src/features/placement/common/placementLog.ts
+++ b/src/features/placement/common/placementLog.ts
@@ -4,7 +4,7 @@
 import {HeldBack, PlacementChange} from './placementPlan.js';
 import {LeaseState} from './leaseChart.js';
 
-/** Writes one line for each placement decision. */
+/** Writes a log line and counts a metric for placement decisions. */
 export class PlacementLog {
   private lastHeldBack = '';
 
@@ -14,21 +14,24 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** The lease was taken or lost. */
-  lease(state: LeaseState, fencing: number | undefined): void {
+  /** Logs that the lease was acquired or lost. */
+  logLease(state: LeaseState, fencing: number | undefined): void {
     const {dataCentre} = this;
     this.logger.decision('placementLease', {dataCentre, state, fencing});
     this.metrics.count('placement.lease', 1, {state});
   }
 
-  /** The row of the lease is not one that placement wrote: nothing is done until it is removed. */
-  unreadableLease(error: unknown): void {
+  /** Logs that the lease's row can't be parsed. Placement makes no changes until the row is removed. */
+  logUnreadableLease(error: unknown): void {
     const {dataCentre} = this;
     const detail = String(error);
-    this.logger.error('placement lease unreadable', {dataCentre, detail});
+    this.logger.error('placement lease row cannot be parsed', {
+      dataCentre,
+      detail,
+    });
   }
 
-  /** Orders of one change were sent, wholly or in part. */
+  /** Logs the orders of one change, of which all or only some were sent. */
   change(
     change: PlacementChange,
     outcome: SendOutcome,
@@ -52,8 +55,8 @@
     this.metrics.count('placement.change', 1, {kind, outcome: outcome.kind});
   }
 
-  /** Changes that are wanted and wait; written when what waits changes. */
-  heldBack(heldBack: readonly HeldBack[]): void {
+  /** Logs the changes held back, if their counts by target and cause differ from the last call. */
+  logHeldBack(heldBack: readonly HeldBack[]): void {
     const counts = new Map<string, number>();
     for (const {to, cause} of heldBack) {
       const name = `${to.model}/${to.version} ${cause}`;
--- a/src/features/placement/common/placementPlan.ts
+++ b/src/features/placement/common/placementPlan.ts
@@ -1,23 +1,23 @@
 import {EngineOrder} from '../../../infrastructure/engine/common/engineConnection.js';
 import {UpstreamMember} from '../../../infrastructure/membership/common/membershipList.js';
-import {Intent} from './placementView.js';
-import {Worth} from './placementWorth.js';
+import {ModelVersion} from './placementView.js';
+import {ChangeValue} from './changeValue.js';
 
-/** What a placement decision says. */
+/** Result of a placement decision. */
 
-/** The state that an engine shall have. */
+/** The state that an engine is ordered to reach. */
 export type DesiredState = Omit<EngineOrder, 'fencing' | 'order'>;
 
-/** An engine and the state it shall have. */
+/** An engine and its desired state. */
 export interface EngineTarget {
   readonly member: UpstreamMember;
   readonly desired: DesiredState;
 }
 
-/** `drain`: no new work; `load`: other weights, adapters or layers; `restore`: takes work again. */
+/** `drain` stops new work, `load` changes weights, adapters or layers, `restore` allows new work again. */
 export type ChangeKind = 'drain' | 'load' | 'restore';
 
-/** Why a replica is changed. */
+/** Reason for changing a replica. */
 export type ChangeReason =
   | 'version'
   | 'adapters'
@@ -28,20 +28,20 @@
   | 'noLongerWanted';
 
 /** A change of one replica. */
-export interface PlacementChange extends Worth {
+export interface PlacementChange extends ChangeValue {
   readonly kind: ChangeKind;
   readonly group: string;
   readonly reason: ChangeReason;
-  /** What it holds at present; undefined if its engines disagree. */
-  readonly from: Intent | undefined;
-  readonly to: Intent;
+  /** What the replica holds now; undefined if its engines disagree. */
+  readonly from: ModelVersion | undefined;
+  readonly to: ModelVersion;
   readonly targets: readonly EngineTarget[];
 }
 
-/** A change that was wanted and is held back, and why. */
+/** A wanted change that is held back, and its cause. */
 export interface HeldBack {
   readonly group: string;
-  readonly to: Intent;
+  readonly to: ModelVersion;
   readonly cause:
     | 'noManifest'
     | 'layerCountDiffers'
@@ -52,7 +52,7 @@
     | 'costsMoreThanGain';
 }
 
-/** The decision: changes to make now, in order, and those held back. */
+/** Changes to make now, in order, and changes held back. */
 export interface PlacementPlan {
   readonly changes: readonly PlacementChange[];
   readonly heldBack: readonly HeldBack[];
--- a/src/features/placement/common/placementSurvey.ts
+++ b/src/features/placement/common/placementPlanner.ts
@@ -11,28 +11,28 @@
 import {PlacementChange, PlacementPlan} from './placementPlan.js';
 import {ReplicaView} from './placementView.js';
 import {planPlacement} from './planPlacement.js';
-import {ReplicaMemory} from './replicaMemory.js';
+import {ReplicaHistory} from './replicaHistory.js';
 import {stateOf} from './replicaState.js';
 
-/** Engines at rest asked in each round: some 0.75 KB, whatever the size of the data centre. */
-const RESTING_POLLS = 1;
-/** Engines of replicas that change, asked in each round at most. */
-const CHANGING_POLLS = 16;
-/** Reports that a change rests on may be this old. */
-const FRESH_MILLISECONDS = 5_000;
-/** Time between decisions while nothing changes. */
-const RESTING_DECISION_MILLISECONDS = 5_000;
+/** Engines polled in each round in the background: about 0.75 KB, whatever the size of the data centre. */
+const BACKGROUND_POLLS_PER_ROUND = 1;
+/** Most engines of changing replicas that are polled in a round. */
+const MAX_CHANGING_POLLS_PER_ROUND = 16;
+/** Largest age of the reports that a change is based on. */
+const MAX_REPORT_AGE_MILLISECONDS = 5_000;
+/** Time between decisions while no replica changes. */
+const DECISION_INTERVAL_MILLISECONDS = 5_000;
 
-type Groups = ReadonlyMap<string, readonly UpstreamMember[]>;
+type EnginesByGroup = ReadonlyMap<string, readonly UpstreamMember[]>;
 
-/** What is known of one data centre's engines, and what it calls for. */
-export class PlacementSurvey {
+/** Collects reports, demand and manifests of one data centre and plans placement from them. */
+export class PlacementPlanner {
   readonly watch: EngineWatch;
-  readonly memory: ReplicaMemory;
+  readonly replicaHistory: ReplicaHistory;
   private readonly manifests: ManifestCache;
-  private readonly demand = new DemandMeter();
-  private listed: readonly UpstreamMember[] = [];
-  private groups: Groups = new Map();
+  private readonly demandMeter = new DemandMeter();
+  private listedUpstreams: readonly UpstreamMember[] = [];
+  private enginesByGroup: EnginesByGroup = new Map();
   private decidedAt = -Infinity;
   private decidedRevision = 0;
 
@@ -43,108 +43,121 @@
     private readonly clock: Clock,
   ) {
     this.watch = new EngineWatch(connector, clock);
-    this.memory = new ReplicaMemory(this.watch);
+    this.replicaHistory = new ReplicaHistory(this.watch);
     this.manifests = new ManifestCache(weights, clock);
   }
 
-  /** Takes the list and asks a few engines. */
+  /** Applies the list of engines, reads missing manifests and polls a few engines. */
   async refresh(system: SystemView, token: CancellationToken): Promise<void> {
-    this.follow(system.upstreams);
+    this.updateEngines(system.upstreams);
     const models = Object.values(system.configuration.models);
     await this.manifests.refresh(models, token);
-    const resting = this.watch.oldest(RESTING_POLLS);
-    const changing = this.changingEngines(system).slice(0, CHANGING_POLLS);
-    await this.watch.poll([...changing, ...resting], token);
+    const background = this.watch.leastRecentlyPolled(
+      BACKGROUND_POLLS_PER_ROUND,
+    );
+    const changing = this.changingEngines(system).slice(
+      0,
+      MAX_CHANGING_POLLS_PER_ROUND,
+    );
+    await this.watch.poll([...changing, ...background], token);
   }
 
-  /** Whether it is time to decide: all engines were asked once, and something changes or changed. */
-  isDue(system: SystemView): boolean {
+  /**
+   * Whether a decision is due: all engines were polled once, and the configuration changed, a replica is changing or
+   * the interval is over.
+   */
+  isDecisionDue(system: SystemView): boolean {
     const {revision} = system.configuration;
-    const rested = this.clock.monotonicMilliseconds() - this.decidedAt;
+    const sinceDecision = this.clock.monotonicMilliseconds() - this.decidedAt;
     return (
-      this.watch.isComplete &&
-      (rested >= RESTING_DECISION_MILLISECONDS ||
+      this.watch.hasPolledAll &&
+      (sinceDecision >= DECISION_INTERVAL_MILLISECONDS ||
         revision !== this.decidedRevision ||
         this.changingEngines(system).length > 0)
     );
   }
 
-  /** Takes the load that engines report now and decides. */
+  /** Records the load that engines report and plans changes. */
   decide(system: SystemView): PlacementPlan {
     const now = this.clock.monotonicMilliseconds();
     const {models, revision} = system.configuration;
     const states = this.replicas(system).map(view => stateOf(view, models));
-    this.demand.observe(states, now);
+    this.demandMeter.observe(states, now);
     this.decidedAt = now;
     this.decidedRevision = revision;
-    return this.plan(system);
+    return this.createPlan(system);
   }
 
-  /** Renews reports that are old, and says whether the change is still called for. */
+  /** Polls the replica's engines if their reports are old, and then checks that the change is still planned. */
   async isStillPlanned(
     change: PlacementChange,
     system: SystemView,
     token: CancellationToken,
   ): Promise<boolean> {
-    const members = this.groups.get(change.group) ?? [];
+    const members = this.enginesByGroup.get(change.group) ?? [];
     const ids = members.map(({id}) => id);
-    const oldest = this.clock.monotonicMilliseconds() - FRESH_MILLISECONDS;
-    if (this.watch.wereAskedSince(ids, oldest)) {
+    const oldest =
+      this.clock.monotonicMilliseconds() - MAX_REPORT_AGE_MILLISECONDS;
+    if (this.watch.werePolledSince(ids, oldest)) {
       return true;
     }
     await this.watch.poll(ids, token);
-    return this.plan(system).changes.some(one => isSameChange(one, change));
+    return this.createPlan(system).changes.some(planned =>
+      isSameChange(planned, change),
+    );
   }
 
-  /** Forgets everything, as others may have changed it. */
+  /** Discards all state, because another holder of the lease may change the replicas. */
   forget(): void {
-    this.watch.follow([]);
-    this.memory.reset();
-    this.demand.reset();
-    this.listed = [];
-    this.groups = new Map();
+    this.watch.setEngines([]);
+    this.replicaHistory.reset();
+    this.demandMeter.reset();
+    this.listedUpstreams = [];
+    this.enginesByGroup = new Map();
   }
 
-  private follow(upstreams: readonly UpstreamMember[]): void {
-    if (upstreams !== this.listed) {
-      this.listed = upstreams;
-      this.groups = replicasOf(upstreams, this.dataCentre);
-      this.watch.follow([...this.groups.values()].flat());
+  private updateEngines(upstreams: readonly UpstreamMember[]): void {
+    if (upstreams !== this.listedUpstreams) {
+      this.listedUpstreams = upstreams;
+      this.enginesByGroup = replicasOf(upstreams, this.dataCentre);
+      this.watch.setEngines([...this.enginesByGroup.values()].flat());
     }
   }
 
-  private plan(system: SystemView): PlacementPlan {
+  private createPlan(system: SystemView): PlacementPlan {
     const now = this.clock.monotonicMilliseconds();
     const {models, classes} = system.configuration;
     const {dataCentre, share} = this;
     const replicas = this.replicas(system);
     const view = {dataCentre, share, models, classes, replicas};
-    const demand = this.demand.demand(now);
+    const demand = this.demandMeter.demand(now);
     return planPlacement(view, demand, this.manifests.manifests, now);
   }
 
   /** Share of all listed engines that belong to this data centre's replicas. */
   private get share(): number {
-    const own = [...this.groups.values()].flat().length;
-    const all = this.listed.filter(({role}) => role === 'engine').length;
+    const own = [...this.enginesByGroup.values()].flat().length;
+    const all = this.listedUpstreams.filter(
+      ({role}) => role === 'engine',
+    ).length;
     return all === 0 ? 0 : own / all;
   }
 
   private changingEngines(system: SystemView): readonly string[] {
     const {models} = system.configuration;
     return this.replicas(system)
-      .filter(view => isChanging(stateOf(view, models).kind))
+      .filter(view => isChangingKind(stateOf(view, models).kind))
       .flatMap(view => view.engines.map(({member}) => member.id));
   }
 
   private replicas(system: SystemView): readonly ReplicaView[] {
     const {models} = system.configuration;
     const now = this.clock.monotonicMilliseconds();
-    return this.memory.views(this.groups, models, now);
+    return this.replicaHistory.views(this.enginesByGroup, models, now);
   }
 }
 
-function isChanging(kind: string): boolean {
+function isChangingKind(kind: string): boolean {
   return kind === 'draining' || kind === 'loading' || kind === 'incomplete';
 }
 
--- a/src/features/placement/common/placementView.ts
+++ b/src/features/placement/common/placementView.ts
@@ -3,59 +3,60 @@
 import {WeightManifest} from '../../../infrastructure/weights/common/weightStore.js';
 import {ClassOfWork, Model} from '../../configuration/common/configuration.js';
 
-/** What a placement decision is made from: one data centre's replicas, targets and observed load. */
+/** Input of a placement decision: the replicas, targets and observed load of one data centre. */
 
-/** One engine as the holder of the lease knows it. */
+/** An engine as the holder of the lease sees it. */
 export interface EngineView {
   readonly member: UpstreamMember;
   /** The newest report; undefined before the first. */
   readonly report: EngineReport | undefined;
   readonly reachable: boolean;
-  /** An order was sent after the report's figures were taken, so they don't show its effect. */
+  /** Whether an order was sent after the report was made, so that the report doesn't show its effect. */
   readonly pending: boolean;
 }
 
-/** What a replica is meant to hold once it is empty. */
-export interface Intent {
+/** A version of a model. */
+export interface ModelVersion {
   readonly model: string;
   readonly version: string;
 }
 
-/** The engines that the platform's list names as one replica. */
+/** The engines that the platform lists as one replica. */
 export interface ReplicaView {
   readonly group: string;
   readonly engines: readonly EngineView[];
-  /** Monotonic milliseconds since which it takes no new work, as far as known here. */
+  /** Monotonic milliseconds since which this process has seen the replica take no new work. */
   readonly drainingSince?: number;
-  /** Monotonic milliseconds since which it can't serve, as far as known here. */
+  /** Monotonic milliseconds since which this process has seen the replica hold no whole model. */
   readonly incompleteSince?: number;
-  readonly intent?: Intent;
-  /** An engine refused an order: nothing is tried with the replica before then. */
-  readonly barredUntil?: number;
+  /** What the replica shall hold once it is drained. */
+  readonly intendedVersion?: ModelVersion;
+  /** Monotonic milliseconds before which the replica isn't changed again, after an order failed or was refused. */
+  readonly backoffUntil?: number;
 }
 
-/** One data centre as placement sees it. */
+/** The state of one data centre that placement plans from. */
 export interface PlacementView {
   readonly dataCentre: string;
-  /** Share of all listed engines that stand in this data centre, from 0 to 1. */
+  /** Share of all listed engines that belong to this data centre's replicas, from 0 to 1. */
   readonly share: number;
   readonly models: Readonly<Record<string, Model>>;
   readonly classes: Readonly<Record<string, ClassOfWork>>;
   readonly replicas: readonly ReplicaView[];
 }
 
-/** Observed load by model in one data centre. */
+/** Observed load of one data centre by model. */
 export interface Demand {
   /** Sequences resident or queued, smoothed over time. */
   readonly sequences: ReadonlyMap<string, number>;
-  /** Milliseconds over which it was observed. */
+  /** Time since the observation began. */
   readonly observedMilliseconds: number;
 }
 
-/** Manifests by `manifestKey`. */
+/** Weight manifests by `manifestKey`. */
 export type Manifests = ReadonlyMap<string, WeightManifest>;
 
-/** The key of a version of a model among manifests. */
+/** Key of a model version in `Manifests`. */
 export function manifestKey(model: string, version: string): string {
   return `${model}/${version}`;
 }
--- a/src/features/placement/common/planPlacement.ts
+++ b/src/features/placement/common/planPlacement.ts
@@ -3,10 +3,10 @@
   candidateFor,
   CandidateInput,
   isCandidate,
-  netOf,
+  netGainOf,
   servingTargets,
 } from './placementCandidates.js';
-import {belongsTo, ModelNeed, needsOf} from './modelNeeds.js';
+import {countsForModel, ModelNeed, computeNeeds} from './modelNeeds.js';
 import {drainTarget, toChange} from './placementChanges.js';
 import {
   ChangeReason,
@@ -15,21 +15,21 @@
   PlacementPlan,
 } from './placementPlan.js';
 import {Demand, Manifests, PlacementView} from './placementView.js';
-import {longestRequestMilliseconds} from './placementWorth.js';
+import {longestRequestMilliseconds} from './changeValue.js';
 import {ReplicaState, stateOf} from './replicaState.js';
 
-/** Decides which replicas of one data centre change next; pure. */
+/** Decides which replicas of one data centre change next. Has no side effects. */
 
-/** Share of a model's replicas that may change at once; at least one may. */
-const CHANGING_SHARE = 0.25;
-/** Load must have been observed for so long before replicas are moved for it. */
-const OBSERVATION_MILLISECONDS = 60_000;
-/** Routers notice within so long that a replica takes no new work. */
-const NOTICE_MILLISECONDS = 3_000;
-/** Replicas emptied ahead of the one that loads, so that the weight store isn't idle meanwhile. */
-const EMPTIED_AHEAD = 1;
+/** Largest share of a model's replicas that may change at once; one always may. */
+const MAX_CHANGING_SHARE = 0.25;
+/** Load must have been observed for this long before replicas are moved because of it. */
+const MIN_OBSERVATION_MILLISECONDS = 60_000;
+/** Time within which all routers notice that a replica takes no new work. */
+const DRAIN_PROPAGATION_MILLISECONDS = 3_000;
+/** Replicas drained while another one loads, so that the weight store isn't idle between two loads. */
+const MAX_DRAINED_AHEAD = 1;
 
-/** Plans the next changes; the same input gives the same plan. */
+/** Plans the next changes. Deterministic: the same input gives the same plan. */
 export function planPlacement(
   view: PlacementView,
   demand: Demand,
@@ -37,19 +37,20 @@
   now: number,
 ): PlacementPlan {
   const states = view.replicas.map(replica => stateOf(replica, view.models));
-  const needs = needsOf(view, states, demand);
-  const knowsLoad = demand.observedMilliseconds >= OBSERVATION_MILLISECONDS;
-  const input = {view, needs, manifests, now, knowsLoad};
-  return new Planner(states, input).plan();
+  const needs = computeNeeds(view, states, demand);
+  const isLoadKnown =
+    demand.observedMilliseconds >= MIN_OBSERVATION_MILLISECONDS;
+  const input = {view, needs, manifests, now, isLoadKnown};
+  return new PlanBuilder(states, input).plan();
 }
 
-/** Applies the bounds to the candidates, the most valuable first. */
-class Planner {
+/** Selects changes from the candidates within the limits, those of the highest net gain first. */
+class PlanBuilder {
   private readonly changes: PlacementChange[] = [];
   private readonly heldBack: HeldBack[] = [];
   private loading: number;
   private draining: number;
-  private readonly changing = new Map<string, number>();
+  private readonly changingCountByModel = new Map<string, number>();
   private readonly live = new Map<string, ModelNeed>();
 
   constructor(
@@ -61,8 +62,8 @@
     for (const [model, need] of input.needs) {
       this.live.set(model, need);
       const isChanging = (state: ReplicaState): boolean =>
-        state.kind !== 'live' && belongsTo(state, model);
-      this.changing.set(model, states.filter(isChanging).length);
+        state.kind !== 'live' && countsForModel(state, model);
+      this.changingCountByModel.set(model, states.filter(isChanging).length);
     }
   }
 
@@ -81,7 +82,7 @@
   private candidates(): readonly Candidate[] {
     const found: Candidate[] = [];
     for (const state of this.states) {
-      if (this.isBarred(state)) {
+      if (this.isBackingOff(state)) {
         continue;
       }
       const option = candidateFor(state, this.input);
@@ -97,24 +98,24 @@
     return found.sort((left, right) => this.compare(left, right));
   }
 
-  private isBarred({view}: ReplicaState): boolean {
-    return (view.barredUntil ?? -Infinity) > this.input.now;
+  private isBackingOff({view}: ReplicaState): boolean {
+    return (view.backoffUntil ?? -Infinity) > this.input.now;
   }
 
-  /** The most valuable first; among equals those that lose least, then fit tight targets worst. */
+  /** Sorts by net gain; on a tie by fewest sequences in progress, then by worst fit to the tightest target. */
   private compare(left: Candidate, right: Candidate): number {
     return (
-      netOf(right) - netOf(left) ||
+      netGainOf(right) - netGainOf(left) ||
       left.state.occupied - right.state.occupied ||
       this.unfitness(right.state) - this.unfitness(left.state) ||
       (left.state.view.group < right.state.view.group ? -1 : 1)
     );
   }
 
-  /** How badly a replica suits the tightest target: too slow for it, or of mixed accelerators. */
+  /** How badly a replica fits the tightest target: being too slow weighs more than mixed accelerators. */
   private unfitness({tokenMilliseconds, isUniform}: ReplicaState): number {
     const targets = Object.values(this.input.view.classes).map(
-      one => one.betweenTokensMilliseconds,
+      classOfWork => classOfWork.betweenTokensMilliseconds,
     );
     const isSlow = tokenMilliseconds > Math.min(...targets);
     return (isSlow ? 2 : 0) + (isUniform ? 0 : 1);
@@ -122,22 +123,22 @@
 
   private drain(candidate: Candidate): void {
     const {state} = candidate;
-    const held = this.causeAgainstDraining(candidate);
-    if (held !== undefined) {
-      this.holdBack(candidate, held);
+    const cause = this.causeToKeepServing(candidate);
+    if (cause !== undefined) {
+      this.holdBack(candidate, cause);
       return;
     }
     this.draining += 1;
-    this.noteDrained(state);
+    this.countDrained(state);
     const targets = state.engines.map(engine => drainTarget(engine));
     this.changes.push(toChange('drain', candidate, targets));
   }
 
-  private causeAgainstDraining({
+  private causeToKeepServing({
     state,
     reason,
   }: Candidate): HeldBack['cause'] | undefined {
-    // A second move must be weighed with the first one counted.
+    // The gain of a second move depends on the first one, so it waits until that one shows.
     if (
       this.changes.some(change => change.reason === reason && isMove(reason))
     ) {
@@ -149,28 +150,34 @@
       if (need.live <= 1 || left < need.occupied) {
         return 'tooFewLive';
       }
-      const allowed = Math.max(1, Math.floor(CHANGING_SHARE * need.replicas));
-      if ((this.changing.get(need.model) ?? 0) >= allowed) {
+      const allowed = Math.max(
+        1,
+        Math.floor(MAX_CHANGING_SHARE * need.replicas),
+      );
+      if ((this.changingCountByModel.get(need.model) ?? 0) >= allowed) {
         return 'othersChange';
       }
     }
-    const ahead = this.loading > 0 ? EMPTIED_AHEAD : EMPTIED_AHEAD + 1;
-    return this.draining >= ahead ? 'weightStoreBusy' : undefined;
+    const limit = this.loading > 0 ? MAX_DRAINED_AHEAD : MAX_DRAINED_AHEAD + 1;
+    return this.draining >= limit ? 'weightStoreBusy' : undefined;
   }
 
-  private noteDrained(state: ReplicaState): void {
+  private countDrained(state: ReplicaState): void {
     const need = this.live.get(state.model ?? '');
     if (need !== undefined) {
       const {model, live, capacity} = need;
       const left = capacity - state.sequences;
       this.live.set(model, {...need, live: live - 1, capacity: left});
-      this.changing.set(model, (this.changing.get(model) ?? 0) + 1);
+      this.changingCountByModel.set(
+        model,
+        (this.changingCountByModel.get(model) ?? 0) + 1,
+      );
     }
   }
 
   private load(candidate: Candidate): void {
     const {state} = candidate;
-    if (state.kind === 'draining' && !this.isEmpty(state)) {
+    if (state.kind === 'draining' && !this.isDrained(state)) {
       return;
     }
     if (this.loading > 0 && candidate.reason !== 'adapters') {
@@ -181,29 +188,29 @@
     this.changes.push(toChange('load', candidate, candidate.targets));
   }
 
-  /** Whether no request of before can be in progress, or it is past its deadline. */
-  private isEmpty({view, occupied}: ReplicaState): boolean {
+  /** Whether no request from before the drain is left, or any that is left has passed its deadline. */
+  private isDrained({view, occupied}: ReplicaState): boolean {
     const drainedFor = this.input.now - (view.drainingSince ?? this.input.now);
     const longest = longestRequestMilliseconds(this.input.view);
-    const isNoticed = drainedFor >= NOTICE_MILLISECONDS;
+    const isNoticed = drainedFor >= DRAIN_PROPAGATION_MILLISECONDS;
     return (
       (occupied === 0 && isNoticed) ||
-      drainedFor >= longest + NOTICE_MILLISECONDS
+      drainedFor >= longest + DRAIN_PROPAGATION_MILLISECONDS
     );
   }
 
-  /** Nothing asks for a change of a replica that takes no new work: it takes work again. */
+  /** Lets a drained replica take work again because no change of it is wanted any more. */
   private restore(state: ReplicaState): void {
     const {model: name, version} = state;
     const model = name === undefined ? undefined : this.input.view.models[name];
     if (model === undefined || version === undefined) {
       return;
     }
-    const held = {...model, version, adapters: state.adapters};
-    const targets = servingTargets(state, held);
+    const heldModel = {...model, version, adapters: state.adapters};
+    const targets = servingTargets(state, heldModel);
     if (targets !== undefined) {
       const gain = state.sequences;
-      const candidate = {state, model: held, targets, gain, cost: 0};
+      const candidate = {state, model: heldModel, targets, gain, cost: 0};
       const reason = 'noLongerWanted' as const;
       this.changes.push(toChange('restore', {...candidate, reason}, targets));
     }
--- a/src/features/placement/common/replicaState.ts
+++ b/src/features/placement/common/replicaState.ts
@@ -1,18 +1,18 @@
 import {EngineReport} from '../../../infrastructure/engine/common/engineConnection.js';
 import {Model} from '../../configuration/common/configuration.js';
-import {coversOnce, hasChain} from './layerSplit.js';
+import {partitionsLayers, hasLayerChain} from './layerSplit.js';
 import {EngineView, ReplicaView} from './placementView.js';
 
-/** What the reports of a replica's engines come to. */
+/** The state of a replica as its engines' reports show it. */
 
 /**
- * `live` serves; `draining` holds a whole model and takes no new work; `loading` waits for the effect
- * of orders; `incomplete` holds no whole model; `unknown` was not heard whole yet.
+ * `live` serves; `draining` holds a whole model and takes no new work; `loading` waits for orders to take effect;
+ * `incomplete` holds no whole model; `unknown` has a reachable engine that hasn't reported yet.
  */
 export type ReplicaKind =
   'live' | 'draining' | 'loading' | 'incomplete' | 'unknown';
 
-/** A replica made ready for decisions. */
+/** A replica with the figures that decisions need. */
 export interface ReplicaState {
   readonly view: ReplicaView;
   readonly kind: ReplicaKind;
@@ -21,13 +21,13 @@
   readonly version: string | undefined;
   /** Adapters that all engines hold. */
   readonly adapters: readonly string[];
-  /** Engines that take orders, by first layer. */
+  /** Engines that can take orders, sorted by first layer. */
   readonly engines: readonly EngineView[];
   /** Sequences that may be resident at once. */
   readonly sequences: number;
   /** Sequences resident or queued. */
   readonly occupied: number;
-  /** Milliseconds of one token through all stages, links left out. */
+  /** Time of one token through all stages, without network time. */
   readonly tokenMilliseconds: number;
   /** Whether all engines have the same kind of accelerator. */
   readonly isUniform: boolean;
@@ -35,15 +35,15 @@
   readonly isEven: boolean;
 }
 
-/** Judges a replica by its reports. */
+/** Derives a replica's state from the reports of its engines. */
 export function stateOf(
   view: ReplicaView,
   models: Readonly<Record<string, Model>>,
 ): ReplicaState {
   const engines = usableEngines(view);
   const reports = engines.flatMap(({report}) => (report ? [report] : []));
-  const model = common(reports.map(report => report.model));
-  const version = common(reports.map(report => report.version));
+  const model = commonValue(reports.map(report => report.model));
+  const version = commonValue(reports.map(report => report.version));
   const kinds = new Set(reports.map(report => report.acceleratorKind));
   return {
     view,
@@ -56,7 +56,7 @@
     occupied: Math.max(0, ...reports.map(sequencesOf)),
     tokenMilliseconds: sum(reports.map(report => report.decodeMilliseconds)),
     isUniform: kinds.size <= 1,
-    isEven: coversOnce(
+    isEven: partitionsLayers(
       reports.map(report => report.layers),
       reports.at(-1)?.layers.to ?? 0,
     ),
@@ -81,7 +81,7 @@
   }
   const ranges = reports.map(report => report.layers);
   const layerCount = model?.layerCount ?? ranges.at(-1)?.to ?? 0;
-  if (version === undefined || !hasChain(ranges, layerCount)) {
+  if (version === undefined || !hasLayerChain(ranges, layerCount)) {
     return 'incomplete';
   }
   return reports.every(report => report.role === 'both') ? 'live' : 'draining';
@@ -105,7 +105,7 @@
   return report?.layers.from ?? 0;
 }
 
-function common(values: readonly string[]): string | undefined {
+function commonValue(values: readonly string[]): string | undefined {
   return new Set(values).size === 1 ? values[0] : undefined;
 }
 
--- a/src/features/placement/common/tableLease.ts
+++ b/src/features/placement/common/tableLease.ts
@@ -9,38 +9,38 @@
   TableService,
 } from '../../../infrastructure/table/common/tableService.js';
 import {LeaseAction, leaseChart, LeaseEvent, LeaseState} from './leaseChart.js';
-import {HolderCheck, LeaseObserver} from './leaseObserver.js';
+import {HolderEndedCheck, LeaseObserver} from './leaseObserver.js';
 import {
-  isHeldStill,
+  isStillHeld,
   isSameWrite,
   LeaseRecord,
   readLeaseRecord,
 } from './leaseRecord.js';
-import {LeaseRow, meets} from './leaseRow.js';
+import {LeaseRow, satisfiesCondition} from './leaseRow.js';
 import {defaultLeaseSettings, LeaseSettings} from './leaseSettings.js';
 
 interface PendingWrite {
   readonly record: LeaseRecord;
   readonly condition: RowCondition;
-  /** Monotonic milliseconds before the first attempt: authority may be counted from here. */
+  /** Monotonic milliseconds before the first attempt, from which the lease's duration counts. */
   readonly startedAt: number;
 }
 
 /**
- * A lease on a row of the table. Its holder counts the expiry from before its last confirmed write;
- * others take it only after they saw the row unchanged for a whole duration, each on its own
- * monotonic clock, so that no wall clocks need to agree.
+ * A lease stored in a row of the table. The holder counts its expiry from the start of its last confirmed write. Other
+ * processes acquire the lease only after they have seen the row unchanged for a whole duration. Each uses its own
+ * monotonic clock, so wall clocks need not agree.
  */
 export class TableLease extends DisposableOwner {
-  private readonly life = new ChartInstance(leaseChart);
+  private readonly chart = new ChartInstance(leaseChart);
   private readonly changed = this.register(new Emitter<LeaseState>());
   private readonly row: LeaseRow;
   private readonly observer: LeaseObserver;
   private pending: PendingWrite | undefined;
   private held: LeaseRecord | undefined;
   private rowVersion = 0;
-  private confirmedFrom = -Infinity;
-  private leastFencing = 1;
+  private confirmedWriteStartedAt = -Infinity;
+  private minFencing = 1;
 
   /** Fires when the lease becomes held or lost. */
   readonly onDidChange = this.changed.event;
@@ -52,7 +52,7 @@
     private readonly clock: Clock,
     private readonly createNonce: () => string,
     private readonly settings: LeaseSettings = defaultLeaseSettings,
-    hasEnded: HolderCheck = () => false,
+    hasEnded: HolderEndedCheck = () => false,
   ) {
     super();
     const {durationMilliseconds, callMilliseconds} = settings;
@@ -60,16 +60,16 @@
     this.observer = new LeaseObserver(
       clock,
       durationMilliseconds,
-      // A lease of its own that it lost in an outage is not acted on any more, and nobody else took it.
+      // A row that still names this process is its own lost lease, which it no longer acts on and nobody else took.
       (name, before) => name === holder || hasEnded(name, before),
     );
   }
 
   get state(): LeaseState {
-    return this.life.state;
+    return this.chart.state;
   }
 
-  /** The fencing number while the lease may be acted on. */
+  /** The fencing number; undefined while the lease must not be acted on. */
   get fencing(): number | undefined {
     const isUsable =
       this.isRenewed ||
@@ -77,19 +77,19 @@
     return isUsable ? this.held?.fencing : undefined;
   }
 
-  /** Whether the last call for it was confirmed, so that it will probably go on. */
+  /** Whether the last write was confirmed, so that the lease will probably be renewed. */
   get isRenewed(): boolean {
     return this.state === 'held';
   }
 
-  /** Whether something that ends within a time may begin now. To be asked right before it begins. */
+  /** Whether an action of this length may start under the lease. Call it immediately before the action. */
   permits(milliseconds: number): boolean {
     const {marginMilliseconds} = this.settings;
     const end = this.now() + milliseconds + marginMilliseconds;
     return this.fencing !== undefined && end <= this.expiresAt;
   }
 
-  /** Takes the next step: observes, takes, renews or reads back. One call at a time. */
+  /** Performs the next step: reads, acquires, renews or reads back the row. Calls must not overlap. */
   async advance(token: CancellationToken): Promise<void> {
     const isOwn = this.state === 'held' || this.state === 'uncertain';
     if (isOwn && this.now() >= this.expiresAt) {
@@ -98,20 +98,20 @@
     await this.send(this.state === 'idle' ? 'observed' : 'due', token);
   }
 
-  /** Someone holds a higher fencing number: gives up and takes a higher one next time. */
+  /** Loses the lease to a higher fencing number that an engine has seen; the next acquisition exceeds it. */
   async supersededBy(fencing: number, token: CancellationToken): Promise<void> {
-    this.leastFencing = Math.max(this.leastFencing, fencing + 1);
+    this.minFencing = Math.max(this.minFencing, fencing + 1);
     await this.send('superseded', token);
   }
 
-  /** Gives the lease up, so that another may take it at once. */
+  /** Releases the lease, so that another process may acquire it at once. */
   release(token: CancellationToken): Promise<void> {
     return this.send('released', token);
   }
 
   private get expiresAt(): number {
     const from = this.pending?.startedAt ?? -Infinity;
-    const base = this.held === undefined ? from : this.confirmedFrom;
+    const base = this.held === undefined ? from : this.confirmedWriteStartedAt;
     return base + this.settings.durationMilliseconds;
   }
 
@@ -119,7 +119,7 @@
     event: LeaseEvent,
     token: CancellationToken,
   ): Promise<void> {
-    const {actions} = this.life.send(event);
+    const {actions} = this.chart.send(event);
     for (const action of actions) {
       await this.perform(action, token);
     }
@@ -133,11 +133,11 @@
       case 'readRow':
         return this.observe(token);
       case 'writeTaking':
-        return this.take(token);
+        return this.acquire(token);
       case 'writeRenewal':
         return this.renew(token);
       case 'writeRelease':
-        return this.giveUp(token);
+        return this.releaseRow(token);
       case 'writeAgain':
         return this.write(this.pending!, token);
       case 'readBack':
@@ -157,18 +157,18 @@
     if (!row.ok) {
       return;
     }
-    this.observer.note(row.value);
-    if (this.observer.isTakeable) {
+    this.observer.recordRow(row.value);
+    if (this.observer.isAvailable) {
       await this.send('takeable', token);
     }
   }
 
-  private take(token: CancellationToken): Promise<void> {
+  private acquire(token: CancellationToken): Promise<void> {
     const {observed} = this.observer;
     const previous = observed?.record.fencing ?? 0;
-    const fencing = Math.max(previous + 1, this.leastFencing);
+    const fencing = Math.max(previous + 1, this.minFencing);
     this.held = undefined;
-    return this.begin(
+    return this.startWrite(
       {
         holder: this.holder,
         fencing,
@@ -185,10 +185,10 @@
   private renew(token: CancellationToken): Promise<void> {
     const record = {...this.held!, nonce: this.createNonce()};
     const condition = {kind: 'version', version: this.rowVersion} as const;
-    return this.begin(record, condition, token);
+    return this.startWrite(record, condition, token);
   }
 
-  private async giveUp(token: CancellationToken): Promise<void> {
+  private async releaseRow(token: CancellationToken): Promise<void> {
     const record = {...this.held!, released: true};
     const condition = {kind: 'version', version: this.rowVersion} as const;
     this.held = undefined;
@@ -196,7 +196,7 @@
     await this.row.write(record, condition, token);
   }
 
-  private begin(
+  private startWrite(
     record: LeaseRecord,
     condition: RowCondition,
     token: CancellationToken,
@@ -211,12 +211,12 @@
   ): Promise<void> {
     const outcome = await this.row.write(record, condition, token);
     if (outcome.kind === 'conflict') {
-      return this.judge(outcome.row, token);
+      return this.resolveHolder(outcome.row, token);
     }
     if (outcome.kind !== 'written') {
       return this.send(outcome.kind, token);
     }
-    this.confirm(record, outcome.version, startedAt);
+    this.recordConfirmedWrite(record, outcome.version, startedAt);
     return this.send('confirmed', token);
   }
 
@@ -226,41 +226,46 @@
       return this.send('failed', token);
     }
     const isUnchanged =
-      this.pending !== undefined && meets(row.value, this.pending.condition);
+      this.pending !== undefined &&
+      satisfiesCondition(row.value, this.pending.condition);
     const isRenewal = this.held !== undefined;
     if (isUnchanged && !isRenewal) {
       return this.send('unchanged', token);
     }
-    return this.judge(row.value, token);
+    return this.resolveHolder(row.value, token);
   }
 
-  /** Decides whose the row is after a conflict or a lost answer. */
-  private judge(
+  /** Determines the holder from the row after a conflict or a lost answer. */
+  private resolveHolder(
     row: TableRow | undefined,
     token: CancellationToken,
   ): Promise<void> {
     const record = readLeaseRecord(row);
     const {pending, held} = this;
     if (row !== undefined && isSameWrite(record, pending?.record)) {
-      this.confirm(pending!.record, row.version, pending!.startedAt);
+      this.recordConfirmedWrite(
+        pending!.record,
+        row.version,
+        pending!.startedAt,
+      );
       return this.send('confirmed', token);
     }
-    if (row !== undefined && isHeldStill(record, held)) {
+    if (row !== undefined && isStillHeld(record, held)) {
       this.rowVersion = row.version;
       return this.send('confirmed', token);
     }
-    this.observer.note(row);
+    this.observer.recordRow(row);
     return this.send('superseded', token);
   }
 
-  private confirm(
+  private recordConfirmedWrite(
     record: LeaseRecord,
     version: number,
     startedAt: number,
   ): void {
     this.held = record;
     this.rowVersion = version;
-    this.confirmedFrom = startedAt;
+    this.confirmedWriteStartedAt = startedAt;
   }
 
   private now(): number {
--- a/src/features/placement/test/placementController.test.ts
+++ b/src/features/placement/test/placementController.test.ts
@@ -1,102 +1,107 @@
 import * as fastCheck from 'fast-check';
 import {afterEach, beforeEach, expect, it} from 'vitest';
 
-import {OrderFault, PlacementWorld} from './placementWorld.js';
+import {OrderFault, PlacementSimulation} from './placementSimulation.js';
 
-let world: PlacementWorld;
+let simulation: PlacementSimulation;
 
 beforeEach(() => {
-  world = new PlacementWorld();
+  simulation = new PlacementSimulation();
 });
 
-afterEach(() => world.stop());
+afterEach(() => simulation.stop());
 
-/** At no engine, whether or not it checks, does an order come after one of a later holder. */
-function expectNoStaleOrder(seen: PlacementWorld): void {
-  for (const {member, taken} of seen.engines) {
-    const fencings = taken.map(order => order.fencing);
+/** Expects that no engine, checking fencing or not, accepted an order after one of a later holder. */
+function expectNoStaleOrder(simulated: PlacementSimulation): void {
+  for (const {member, acceptedOrders} of simulated.engines) {
+    const fencings = acceptedOrders.map(order => order.fencing);
     const sorted = [...fencings].sort((left, right) => left - right);
     expect([member.id, fencings]).toEqual([member.id, sorted]);
   }
 }
 
-it('rolls a version out with two orders per engine, then rests', async () => {
-  world.start();
-  await world.pass(20_000);
-  expect(world.taken).toEqual([]);
-  world.version = '2';
-  await world.passUntilRolledOut();
-  await world.pass(60_000);
-  expect(world.isRolledOut).toBe(true);
-  expect(world.taken.length).toBe(2 * world.engines.length);
-  expect(world.fewestServing).toBe(2);
+it('rolls out a version with two orders per engine and then sends no more', async () => {
+  simulation.start();
+  await simulation.advanceTime(20_000);
+  expect(simulation.allAcceptedOrders).toEqual([]);
+  simulation.version = '2';
+  await simulation.advanceUntilRolledOut();
+  await simulation.advanceTime(60_000);
+  expect(simulation.isRolledOut).toBe(true);
+  expect(simulation.allAcceptedOrders.length).toBe(
+    2 * simulation.engines.length,
+  );
+  expect(simulation.fewestServing).toBe(2);
 });
 
-it('gives a new model one replica of another and leaves it there', async () => {
-  world.start();
-  await world.pass(20_000);
-  world.hasOther = true;
-  await world.pass(400_000);
-  const models = world.engines.map(engine => engine.holding.model);
+it('moves one replica to a new model and leaves it there', async () => {
+  simulation.start();
+  await simulation.advanceTime(20_000);
+  simulation.hasSecondModel = true;
+  await simulation.advanceTime(400_000);
+  const models = simulation.engines.map(engine => engine.heldState.model);
   expect([...models].sort().join('')).toBe('mmmmnn');
-  expect(world.engines.every(engine => engine.isServing)).toBe(true);
-  expect(world.taken.length).toBe(4);
+  expect(simulation.engines.every(engine => engine.isServing)).toBe(true);
+  expect(simulation.allAcceptedOrders.length).toBe(4);
 });
 
-/** What strikes the first order of a rollout. */
+/** Faults of the first order of a rollout. */
 const orderFaults: readonly OrderFault[] = [
   'answerLost',
   'requestLost',
   'pauseAfter',
 ];
 
-it.each(orderFaults)('comes through an order with %s', async fault => {
-  world.start();
-  await world.pass(20_000);
-  world.version = '2';
-  const holder = world.processes[0]!;
-  holder.orderFaults.push(fault);
-  await world.pass(5_000);
-  expect(holder.orderFaults).toEqual([]);
-  await world.pass(60_000);
-  await holder.clock.resume();
-  await world.passUntilRolledOut();
-  expect(world.isRolledOut).toBe(true);
-  expect(world.fewestServing).toBeGreaterThanOrEqual(1);
-  expectNoStaleOrder(world);
-});
+it.each(orderFaults)(
+  'completes a rollout after an order with the fault %s',
+  async fault => {
+    simulation.start();
+    await simulation.advanceTime(20_000);
+    simulation.version = '2';
+    const holder = simulation.processes[0]!;
+    holder.orderFaults.push(fault);
+    await simulation.advanceTime(5_000);
+    expect(holder.orderFaults).toEqual([]);
+    await simulation.advanceTime(60_000);
+    await holder.clock.resume();
+    await simulation.advanceUntilRolledOut();
+    expect(simulation.isRolledOut).toBe(true);
+    expect(simulation.fewestServing).toBeGreaterThanOrEqual(1);
+    expectNoStaleOrder(simulation);
+  },
+);
 
-it('stands still while the table is down and goes on afterwards', async () => {
-  world.start();
-  await world.pass(20_000);
-  world.platform.addFault({kind: 'down'}, {part: 'table'});
-  await world.pass(10_000);
-  world.version = '2';
-  await world.pass(120_000);
-  expect(world.taken).toEqual([]);
-  world.platform.clearFaults();
-  await world.passUntilRolledOut();
-  expect(world.isRolledOut).toBe(true);
+it('sends no orders while the table is down and continues afterwards', async () => {
+  simulation.start();
+  await simulation.advanceTime(20_000);
+  simulation.platform.addFault({kind: 'down'}, {part: 'table'});
+  await simulation.advanceTime(10_000);
+  simulation.version = '2';
+  await simulation.advanceTime(120_000);
+  expect(simulation.allAcceptedOrders).toEqual([]);
+  simulation.platform.clearFaults();
+  await simulation.advanceUntilRolledOut();
+  expect(simulation.isRolledOut).toBe(true);
 });
 
-it('stands still while the row is not one of a lease', async () => {
+it('sends no orders while the lease row cannot be parsed', async () => {
   const key = 'placement/lease/d';
   const write = (value: string | undefined) =>
-    world.platform.rows.transact(
+    simulation.platform.rows.transact(
       [{key, value, condition: {kind: 'any'}}],
       'all',
     );
   write('{"holder": 1}');
-  world.start();
-  world.version = '2';
-  await world.pass(60_000);
-  expect(world.taken).toEqual([]);
+  simulation.start();
+  simulation.version = '2';
+  await simulation.advanceTime(60_000);
+  expect(simulation.allAcceptedOrders).toEqual([]);
   write(undefined);
-  await world.passUntilRolledOut();
-  expect(world.isRolledOut).toBe(true);
+  await simulation.advanceUntilRolledOut();
+  expect(simulation.isRolledOut).toBe(true);
 });
 
-const happening = fastCheck.record({
+const randomEvent = fastCheck.record({
   milliseconds: fastCheck.constantFrom(1_000, 4_000, 15_000, 45_000),
   kind: fastCheck.constantFrom(
     'pause',
@@ -113,59 +118,59 @@
   index: fastCheck.integer({min: 0, max: 1}),
 });
 
-async function strike(
-  seen: PlacementWorld,
+async function applyEvent(
+  simulated: PlacementSimulation,
   {kind, index}: {readonly kind: string; readonly index: number},
 ): Promise<void> {
-  const {clock, name, orderFaults: faults} = seen.processes[index]!;
+  const {clock, name, orderFaults: faults} = simulated.processes[index]!;
   switch (kind) {
     case 'pause':
       return clock.pause();
     case 'resume':
       return clock.resume();
     case 'tableDown':
-      return seen.platform.addFault({kind: 'down'}, {instance: name});
+      return simulated.platform.addFault({kind: 'down'}, {instance: name});
     case 'tableAnswerLost':
-      return seen.platform.addFault(
+      return simulated.platform.addFault(
         {kind: 'answerLost'},
         {instance: name, times: 2},
       );
     case 'tableBack':
-      return seen.platform.clearFaults();
+      return simulated.platform.clearFaults();
     case 'version2':
     case 'version3':
-      seen.version = kind.slice(-1);
+      simulated.version = kind.slice(-1);
       return;
     default:
       faults.push(kind as OrderFault);
   }
 }
 
-it('sends nothing stale, keeps a replica and arrives, whatever pauses or is lost', async () => {
+it('sends no stale orders, keeps a serving replica and completes rollouts despite random pauses and losses', async () => {
   await fastCheck.assert(
     fastCheck.asyncProperty(
-      fastCheck.array(happening, {minLength: 3, maxLength: 14}),
-      async happenings => {
-        const seen = new PlacementWorld();
-        seen.start();
-        await seen.pass(12_000);
-        seen.version = '2';
-        for (const one of happenings) {
-          await strike(seen, one);
-          await seen.pass(one.milliseconds);
+      fastCheck.array(randomEvent, {minLength: 3, maxLength: 14}),
+      async events => {
+        const simulated = new PlacementSimulation();
+        simulated.start();
+        await simulated.advanceTime(12_000);
+        simulated.version = '2';
+        for (const event of events) {
+          await applyEvent(simulated, event);
+          await simulated.advanceTime(event.milliseconds);
         }
-        seen.platform.clearFaults();
-        for (const {clock, orderFaults: faults} of seen.processes) {
+        simulated.platform.clearFaults();
+        for (const {clock, orderFaults: faults} of simulated.processes) {
           faults.length = 0;
           await clock.resume();
         }
-        await seen.passUntilRolledOut();
-        await seen.stop();
-        expectNoStaleOrder(seen);
-        expect(seen.isRolledOut).toBe(true);
-        expect(seen.fewestServing).toBeGreaterThanOrEqual(1);
-        const last = seen.taken.at(-1)?.fencing ?? 0;
-        expect(await seen.fencingInTable()).toBeGreaterThanOrEqual(last);
+        await simulated.advanceUntilRolledOut();
+        await simulated.stop();
+        expectNoStaleOrder(simulated);
+        expect(simulated.isRolledOut).toBe(true);
+        expect(simulated.fewestServing).toBeGreaterThanOrEqual(1);
+        const last = simulated.allAcceptedOrders.at(-1)?.fencing ?? 0;
+        expect(await simulated.fencingInTable()).toBeGreaterThanOrEqual(last);
       },
     ),
     {numRuns: 150, seed: 1},
--- a/src/features/placement/test/placementWorld.ts
+++ b/src/features/placement/test/placementSimulation.ts
@@ -21,15 +21,15 @@
 import {Configuration} from '../../configuration/common/configuration.js';
 import {PlacementController} from '../common/placementController.js';
 
-/** Controllers of one data centre over engines that keep a ledger of orders; any process may pause. */
+/** Simulates controllers of one data centre and engines that record their orders. Each process can be paused. */
 
 export const LAYERS = 4;
 const LOAD_MILLISECONDS = 2_000;
 const SEQUENCE_LIMIT = 8;
 
-/** The clock of one process: while it is paused, its timers and answers wait. */
+/** Clock of one process. While the process is paused, its timers and answers are deferred. */
 class ProcessClock extends Clock {
-  private waiting: Array<() => void> | undefined;
+  private deferredCallbacks: Array<() => void> | undefined;
 
   constructor(private readonly clock: Clock) {
     super();
@@ -44,33 +44,35 @@
   }
 
   override setTimer(milliseconds: number, callback: () => void): Disposable {
-    return this.clock.setTimer(milliseconds, () => this.whenAwake(callback));
+    return this.clock.setTimer(milliseconds, () =>
+      this.runWhenResumed(callback),
+    );
   }
 
   pause(): void {
-    this.waiting ??= [];
+    this.deferredCallbacks ??= [];
   }
 
-  /** What waits comes in its order, with all that follows from each before the next. */
+  /** Runs the deferred callbacks in order, each with all that follows from it before the next. */
   async resume(): Promise<void> {
-    const {waiting = []} = this;
-    this.waiting = undefined;
-    for (const callback of waiting) {
+    const {deferredCallbacks = []} = this;
+    this.deferredCallbacks = undefined;
+    for (const callback of deferredCallbacks) {
       callback();
       await settle();
     }
   }
 
-  whenAwake(callback: () => void): void {
-    if (this.waiting === undefined) {
+  runWhenResumed(callback: () => void): void {
+    if (this.deferredCallbacks === undefined) {
       callback();
     } else {
-      this.waiting.push(callback);
+      this.deferredCallbacks.push(callback);
     }
   }
 
-  awake(): Promise<void> {
-    return new Promise(resolve => this.whenAwake(resolve));
+  untilResumed(): Promise<void> {
+    return new Promise(resolve => this.runWhenResumed(resolve));
   }
 }
 
@@ -83,16 +85,16 @@
   repeatable: false,
 };
 
-/** What an engine took; the witness. */
-export interface TakenOrder extends EngineOrder {
+/** An order that an engine accepted. */
+export interface AcceptedOrder extends EngineOrder {
   readonly upstream: string;
   readonly at: number;
 }
 
-/** An engine that takes orders and reports; it runs no steps. */
+/** A fake engine that accepts orders and makes reports but runs no steps. */
 class FakeEngine {
   readonly member: UpstreamMember;
-  readonly taken: TakenOrder[] = [];
+  readonly acceptedOrders: AcceptedOrder[] = [];
   occupied = 0;
   private readonly layers;
   private loadedAt = -Infinity;
@@ -109,17 +111,17 @@
     this.member = {role: 'engine', id, group, state: 'live', ...place};
   }
 
-  get holding(): Pick<EngineOrder, 'model' | 'version' | 'layers' | 'role'> {
+  get heldState(): Pick<EngineOrder, 'model' | 'version' | 'layers' | 'role'> {
     const first = {model: 'm', version: '1', layers: this.layers};
-    return this.taken.at(-1) ?? {...first, role: 'both'};
+    return this.acceptedOrders.at(-1) ?? {...first, role: 'both'};
   }
 
   get isServing(): boolean {
-    return this.holding.role === 'both' && !this.isLoading;
+    return this.heldState.role === 'both' && !this.isLoading;
   }
 
   order(order: EngineOrder): Result<void, EngineError> {
-    const highest = this.taken.at(-1);
+    const highest = this.acceptedOrders.at(-1);
     const isOld =
       highest !== undefined &&
       (order.fencing < highest.fencing ||
@@ -128,16 +130,16 @@
       return failure({kind: 'stale', highest: highest.fencing});
     }
     const now = this.clock.monotonicMilliseconds();
-    const {model, version} = this.holding;
+    const {model, version} = this.heldState;
     if (order.model !== model || order.version !== version) {
       this.loadedAt = now + LOAD_MILLISECONDS;
     }
-    this.taken.push({...order, upstream: this.member.id, at: now});
+    this.acceptedOrders.push({...order, upstream: this.member.id, at: now});
     return success(undefined);
   }
 
   report(): EngineReport {
-    const {model, version, layers, role} = this.holding;
+    const {model, version, layers, role} = this.heldState;
     return {
       upstream: this.member.id,
       engineIncarnation: 'i',
@@ -152,7 +154,7 @@
       cachedPrefixes: [],
       ageMilliseconds: 0,
       leaving: false,
-      appliedOrder: this.taken.at(-1)?.order ?? 0,
+      appliedOrder: this.acceptedOrders.at(-1)?.order ?? 0,
       loading: this.isLoading,
       model,
       version,
@@ -166,7 +168,7 @@
   }
 }
 
-/** What strikes the next order of a process. */
+/** Fault of the next order of a process. */
 export type OrderFault = 'answerLost' | 'requestLost' | 'pauseAfter';
 
 class FakeConnection {
@@ -177,7 +179,7 @@
 
   async report(): Promise<Result<EngineReport, EngineError>> {
     const report = this.engine.report();
-    await this.process.clock.awake();
+    await this.process.clock.untilResumed();
     return success(report);
   }
 
@@ -193,33 +195,33 @@
     if (fault === 'pauseAfter') {
       this.process.clock.pause();
     }
-    await this.process.clock.awake();
+    await this.process.clock.untilResumed();
     return fault === 'answerLost'
       ? failure({kind: 'lost', detail: 'answer lost'})
       : result;
   }
 }
 
-/** One control program's placement. */
+/** The placement controller of one control process. */
 class PlacementProcess {
   readonly clock: ProcessClock;
   readonly orderFaults: OrderFault[] = [];
   readonly controller: PlacementController;
 
   constructor(
-    world: PlacementWorld,
+    simulation: PlacementSimulation,
     readonly name: string,
   ) {
-    this.clock = new ProcessClock(world.clock);
-    const ports = world.platform.portsOf(name);
+    this.clock = new ProcessClock(simulation.clock);
+    const ports = simulation.platform.portsOf(name);
     let nonces = 0;
     this.controller = new PlacementController({
       dataCentre: 'd',
       incarnation: name,
-      view: () => world.view,
+      view: () => simulation.view,
       table: ports.table,
       weights: ports.weights,
-      connector: this.connectorTo(world.engines),
+      connector: this.connectorTo(simulation.engines),
       clock: this.clock,
       random: new SeededRandomSource(name.length),
       nonce: () => `${name}-${nonces++}`,
@@ -230,16 +232,18 @@
 
   private connectorTo(engines: readonly FakeEngine[]): EngineConnector {
     const connect = (upstream: string): EngineConnection => {
-      const engine = engines.find(one => one.member.id === upstream)!;
-      // Placement makes these two calls only.
+      const engine = engines.find(
+        candidate => candidate.member.id === upstream,
+      )!;
+      // Placement uses these two calls only.
       return new FakeConnection(engine, this) as unknown as EngineConnection;
     };
     return {connect};
   }
 }
 
-/** Three replicas of two engines, every second replica without regard for fencing numbers. */
-export class PlacementWorld {
+/** Three replicas of two engines each; every second replica doesn't check fencing numbers. */
+export class PlacementSimulation {
   readonly clock = new FakeClock();
   readonly platform = new InMemoryPlatform(this.clock);
   readonly engines = [0, 1, 2].flatMap(replica =>
@@ -252,9 +256,9 @@
     name => new PlacementProcess(this, name),
   );
   version = '1';
-  /** A second model with one version. */
-  hasOther = false;
-  /** Replicas that serve, each time one was counted. */
+  /** Whether a second model, with one version, is configured. */
+  hasSecondModel = false;
+  /** Fewest replicas that served after any step. */
   fewestServing = Infinity;
 
   constructor() {
@@ -275,7 +279,7 @@
     const size = {layerCount: LAYERS, adapters: []};
     const models = {
       m: {name: 'm', version, ...size},
-      ...(this.hasOther ? {n: {name: 'n', version: '1', ...size}} : {}),
+      ...(this.hasSecondModel ? {n: {name: 'n', version: '1', ...size}} : {}),
     };
     const configuration: Configuration = {
       revision: Number(version),
@@ -291,14 +295,14 @@
 
   get isRolledOut(): boolean {
     return this.engines.every(
-      engine => engine.isServing && engine.holding.version === this.version,
+      engine => engine.isServing && engine.heldState.version === this.version,
     );
   }
 
-  /** All orders taken, in order of time. */
-  get taken(): readonly TakenOrder[] {
+  /** All accepted orders, in order of time. */
+  get allAcceptedOrders(): readonly AcceptedOrder[] {
     return this.engines
-      .flatMap(engine => engine.taken)
+      .flatMap(engine => engine.acceptedOrders)
       .sort((left, right) => left.at - right.at);
   }
 
@@ -313,8 +317,8 @@
     }
   }
 
-  /** Lets time pass in steps, counting the replicas that serve after each. */
-  async pass(milliseconds: number): Promise<void> {
+  /** Advances time in steps and counts the serving replicas after each. */
+  async advanceTime(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 500) {
       await this.clock.advanceAsync(500);
       const serving = [0, 1, 2].filter(replica =>
@@ -326,13 +330,13 @@
     }
   }
 
-  async passUntilRolledOut(): Promise<void> {
+  async advanceUntilRolledOut(): Promise<void> {
     for (let round = 0; round < 300 && !this.isRolledOut; round++) {
-      await this.pass(1_000);
+      await this.advanceTime(1_000);
     }
   }
 
-  /** The number that the table holds. */
+  /** The fencing number in the lease's row, 0 without a row. */
   async fencingInTable(): Promise<number> {
     const key = 'placement/lease/d';
     const rows = await this.platform
--- a/src/features/placement/test/planPlacement.test.ts
+++ b/src/features/placement/test/planPlacement.test.ts
@@ -5,7 +5,7 @@
 import {UpstreamMember} from '../../../infrastructure/membership/common/membershipList.js';
 import {WeightManifest} from '../../../infrastructure/weights/common/weightStore.js';
 import {Model} from '../../configuration/common/configuration.js';
-import {coversOnce, splitLayers} from '../common/layerSplit.js';
+import {partitionsLayers, splitLayers} from '../common/layerSplit.js';
 import {PlacementPlan} from '../common/placementPlan.js';
 import {
   Demand,
@@ -19,7 +19,7 @@
 const LAYERS = 8;
 const NOW = 1_000_000;
 
-/** A replica of engines as `model/version`, with the sequences that it works on. */
+/** A replica of two engines that hold `model/version` and have a number of sequences in progress. */
 function replica(
   group: string,
   holds: string,
@@ -78,7 +78,7 @@
   return {
     dataCentre: 'd',
     share: 1,
-    models: Object.fromEntries(stated.map(one => [one.name, one])),
+    models: Object.fromEntries(stated.map(model => [model.name, model])),
     classes: {order: {...order, ...target, requestsPerSecond: 1}},
     replicas,
   };
@@ -102,7 +102,7 @@
   return {sequences: new Map(Object.entries(sequences)), observedMilliseconds};
 }
 
-/** What a plan says, as `kind group>model/version`, and the causes of what waits. */
+/** Formats a plan: its changes as `kind group>model/version`, then the causes of those held back. */
 function summary(plan: PlacementPlan): string {
   const changes = plan.changes.map(
     ({kind, group, to}) => `${kind} ${group}>${to.model}/${to.version}`,
@@ -112,8 +112,8 @@
 }
 
 /**
- * Replicas from texts such as `a=m/1*2`: group, what it holds and its sequences; `~` marks one that
- * takes no new work and was emptied for long enough, `!` one that loads.
+ * Parses replicas from texts such as `a=m/1*2`: group, held version and sequences in progress. `~` marks one that has
+ * drained for long enough to load, `!` one that loads.
  */
 function parse(text: string): readonly ReplicaView[] {
   return text.split(' ').map(word => {
@@ -129,20 +129,20 @@
 
 const [whole] = parse('a=m/1');
 const [first, second] = whole!.engines;
-const outOfReach = {...second!, reachable: false};
-const lost = {
+const unreachable = {...second!, reachable: false};
+const incomplete = {
   group: 'a',
-  engines: [first!, outOfReach],
+  engines: [first!, unreachable],
   incompleteSince: NOW - 121_000,
 };
 const otherVersion = parse('a=m/2')[0]!.engines[0]!;
-const halfDone = {group: 'a', engines: [otherVersion, second!]};
+const partlyChanged = {group: 'a', engines: [otherVersion, second!]};
 
 interface PlanCase {
   readonly name: string;
   readonly has: string;
-  /** A replica beside those. */
-  readonly and?: ReplicaView;
+  /** A further replica that `has` can't describe. */
+  readonly extra?: ReplicaView;
   readonly stated: string;
   readonly plan: string;
   readonly load?: Readonly<Record<string, number>>;
@@ -153,32 +153,39 @@
 
 // prettier-ignore
 const cases: readonly PlanCase[] = [
-  {name: 'all is as stated', has: 'a=m/1 b=m/1 c=m/1', stated: 'm/1', plan: ''},
+  {name: 'nothing changes when all replicas are as configured', has: 'a=m/1 b=m/1 c=m/1', stated: 'm/1', plan: ''},
   {name: 'one replica at a time changes its version', has: 'a=m/1*2 b=m/1*2 c=m/1*2', stated: 'm/2', load: {m: 6}, plan: 'drain a>m/2, othersChange'},
-  {name: 'the only live replica stays', has: 'a=m/1', stated: 'm/2', plan: 'tooFewLive'},
-  {name: 'the others could not carry the load', has: 'a=m/1*5 b=m/1*5', stated: 'm/2', load: {m: 10}, plan: 'tooFewLive'},
-  {name: 'an adapter is missing', has: 'a=m/1 b=m/1', stated: 'm/1', adapters: ['x'], plan: 'drain a>m/1, tooFewLive'},
-  {name: 'an emptied replica loads', has: 'a=m/1~ b=m/1*3', stated: 'm/2', load: {m: 3}, plan: 'load a>m/2, tooFewLive'},
-  {name: 'a replica with requests is waited for', has: 'a=m/1*1~ b=m/1*3', stated: 'm/2', load: {m: 4}, plan: 'tooFewLive'},
-  {name: 'a change is taken back: the replica serves again', has: 'a=m/1~ b=m/1', stated: 'm/1', plan: 'restore a>m/1'},
-  {name: 'orders half done are done again at once', has: 'b=m/2', and: halfDone, stated: 'm/2', plan: 'load a>m/2'},
-  {name: 'the weight store is busy with another', has: 'a=n/1! b=m/1~ c=m/2 d=n/1', stated: 'm/2 n/1', plan: 'weightStoreBusy'},
+  {name: 'the only live replica is not drained', has: 'a=m/1', stated: 'm/2', plan: 'tooFewLive'},
+  {name: 'no replica is drained when the others could not carry the load', has: 'a=m/1*5 b=m/1*5', stated: 'm/2', load: {m: 10}, plan: 'tooFewLive'},
+  {name: 'a replica without a configured adapter is drained', has: 'a=m/1 b=m/1', stated: 'm/1', adapters: ['x'], plan: 'drain a>m/1, tooFewLive'},
+  {name: 'a drained replica loads', has: 'a=m/1~ b=m/1*3', stated: 'm/2', load: {m: 3}, plan: 'load a>m/2, tooFewLive'},
+  {name: 'a draining replica with requests does not load yet', has: 'a=m/1*1~ b=m/1*3', stated: 'm/2', load: {m: 4}, plan: 'tooFewLive'},
+  {name: 'a drained replica is restored when its change is no longer wanted', has: 'a=m/1~ b=m/1', stated: 'm/1', plan: 'restore a>m/1'},
+  {name: 'a change of which only some orders took effect is completed at once', has: 'b=m/2', extra: partlyChanged, stated: 'm/2', plan: 'load a>m/2'},
+  {name: 'a drained replica does not load while another one loads', has: 'a=n/1! b=m/1~ c=m/2 d=n/1', stated: 'm/2 n/1', plan: 'weightStoreBusy'},
   {name: 'a model without replicas gets one', has: 'a=m/1 b=m/1 c=m/1', stated: 'm/1 n/1', load: {m: 2}, plan: 'drain a>n/1, othersChange'},
-  {name: 'load that was not observed for long moves nothing', has: 'a=m/1 b=m/1 c=m/1', stated: 'm/1 n/1', load: {m: 2}, observed: 1_000, plan: ''},
+  {name: 'load that was observed only briefly moves no replica', has: 'a=m/1 b=m/1 c=m/1', stated: 'm/1 n/1', load: {m: 2}, observed: 1_000, plan: ''},
   {name: 'a loaded model gets a replica of an idle one', has: 'a=m/1 b=m/1 c=m/1 d=n/1*8', stated: 'm/1 n/1', load: {n: 8}, plan: 'drain a>n/1, othersChange'},
-  {name: 'a gain smaller than the cost moves nothing', has: 'a=m/1 b=m/1 c=m/1 d=n/1*8', stated: 'm/1 n/1', load: {n: 8}, share: 1e-4, plan: 'costsMoreThanGain'},
-  {name: 'a model no longer stated gives its replicas up', has: 'a=old/1 b=m/1', stated: 'm/1', plan: 'drain a>m/1'},
-  {name: 'engines out of reach for long leave their layers to the others', has: 'b=m/1', and: lost, stated: 'm/1', plan: 'load a>m/1'},
+  {name: 'a gain smaller than the cost moves no replica', has: 'a=m/1 b=m/1 c=m/1 d=n/1*8', stated: 'm/1 n/1', load: {n: 8}, share: 1e-4, plan: 'costsMoreThanGain'},
+  {name: 'a replica of a model that is no longer configured is drained for another', has: 'a=old/1 b=m/1', stated: 'm/1', plan: 'drain a>m/1'},
+  {name: 'layers of an engine that is unreachable for long move to the other engines', has: 'b=m/1', extra: incomplete, stated: 'm/1', plan: 'load a>m/1'},
 ];
 
-it.each(cases)('$name', one => {
-  const replicas = [...(one.and ? [one.and] : []), ...parse(one.has)];
-  const stated = viewOf(replicas, one.stated.split(' '), one.adapters);
-  const view = {...stated, share: one.share ?? 1};
-  const demand = demandOf(one.load ?? {}, one.observed);
+it.each(cases)('$name', testCase => {
+  const replicas = [
+    ...(testCase.extra ? [testCase.extra] : []),
+    ...parse(testCase.has),
+  ];
+  const stated = viewOf(
+    replicas,
+    testCase.stated.split(' '),
+    testCase.adapters,
+  );
+  const view = {...stated, share: testCase.share ?? 1};
+  const demand = demandOf(testCase.load ?? {}, testCase.observed);
   const manifests = manifestsOf(view);
   const plan = planPlacement(view, demand, manifests, NOW);
-  expect(summary(plan)).toBe(one.plan);
+  expect(summary(plan)).toBe(testCase.plan);
   expect(planPlacement(view, demand, manifests, NOW)).toEqual(plan);
   const without = planPlacement(view, demand, new Map(), NOW);
   expect(without.changes.some(({kind}) => kind === 'load')).toBe(false);
@@ -192,7 +199,7 @@
   },
 );
 
-it('splits layers without gap or overlap, in bounds of what engines held', () => {
+it('splits layers without gap or overlap, within the growth limit of each engine', () => {
   fastCheck.assert(
     fastCheck.property(
       speeds,
@@ -207,9 +214,9 @@
         const fits =
           layerCount >= decode.length && layerCount <= decode.length * 8;
         expect(ranges !== undefined).toBe(fits);
-        expect(ranges === undefined || coversOnce(ranges, layerCount)).toBe(
-          true,
-        );
+        expect(
+          ranges === undefined || partitionsLayers(ranges, layerCount),
+        ).toBe(true);
         expect(ranges?.every(({from, to}) => to - from <= 8) ?? true).toBe(
           true,
         );
@@ -219,7 +226,7 @@
 });
 
 const holding = fastCheck.constantFrom('m/1', 'm/2', 'n/1', 'old/1');
-const worldArbitrary = fastCheck.record({
+const placementArbitrary = fastCheck.record({
   replicas: fastCheck.array(
     fastCheck.tuple(holding, fastCheck.integer({min: 0, max: 8})),
     {minLength: 1, maxLength: 12},
@@ -227,20 +234,20 @@
   stated: fastCheck.constantFrom(['m/2'], ['m/2', 'n/1'], ['n/1', 'm/1']),
 });
 
-/** Carries a plan out; orders take effect at once. */
-function carryOut(
+/** Applies a plan as if all its orders took effect at once. */
+function applyPlan(
   replicas: readonly ReplicaView[],
   plan: PlacementPlan,
 ): readonly ReplicaView[] {
   return replicas.map(view => {
-    const change = plan.changes.find(one => one.group === view.group);
+    const change = plan.changes.find(planned => planned.group === view.group);
     if (change === undefined) {
       return view;
     }
     const isDrain = change.kind === 'drain';
     return {
       group: view.group,
-      intent: isDrain ? change.to : undefined,
+      intendedVersion: isDrain ? change.to : undefined,
       drainingSince: isDrain ? NOW - 60_000 : undefined,
       engines: view.engines.map((engine, index) => ({
         ...engine,
@@ -254,9 +261,9 @@
   });
 }
 
-it('comes to rest, and no model that was served is ever without a live replica', () => {
+it('reaches a state without changes, and a served model never loses its last live replica', () => {
   fastCheck.assert(
-    fastCheck.property(worldArbitrary, ({replicas, stated}) => {
+    fastCheck.property(placementArbitrary, ({replicas, stated}) => {
       let views: readonly ReplicaView[] = replicas.map(
         ([holds, occupied], index) => replica(`g${index}`, holds, occupied),
       );
@@ -282,7 +289,7 @@
         expect(round).toBeLessThan(4 * views.length + 4);
         const changed = plan.changes.map(({group}) => group);
         expect(new Set(changed).size).toBe(changed.length);
-        views = carryOut(views, plan);
+        views = applyPlan(views, plan);
         expect(models.filter(name => served(name, view.models))).toEqual(
           expect.arrayContaining(before),
         );
--- a/src/features/placement/test/tableLease.test.ts
+++ b/src/features/placement/test/tableLease.test.ts
@@ -15,12 +15,12 @@
 const {durationMilliseconds: DURATION} = defaultLeaseSettings;
 const STEP = 5_000;
 
-/** Several processes that compete for one row. */
-class LeaseWorld {
+/** Several processes that compete for one lease. */
+class LeaseSimulation {
   readonly clock = new FakeClock();
   readonly platform = new InMemoryPlatform(this.clock);
   readonly leases: readonly TableLease[];
-  /** Holders that have ended, as the others know. */
+  /** Holders that the other processes know to have ended. */
   readonly ended = new Set<string>();
   private readonly calls: Array<Promise<void> | undefined> = [];
   private nonces = 0;
@@ -41,8 +41,8 @@
     });
   }
 
-  /** Lets time pass after some processes took their next step, one call at a time each. */
-  async pass(milliseconds: number, ...indices: readonly number[]) {
+  /** Starts the next step of some processes, one call at a time for each, and then advances time. */
+  async advanceTime(milliseconds: number, ...indices: readonly number[]) {
     for (const index of indices) {
       this.calls[index] ??= this.leases[index]!.advance(neverCancelled).finally(
         () => (this.calls[index] = undefined),
@@ -56,13 +56,13 @@
     return row && (JSON.parse(row.value) as LeaseRecord);
   }
 
-  /** Which processes may act now. */
+  /** Indices of the processes that may act now. */
   get acting(): readonly number[] {
     return [...this.leases.keys()].filter(i => this.leases[i]!.permits(0));
   }
 }
 
-/** What strikes the first or the second write of process 0; it holds the lease two steps later all the same. */
+/** Faults of the first or second write of process 0, which holds the lease again two steps later. */
 const lostWrites: ReadonlyArray<readonly [PlatformFault, number]> = [
   [{kind: 'answerLost'}, 0],
   [{kind: 'requestLost'}, 0],
@@ -74,95 +74,110 @@
   [{kind: 'rateLimited', retryAfterMilliseconds: 100}, 1],
 ];
 
-it.each(lostWrites)('reads back after %o at write %i', async (fault, write) => {
-  const world = new LeaseWorld(1);
-  for (let done = 0; done < write; done++) {
-    await world.pass(STEP, 0);
-  }
-  world.platform.addFault(fault, {access: 'write', times: 1});
-  await world.pass(STEP, 0);
-  expect(world.acting).toEqual([]);
-  await world.pass(STEP, 0);
-  expect([world.acting, world.leases[0]!.fencing]).toEqual([[0], 1]);
-});
+it.each(lostWrites)(
+  'a lease is held again after %o at write %i, without a new fencing number',
+  async (fault, write) => {
+    const simulation = new LeaseSimulation(1);
+    for (let done = 0; done < write; done++) {
+      await simulation.advanceTime(STEP, 0);
+    }
+    simulation.platform.addFault(fault, {access: 'write', times: 1});
+    await simulation.advanceTime(STEP, 0);
+    expect(simulation.acting).toEqual([]);
+    await simulation.advanceTime(STEP, 0);
+    expect([simulation.acting, simulation.leases[0]!.fencing]).toEqual([
+      [0],
+      1,
+    ]);
+  },
+);
 
 it.each([
   {actsUnrenewed: true, lasting: DURATION},
   {actsUnrenewed: false, lasting: 0},
 ])(
-  'that can not be renewed is acted on for $lasting ms, by the settings $actsUnrenewed',
+  'a lease that can not be renewed permits actions for $lasting ms if actsUnrenewed is $actsUnrenewed',
   async ({actsUnrenewed, lasting}) => {
-    const world = new LeaseWorld(1, {...defaultLeaseSettings, actsUnrenewed});
-    await world.pass(0, 0);
-    world.platform.addFault({kind: 'down'});
-    await world.pass(1, 0);
+    const simulation = new LeaseSimulation(1, {
+      ...defaultLeaseSettings,
+      actsUnrenewed,
+    });
+    await simulation.advanceTime(0, 0);
+    simulation.platform.addFault({kind: 'down'});
+    await simulation.advanceTime(1, 0);
     const {marginMilliseconds} = defaultLeaseSettings;
     for (let passed = 1; passed < DURATION + STEP; passed += STEP / 2) {
       const isLeft = passed <= lasting - marginMilliseconds;
-      expect(world.acting).toEqual(isLeft ? [0] : []);
-      await world.pass(STEP / 2, 0);
+      expect(simulation.acting).toEqual(isLeft ? [0] : []);
+      await simulation.advanceTime(STEP / 2, 0);
     }
   },
 );
 
 it.each([
-  {name: 'that has ended', ended: ['p0'], acting: [1]},
-  {name: 'that may live', ended: [], acting: []},
-])('of a holder $name is free at once: $acting', async ({ended, acting}) => {
-  const world = new LeaseWorld(2);
-  await world.pass(100, 0);
-  await world.pass(100, 1);
-  ended.forEach(holder => world.ended.add(holder));
-  world.leases[0]!.dispose();
-  await world.pass(100, 1);
-  await world.pass(100, 1);
-  expect(world.acting.filter(index => index === 1)).toEqual(acting);
-});
+  {name: 'has ended', ended: ['p0'], acting: [1]},
+  {name: 'may still run', ended: [], acting: []},
+])(
+  'a lease whose holder $name is acquired at once by the processes $acting',
+  async ({ended, acting}) => {
+    const simulation = new LeaseSimulation(2);
+    await simulation.advanceTime(100, 0);
+    await simulation.advanceTime(100, 1);
+    ended.forEach(holder => simulation.ended.add(holder));
+    simulation.leases[0]!.dispose();
+    await simulation.advanceTime(100, 1);
+    await simulation.advanceTime(100, 1);
+    expect(simulation.acting.filter(index => index === 1)).toEqual(acting);
+  },
+);
 
-it('that was lost in an outage is taken again at once when nobody else took it', async () => {
-  const world = new LeaseWorld(1);
-  await world.pass(STEP, 0);
-  world.clock.pause(DURATION);
-  await world.pass(10, 0);
-  await world.pass(10, 0);
-  expect([world.acting, world.leases[0]!.fencing]).toEqual([[0], 2]);
+it('a lease that was lost in an outage is acquired again at once if no other process took it', async () => {
+  const simulation = new LeaseSimulation(1);
+  await simulation.advanceTime(STEP, 0);
+  simulation.clock.pause(DURATION);
+  await simulation.advanceTime(10, 0);
+  await simulation.advanceTime(10, 0);
+  expect([simulation.acting, simulation.leases[0]!.fencing]).toEqual([[0], 2]);
 });
 
-it('is not acted on after a pause, and the next holder has a higher number', async () => {
-  const world = new LeaseWorld(2);
-  await world.pass(STEP, 0);
-  await world.pass(STEP, 0, 1);
-  world.clock.pause(DURATION);
-  expect(world.acting).toEqual([]);
-  await world.pass(0, 1);
-  expect([world.acting, world.leases[1]!.fencing]).toEqual([[1], 2]);
-  await world.pass(STEP, 0);
-  expect(world.leases[0]!.state).toBe('idle');
+it('a lease permits no actions after a pause, and the next holder has a higher fencing number', async () => {
+  const simulation = new LeaseSimulation(2);
+  await simulation.advanceTime(STEP, 0);
+  await simulation.advanceTime(STEP, 0, 1);
+  simulation.clock.pause(DURATION);
+  expect(simulation.acting).toEqual([]);
+  await simulation.advanceTime(0, 1);
+  expect([simulation.acting, simulation.leases[1]!.fencing]).toEqual([[1], 2]);
+  await simulation.advanceTime(STEP, 0);
+  expect(simulation.leases[0]!.state).toBe('idle');
 });
 
-it('ends a duration after its write began, however late that was confirmed', async () => {
-  const world = new LeaseWorld(2);
-  world.platform.addFault({kind: 'answerLost'}, {access: 'write', times: 1});
-  await world.pass(100, 0);
-  await world.pass(25_000, 1);
-  await world.pass(5_500, 0);
-  expect(world.leases[0]!.state).toBe('held');
-  await world.pass(0, 1);
-  expect(world.acting).toEqual([1]);
+it('a lease expires one duration after its write began, however late that was confirmed', async () => {
+  const simulation = new LeaseSimulation(2);
+  simulation.platform.addFault(
+    {kind: 'answerLost'},
+    {access: 'write', times: 1},
+  );
+  await simulation.advanceTime(100, 0);
+  await simulation.advanceTime(25_000, 1);
+  await simulation.advanceTime(5_500, 0);
+  expect(simulation.leases[0]!.state).toBe('held');
+  await simulation.advanceTime(0, 1);
+  expect(simulation.acting).toEqual([1]);
 });
 
-it('passes on at once when released, and above a number that an engine has seen', async () => {
-  const world = new LeaseWorld(2);
-  await world.pass(STEP, 0, 1);
-  await world.leases[0]!.release(neverCancelled);
-  await world.pass(STEP, 1);
-  expect([world.acting, world.leases[1]!.fencing]).toEqual([[1], 2]);
-  await world.leases[1]!.supersededBy(7, neverCancelled);
-  expect(world.acting).toEqual([]);
+it('a lease is acquired at once after a release, and above a fencing number that an engine has seen', async () => {
+  const simulation = new LeaseSimulation(2);
+  await simulation.advanceTime(STEP, 0, 1);
+  await simulation.leases[0]!.release(neverCancelled);
+  await simulation.advanceTime(STEP, 1);
+  expect([simulation.acting, simulation.leases[1]!.fencing]).toEqual([[1], 2]);
+  await simulation.leases[1]!.supersededBy(7, neverCancelled);
+  expect(simulation.acting).toEqual([]);
   for (let waited = 0; waited < DURATION + 3 * STEP; waited += STEP) {
-    await world.pass(STEP, 1);
+    await simulation.advanceTime(STEP, 1);
   }
-  expect(world.leases[1]!.fencing).toBe(8);
+  expect(simulation.leases[1]!.fencing).toBe(8);
 });
 
 const fault = fastCheck.constantFrom<PlatformFault>(
@@ -181,28 +196,28 @@
 });
 
 it.each([false, true])(
-  'never lets two act, whatever is lost, late or paused, acting unrenewed: %s',
+  'a lease never lets two processes act, whatever is lost, late or paused, if actsUnrenewed is %s',
   async actsUnrenewed => {
     await fastCheck.assert(
       fastCheck.asyncProperty(
         fastCheck.array(step, {minLength: 5, maxLength: 30}),
         async steps => {
           const settings = {...defaultLeaseSettings, actsUnrenewed};
-          const world = new LeaseWorld(3, settings);
+          const simulation = new LeaseSimulation(3, settings);
           let highest = 0;
           for (const {milliseconds, advancing, faults, released} of steps) {
             for (const [index, kind] of faults) {
               const scope = {instance: `p${index}`, times: 1};
-              world.platform.addFault(kind, scope);
+              simulation.platform.addFault(kind, scope);
             }
-            await world.pass(milliseconds, ...advancing);
+            await simulation.advanceTime(milliseconds, ...advancing);
             if (released !== null && released !== undefined) {
-              void world.leases[released]!.release(neverCancelled);
+              void simulation.leases[released]!.release(neverCancelled);
             }
-            const {acting, row} = world;
+            const {acting, row} = simulation;
             expect(acting.length).toBeLessThanOrEqual(1);
             for (const index of acting) {
-              const {fencing} = world.leases[index]!;
+              const {fencing} = simulation.leases[index]!;
               expect([row?.holder, row?.fencing]).toEqual([
                 `p${index}`,
                 fencing,
--- a/src/features/routing/node/cellOwnerClient.ts
+++ b/src/features/routing/node/cellOwnerClient.ts
@@ -61,7 +61,7 @@
     );
   }
 
-  /** Calls a cell's owners in order; undefined if none answered in time. `onNoAnswer` gets each one that didn't answer. */
+  /** Calls a cell's owners in order; undefined if none answered in time. `onNoAnswer` gets each that didn't answer. */
   async ask<T>(
     cell: string,
     call: (authority: CellAuthority, signal: AbortSignal) => Promise<T>,
--- a/src/features/routing/node/cellSearch.ts
+++ b/src/features/routing/node/cellSearch.ts
@@ -50,7 +50,7 @@
 /** Cells with unreachable owners for which this process decides itself. */
 const MAX_LOCAL_DECISIONS = 2;
 const DEFAULT_RETRY_MILLISECONDS = 1000;
-/** Share of the first-token time that a local decision leaves unused, and its growth with the age of the load reports. */
+/** Share of the first-token time that a local decision leaves unused, and its growth with the age of load reports. */
 const LOCAL_MARGIN = 0.1;
 const LOCAL_MARGIN_PER_SECOND = 0.05;
 const MAX_LOCAL_MARGIN = 0.5;
