--- a/src/features/placement/common/changeValue.ts
+++ b/src/features/placement/common/changeValue.ts
@@ -7,7 +7,7 @@
 
 /** Time over which the gain of a change made for load is counted. */
 const LOAD_HORIZON_SECONDS = 1_800;
-/** Operators state versions, so the gain of reaching one is counted over a much longer time than that of load. */
+/** Operators configure versions, so the gain of reaching one counts over a much longer time than that of load. */
 const VERSION_HORIZON_SECONDS = 86_400;
 /** Value of capacity beyond the need, relative to needed capacity. */
 const SPARE_CAPACITY_VALUE = 0.05;
--- a/src/features/placement/common/engineWatch.ts
+++ b/src/features/placement/common/engineWatch.ts
@@ -24,7 +24,7 @@
 /** Time after which an order whose effect no report shows counts as having none. */
 const ORDER_EFFECT_TIMEOUT_MILLISECONDS = 60_000;
 
-/** Keeps the newest load report of each engine of one data centre. */
+/** Keeps the newest load report of each engine of one data centre; polls only the engines that callers name. */
 export class EngineWatch {
   private readonly engines = new Map<string, WatchedEngine>();
 
@@ -35,9 +35,9 @@
 
   /** Watches exactly these engines and keeps the reports of those already watched. */
   setEngines(members: readonly UpstreamMember[]): void {
-    const wanted = new Set(members.map(member => member.id));
+    const listedIds = new Set(members.map(member => member.id));
     for (const id of this.engines.keys()) {
-      if (!wanted.has(id)) {
+      if (!listedIds.has(id)) {
         this.engines.delete(id);
       }
     }
--- a/src/features/placement/common/manifestCache.ts
+++ b/src/features/placement/common/manifestCache.ts
@@ -58,12 +58,12 @@
   }
 
   private removeUnconfigured(models: readonly Model[]): void {
-    const wanted = new Set(
+    const configuredKeys = new Set(
       models.map(({name, version}) => manifestKey(name, version)),
     );
     for (const map of [this.found, this.askedAt]) {
       for (const key of map.keys()) {
-        if (!wanted.has(key)) {
+        if (!configuredKeys.has(key)) {
           map.delete(key);
         }
       }
--- a/src/features/placement/common/placementCandidates.ts
+++ b/src/features/placement/common/placementCandidates.ts
@@ -106,17 +106,17 @@
   input: CandidateInput,
 ): readonly WantedChange[] {
   const {models} = input.view;
-  const own = state.model === undefined ? undefined : models[state.model];
+  const ownModel = state.model === undefined ? undefined : models[state.model];
   switch (state.kind) {
     case 'live':
-      return own === undefined
+      return ownModel === undefined
         ? changesToAnyModel(state, input, 'notConfigured')
         : [
-            ...configurationChanges(state, own),
-            ...movesToOtherModels(state, own, input),
+            ...configurationChanges(state, ownModel),
+            ...movesToOtherModels(state, ownModel, input),
           ];
     case 'draining':
-      return intendedChange(state, own, input);
+      return intendedChange(state, ownModel, input);
     case 'incomplete':
       return isRepairDue(state, input.now)
         ? changesToAnyModel(state, input, 'incomplete')
@@ -147,16 +147,16 @@
 /** Moves of a replica to models that need it more. */
 function movesToOtherModels(
   state: ReplicaState,
-  own: Model,
+  ownModel: Model,
   input: CandidateInput,
 ): readonly WantedChange[] {
-  const donor = input.needs.get(own.name);
+  const donor = input.needs.get(ownModel.name);
   if (donor === undefined || !input.isLoadKnown) {
     return [];
   }
   const loss = gainOfSequences(donor, -state.sequences);
   return Object.values(input.view.models)
-    .filter(model => model.name !== own.name)
+    .filter(model => model.name !== ownModel.name)
     .map(model => {
       const need = input.needs.get(model.name)!;
       const gain = gainOfSequences(need, state.sequences) + loss;
@@ -168,7 +168,7 @@
 /** The change that a replica was drained for; if unknown, the change to its model's configuration. */
 function intendedChange(
   state: ReplicaState,
-  own: Model | undefined,
+  ownModel: Model | undefined,
   input: CandidateInput,
 ): readonly WantedChange[] {
   const {intendedVersion} = state.view;
@@ -179,9 +179,9 @@
     const reason = model.name === state.model ? 'version' : 'load';
     return [{model, reason, gain: gainOfVersion(state.sequences)}];
   }
-  return own === undefined
+  return ownModel === undefined
     ? changesToAnyModel(state, input, 'notConfigured')
-    : configurationChanges(state, own);
+    : configurationChanges(state, ownModel);
 }
 
 function changesToAnyModel(
@@ -191,17 +191,17 @@
 ): readonly WantedChange[] {
   return Object.values(input.view.models).map(model => {
     const need = input.needs.get(model.name)!;
-    const own = model.name === state.model ? 1 : 0;
-    const gain = gainOfSequences(need, state.sequences) + own;
+    const currentBonus = model.name === state.model ? 1 : 0;
+    const gain = gainOfSequences(need, state.sequences) + currentBonus;
     return {model, reason, gain};
   });
 }
 
 /** Whether to repair an incomplete replica: at once if all its engines are usable, else after a wait for the others. */
 function isRepairDue({view, engines}: ReplicaState, now: number): boolean {
-  const isWhole = engines.length === view.engines.length;
+  const areAllUsable = engines.length === view.engines.length;
   const since = view.incompleteSince ?? now;
-  return isWhole || now - since >= INCOMPLETE_GRACE_MILLISECONDS;
+  return areAllUsable || now - since >= INCOMPLETE_GRACE_MILLISECONDS;
 }
 
 function evaluate(
--- a/src/features/placement/common/placementPlanner.ts
+++ b/src/features/placement/common/placementPlanner.ts
@@ -14,7 +14,7 @@
 import {ReplicaHistory} from './replicaHistory.js';
 import {stateOf} from './replicaState.js';
 
-/** Engines polled in each round in the background: about 0.75 KB, whatever the size of the data centre. */
+/** Engines polled per round in the background: about 0.75 KB a round, whatever the size of the data centre. */
 const BACKGROUND_POLLS_PER_ROUND = 1;
 /** Most engines of changing replicas that are polled in a round. */
 const MAX_CHANGING_POLLS_PER_ROUND = 16;
--- a/src/features/placement/common/planPlacement.ts
+++ b/src/features/placement/common/planPlacement.ts
@@ -26,7 +26,7 @@
 const MIN_OBSERVATION_MILLISECONDS = 60_000;
 /** Time within which all routers notice that a replica takes no new work. */
 const DRAIN_PROPAGATION_MILLISECONDS = 3_000;
-/** Replicas drained while another one loads, so that the weight store isn't idle between two loads. */
+/** Replicas drained ahead of the one that loads, so that the weight store isn't idle between two loads. */
 const MAX_DRAINED_AHEAD = 1;
 
 /** Plans the next changes. Deterministic: the same input gives the same plan. */
@@ -48,9 +48,12 @@
 class PlanBuilder {
   private readonly changes: PlacementChange[] = [];
   private readonly heldBack: HeldBack[] = [];
+  /** Replicas that load, including those planned so far. */
   private loading: number;
+  /** Replicas that drain, including those planned so far. */
   private draining: number;
   private readonly changingCountByModel = new Map<string, number>();
+  /** Needs by model, reduced by the drains planned so far. */
   private readonly live = new Map<string, ModelNeed>();
 
   constructor(
--- a/src/features/placement/common/tableLease.ts
+++ b/src/features/placement/common/tableLease.ts
@@ -77,7 +77,7 @@
     return isUsable ? this.held?.fencing : undefined;
   }
 
-  /** Whether the last write was confirmed, so that the lease will probably be renewed. */
+  /** Whether the last call for the lease was confirmed, so that it will probably be renewed. */
   get isRenewed(): boolean {
     return this.state === 'held';
   }
--- a/src/features/placement/test/planPlacement.test.ts
+++ b/src/features/placement/test/planPlacement.test.ts
@@ -69,7 +69,7 @@
   models: readonly string[],
   adapters: readonly string[] = [],
 ): PlacementView {
-  const stated = models.map((text): Model => {
+  const configured = models.map((text): Model => {
     const [name = '', version = ''] = text.split('/');
     return {name, version, layerCount: LAYERS, adapters};
   });
@@ -78,7 +78,7 @@
   return {
     dataCentre: 'd',
     share: 1,
-    models: Object.fromEntries(stated.map(model => [model.name, model])),
+    models: Object.fromEntries(configured.map(model => [model.name, model])),
     classes: {order: {...order, ...target, requestsPerSecond: 1}},
     replicas,
   };
@@ -143,7 +143,7 @@
   readonly has: string;
   /** A further replica that `has` can't describe. */
   readonly extra?: ReplicaView;
-  readonly stated: string;
+  readonly configured: string;
   readonly plan: string;
   readonly load?: Readonly<Record<string, number>>;
   readonly observed?: number;
@@ -153,22 +153,22 @@
 
 // prettier-ignore
 const cases: readonly PlanCase[] = [
-  {name: 'nothing changes when all replicas are as configured', has: 'a=m/1 b=m/1 c=m/1', stated: 'm/1', plan: ''},
-  {name: 'one replica at a time changes its version', has: 'a=m/1*2 b=m/1*2 c=m/1*2', stated: 'm/2', load: {m: 6}, plan: 'drain a>m/2, othersChange'},
-  {name: 'the only live replica is not drained', has: 'a=m/1', stated: 'm/2', plan: 'tooFewLive'},
-  {name: 'no replica is drained when the others could not carry the load', has: 'a=m/1*5 b=m/1*5', stated: 'm/2', load: {m: 10}, plan: 'tooFewLive'},
-  {name: 'a replica without a configured adapter is drained', has: 'a=m/1 b=m/1', stated: 'm/1', adapters: ['x'], plan: 'drain a>m/1, tooFewLive'},
-  {name: 'a drained replica loads', has: 'a=m/1~ b=m/1*3', stated: 'm/2', load: {m: 3}, plan: 'load a>m/2, tooFewLive'},
-  {name: 'a draining replica with requests does not load yet', has: 'a=m/1*1~ b=m/1*3', stated: 'm/2', load: {m: 4}, plan: 'tooFewLive'},
-  {name: 'a drained replica is restored when its change is no longer wanted', has: 'a=m/1~ b=m/1', stated: 'm/1', plan: 'restore a>m/1'},
-  {name: 'a change of which only some orders took effect is completed at once', has: 'b=m/2', extra: partlyChanged, stated: 'm/2', plan: 'load a>m/2'},
-  {name: 'a drained replica does not load while another one loads', has: 'a=n/1! b=m/1~ c=m/2 d=n/1', stated: 'm/2 n/1', plan: 'weightStoreBusy'},
-  {name: 'a model without replicas gets one', has: 'a=m/1 b=m/1 c=m/1', stated: 'm/1 n/1', load: {m: 2}, plan: 'drain a>n/1, othersChange'},
-  {name: 'load that was observed only briefly moves no replica', has: 'a=m/1 b=m/1 c=m/1', stated: 'm/1 n/1', load: {m: 2}, observed: 1_000, plan: ''},
-  {name: 'a loaded model gets a replica of an idle one', has: 'a=m/1 b=m/1 c=m/1 d=n/1*8', stated: 'm/1 n/1', load: {n: 8}, plan: 'drain a>n/1, othersChange'},
-  {name: 'a gain smaller than the cost moves no replica', has: 'a=m/1 b=m/1 c=m/1 d=n/1*8', stated: 'm/1 n/1', load: {n: 8}, share: 1e-4, plan: 'costsMoreThanGain'},
-  {name: 'a replica of a model that is no longer configured is drained for another', has: 'a=old/1 b=m/1', stated: 'm/1', plan: 'drain a>m/1'},
-  {name: 'layers of an engine that is unreachable for long move to the other engines', has: 'b=m/1', extra: incomplete, stated: 'm/1', plan: 'load a>m/1'},
+  {name: 'nothing changes when all replicas are as configured', has: 'a=m/1 b=m/1 c=m/1', configured: 'm/1', plan: ''},
+  {name: 'one replica at a time changes its version', has: 'a=m/1*2 b=m/1*2 c=m/1*2', configured: 'm/2', load: {m: 6}, plan: 'drain a>m/2, othersChange'},
+  {name: 'the only live replica is not drained', has: 'a=m/1', configured: 'm/2', plan: 'tooFewLive'},
+  {name: 'no replica is drained when the others could not carry the load', has: 'a=m/1*5 b=m/1*5', configured: 'm/2', load: {m: 10}, plan: 'tooFewLive'},
+  {name: 'a replica without a configured adapter is drained', has: 'a=m/1 b=m/1', configured: 'm/1', adapters: ['x'], plan: 'drain a>m/1, tooFewLive'},
+  {name: 'a drained replica loads', has: 'a=m/1~ b=m/1*3', configured: 'm/2', load: {m: 3}, plan: 'load a>m/2, tooFewLive'},
+  {name: 'a draining replica with requests does not load yet', has: 'a=m/1*1~ b=m/1*3', configured: 'm/2', load: {m: 4}, plan: 'tooFewLive'},
+  {name: 'a drained replica is restored when its change is no longer wanted', has: 'a=m/1~ b=m/1', configured: 'm/1', plan: 'restore a>m/1'},
+  {name: 'a change of which only some orders took effect is completed at once', has: 'b=m/2', extra: partlyChanged, configured: 'm/2', plan: 'load a>m/2'},
+  {name: 'a drained replica does not load while another one loads', has: 'a=n/1! b=m/1~ c=m/2 d=n/1', configured: 'm/2 n/1', plan: 'weightStoreBusy'},
+  {name: 'a model without replicas gets one', has: 'a=m/1 b=m/1 c=m/1', configured: 'm/1 n/1', load: {m: 2}, plan: 'drain a>n/1, othersChange'},
+  {name: 'load that was observed only briefly moves no replica', has: 'a=m/1 b=m/1 c=m/1', configured: 'm/1 n/1', load: {m: 2}, observed: 1_000, plan: ''},
+  {name: 'a loaded model gets a replica of an idle one', has: 'a=m/1 b=m/1 c=m/1 d=n/1*8', configured: 'm/1 n/1', load: {n: 8}, plan: 'drain a>n/1, othersChange'},
+  {name: 'a gain smaller than the cost moves no replica', has: 'a=m/1 b=m/1 c=m/1 d=n/1*8', configured: 'm/1 n/1', load: {n: 8}, share: 1e-4, plan: 'costsMoreThanGain'},
+  {name: 'a replica of a model that is no longer configured is drained for another', has: 'a=old/1 b=m/1', configured: 'm/1', plan: 'drain a>m/1'},
+  {name: 'layers of an engine that is unreachable for long move to the other engines', has: 'b=m/1', extra: incomplete, configured: 'm/1', plan: 'load a>m/1'},
 ];
 
 it.each(cases)('$name', testCase => {
@@ -176,12 +176,12 @@
     ...(testCase.extra ? [testCase.extra] : []),
     ...parse(testCase.has),
   ];
-  const stated = viewOf(
+  const configured = viewOf(
     replicas,
-    testCase.stated.split(' '),
+    testCase.configured.split(' '),
     testCase.adapters,
   );
-  const view = {...stated, share: testCase.share ?? 1};
+  const view = {...configured, share: testCase.share ?? 1};
   const demand = demandOf(testCase.load ?? {}, testCase.observed);
   const manifests = manifestsOf(view);
   const plan = planPlacement(view, demand, manifests, NOW);
@@ -231,7 +231,7 @@
     fastCheck.tuple(holding, fastCheck.integer({min: 0, max: 8})),
     {minLength: 1, maxLength: 12},
   ),
-  stated: fastCheck.constantFrom(['m/2'], ['m/2', 'n/1'], ['n/1', 'm/1']),
+  configured: fastCheck.constantFrom(['m/2'], ['m/2', 'n/1'], ['n/1', 'm/1']),
 });
 
 /** Applies a plan as if all its orders took effect at once. */
@@ -263,7 +263,7 @@
 
 it('reaches a state without changes, and a served model never loses its last live replica', () => {
   fastCheck.assert(
-    fastCheck.property(placementArbitrary, ({replicas, stated}) => {
+    fastCheck.property(placementArbitrary, ({replicas, configured}) => {
       let views: readonly ReplicaView[] = replicas.map(
         ([holds, occupied], index) => replica(`g${index}`, holds, occupied),
       );
@@ -278,7 +278,7 @@
           return state.kind === 'live' && state.model === model;
         });
       for (let round = 0; ; round++) {
-        const view = viewOf(views, stated);
+        const view = viewOf(views, configured);
         const models = Object.keys(view.models);
         const before = models.filter(name => served(name, view.models));
         const manifests = manifestsOf(view);
--- a/src/features/routing/test/capacityBroker.test.ts
+++ b/src/features/routing/test/capacityBroker.test.ts
@@ -131,10 +131,10 @@
   cluster.engines.set('e5');
   cluster.show(instances, joined);
   await cluster.clock.advanceAsync(100);
-  const taken = await Promise.all(
+  const replies = await Promise.all(
     Array.from({length: 16}, (_, index) => reserve(ownerOf(), `n${index}`)),
   );
-  const atOnce = taken.filter(
+  const atOnce = replies.filter(
     reply =>
       reply.kind === 'reserved' &&
       reply.reservation.prediction.startsInMilliseconds === 0,
@@ -292,16 +292,16 @@
     expect(next).toMatchObject({kind: after});
   });
 
-  test('can be released after their owner left, and the next owner grants new ones', async () => {
+  test('can be released after their owner remaining, and the next owner grants new ones', async () => {
     await startCluster();
     const from = nonOwners()[0]!;
     const reservation = await reserveOrThrow(from);
-    const left = instances.filter(instance => instance.id !== ownerOf());
+    const remaining = instances.filter(instance => instance.id !== ownerOf());
     cluster.reachability.set(ownerOf(), 'down');
     cluster.show(
-      left,
+      remaining,
       engines,
-      left.map(instance => instance.id),
+      remaining.map(instance => instance.id),
     );
     await cluster.clock.advanceAsync(1500);
     cluster.broker(from).release(reservation, [observation('e1', 'completed')]);
@@ -312,8 +312,8 @@
     await startCluster();
     const owner = ownerOf();
     const [other, third] = nonOwners();
-    const left = instances.filter(instance => instance.id !== owner);
-    cluster.show(left, engines, [other!]);
+    const remaining = instances.filter(instance => instance.id !== owner);
+    cluster.show(remaining, engines, [other!]);
     await cluster.clock.advanceAsync(1500);
     const byOther = await reserveOrThrow(other!, 'r1');
     const byOwner = await reserveOrThrow(third!, 'r2');
