--- a/src/features/placement/common/replicaState.ts
+++ b/src/features/placement/common/replicaState.ts
@@ -70,10 +70,10 @@
   model: Model | undefined,
   version: string | undefined,
 ): ReplicaKind {
-  const isUnheard = view.engines.some(
+  const hasMissingReport = view.engines.some(
     ({report, reachable}) => report === undefined && reachable,
   );
-  if (isUnheard) {
+  if (hasMissingReport) {
     return 'unknown';
   }
   if (engines.some(({pending, report}) => pending || report?.loading)) {
