--- a/src/features/forwarding/test/forwardingBench.ts
+++ b/src/features/forwarding/test/forwardingHarness.ts
@@ -22,16 +22,16 @@
 import {ConfigurationKeeper} from '../../traffic/common/configurationKeeper.js';
 import {TrafficConfiguration} from '../../traffic/common/trafficConfiguration.js';
 import {
-  AnswerHead,
+  ResponseHead,
   CallerExchange,
   CallerRequest,
-  RouterAnswer,
+  RouterResponse,
 } from '../common/callerExchange.js';
 import {defaultForwardingSettings} from '../common/forwardingSettings.js';
 import {OutcomeHistory} from '../common/outcomeHistory.js';
 import {RetryBudget} from '../common/retryBudget.js';
 import {
-  AnswerListener,
+  ResponseListener,
   UpstreamConnector,
   UpstreamExchange,
   UpstreamRequest,
@@ -49,10 +49,10 @@
 import {StreamWatch} from '../node/streamWatch.js';
 import {UpstreamTrials} from '../node/upstreamTrials.js';
 
-/** Forwarding with everything outside it replaced by fakes that a test drives. */
+/** Test harness for forwarding: everything outside it is replaced by fakes that a test controls. */
 
-/** Headers with plain names; what is added stands in them as JSON. */
-export class FakeWire extends Wire {
+/** Headers with plain names; the values that the router adds are one header in JSON. */
+export class FakeHeaderCodec extends Wire {
   override readRequest(headers: RawHeaders): RequestFacts {
     const fields = toFields(headers);
     return {
@@ -109,21 +109,21 @@
   return fields;
 }
 
-/** One sending that a test answers. */
-export class FakeSending extends UpstreamExchange {
-  isClosed = false;
-  /** Whether the answer is over. */
-  isOver = false;
+/** One exchange with an upstream; the test sends the response. */
+export class FakeUpstreamExchange extends UpstreamExchange {
+  isDisposed = false;
+  /** Whether the response has ended. */
+  hasResponded = false;
 
   constructor(
     readonly upstream: Upstream,
     readonly request: UpstreamRequest,
-    private readonly listener: AnswerListener,
+    private readonly listener: ResponseListener,
   ) {
     super();
   }
 
-  /** What the router added to the request. */
+  /** The values that the router added to the request. */
   get added() {
     const text = toFields(this.request.headers)['added'] ?? '{}';
     return JSON.parse(text) as Readonly<Record<string, unknown>>;
@@ -133,7 +133,7 @@
     return toFields(this.request.headers)['id'] ?? '';
   }
 
-  /** A whole answer with a proof. */
+  /** Sends a complete response, by default with a proof. */
   answer(
     status = 200,
     extra: readonly string[] = ['proof', 'p'],
@@ -152,47 +152,47 @@
     this.listener.onBody(Buffer.from(text));
   }
 
-  /** Events with identifiers from one to another, both included. */
-  eventsOf(from: number, to: number): void {
+  /** Sends the events with identifiers in a range, both ends included. */
+  sendEvents(from: number, to: number): void {
     for (let id = from; id <= to; id++) {
       this.body(`id: ${id}\ndata: ${id}\n\n`);
     }
   }
 
   end(isFramed = true): void {
-    this.isOver = true;
+    this.hasResponded = true;
     this.listener.onEnd(isFramed);
   }
 
   fail(wasSent: boolean): void {
-    this.isOver = true;
+    this.hasResponded = true;
     this.listener.onFailure({wasSent, detail: 'reset'});
   }
 
   override pause(): void {}
   override resume(): void {}
   override dispose(): void {
-    this.isClosed = true;
+    this.isDisposed = true;
   }
 }
 
-/** Keeps all sendings. */
+/** Records all exchanges. */
 export class FakeConnector extends UpstreamConnector {
-  readonly sendings: FakeSending[] = [];
+  readonly openedExchanges: FakeUpstreamExchange[] = [];
 
   override open(
     upstream: Upstream,
     request: UpstreamRequest,
-    listener: AnswerListener,
+    listener: ResponseListener,
   ): UpstreamExchange {
-    const sending = new FakeSending(upstream, request, listener);
-    this.sendings.push(sending);
-    return sending;
+    const exchange = new FakeUpstreamExchange(upstream, request, listener);
+    this.openedExchanges.push(exchange);
+    return exchange;
   }
 
-  /** The last sending. */
-  get last(): FakeSending {
-    const last = this.sendings.at(-1);
+  /** The most recent exchange. */
+  get last(): FakeUpstreamExchange {
+    const last = this.openedExchanges.at(-1);
     if (last === undefined) {
       throw new Error('nothing was sent');
     }
@@ -200,15 +200,15 @@
   }
 }
 
-/** Upstreams answer reports unless they are dead. */
+/** Upstreams respond to report requests unless they are unreachable. */
 export class FakeControl extends UpstreamControl {
-  readonly dead = new Set<string>();
-  /** Upstreams where another run answers under the same name. */
+  readonly unreachableIds = new Set<string>();
+  /** Upstreams that were restarted: another run responds under the same name. */
   readonly restarted = new Set<string>();
-  readonly moves: string[] = [];
-  reports = 0;
-  /** Milliseconds after which reports are answered; Infinity when never. */
-  reportMilliseconds = 0;
+  readonly requestedPaths: string[] = [];
+  reportCount = 0;
+  /** Delay of reports in milliseconds; Infinity if they are never sent. */
+  reportDelayMilliseconds = 0;
 
   constructor(private readonly clock: FakeClock) {
     super();
@@ -219,13 +219,13 @@
   override async report(
     upstream: Upstream,
   ): Promise<Result<UpstreamReport, UpstreamCallError>> {
-    this.reports++;
+    this.reportCount++;
     await this.wait();
     if (this.restarted.has(upstream.id)) {
       return failure({kind: 'misdirected'});
     }
-    return this.dead.has(upstream.id)
-      ? failure({kind: 'noAnswer', detail: 'dead'})
+    return this.unreachableIds.has(upstream.id)
+      ? failure({kind: 'noAnswer', detail: 'unreachable'})
       : success({
           orderCount: 0,
           isBusy: false,
@@ -236,7 +236,7 @@
   }
 
   private async wait(): Promise<void> {
-    const milliseconds = this.reportMilliseconds;
+    const milliseconds = this.reportDelayMilliseconds;
     if (milliseconds > 0) {
       await new Promise<void>(resolve => {
         if (Number.isFinite(milliseconds)) {
@@ -257,23 +257,23 @@
     _requestId: string,
     path: Path,
   ): Promise<Result<void, UpstreamCallError>> {
-    this.moves.push(path.map(({upstream}) => upstream.id).join(','));
+    this.requestedPaths.push(path.map(({upstream}) => upstream.id).join(','));
     return this.moveError === undefined
       ? success(undefined)
       : failure(this.moveError);
   }
 }
 
-/** A caller whose answer is recorded. */
+/** A caller that records its response. */
 export class FakeCaller extends CallerExchange {
-  private readonly left = new Emitter<void>();
-  override readonly onDidLeave = this.left.event;
-  own: RouterAnswer | undefined;
-  whole: {head: AnswerHead; body: string} | undefined;
+  private readonly disconnected = new Emitter<void>();
+  override readonly onDidDisconnect = this.disconnected.event;
+  own: RouterResponse | undefined;
+  whole: {head: ResponseHead; body: string} | undefined;
   text = '';
   isEnded = false;
-  isBroken = false;
-  hasLeft = false;
+  isAborted = false;
+  hasDisconnected = false;
   private begun = false;
 
   constructor(
@@ -284,7 +284,7 @@
   }
 
   override get isOver(): boolean {
-    return this.isEnded || this.isBroken || this.hasLeft;
+    return this.isEnded || this.isAborted || this.hasDisconnected;
   }
 
   override get hasBegun(): boolean {
@@ -296,23 +296,23 @@
     return body.length > limitBytes ? undefined : body;
   }
 
-  override sendWhole(head: AnswerHead, body: Uint8Array): void {
+  override sendResponse(head: ResponseHead, body: Uint8Array): void {
     if (!this.isOver) {
       this.whole = {head, body: Buffer.from(body).toString()};
       this.isEnded = true;
     }
   }
 
-  override sendOwn(answer: RouterAnswer): void {
+  override sendOwn(response: RouterResponse): void {
     if (this.begun) {
-      this.breakOff();
+      this.abort();
     } else if (!this.isOver) {
-      this.own = answer;
+      this.own = response;
       this.isEnded = true;
     }
   }
 
-  override begin(): void {
+  override sendHead(): void {
     this.begun = true;
   }
 
@@ -327,32 +327,34 @@
     this.isEnded = true;
   }
 
-  override breakOff(): void {
-    this.isBroken = true;
+  override abort(): void {
+    this.isAborted = true;
   }
 
   leave(): void {
-    this.hasLeft = true;
-    this.left.fire();
+    this.hasDisconnected = true;
+    this.disconnected.fire();
   }
 
-  /** One word for what the caller got. */
+  /** A short description of what the caller received. */
   get outcome(): string {
     if (this.own !== undefined) {
-      return this.own.kind === 'notRun' ? 'notRun' : `own ${this.own.status}`;
+      return this.own.kind === 'notRun'
+        ? 'notRun'
+        : `router ${this.own.status}`;
     }
     if (this.whole !== undefined) {
-      return `whole ${this.whole.head.status}`;
+      return `upstream ${this.whole.head.status}`;
     }
-    if (this.isBroken) {
-      return 'broken';
+    if (this.isAborted) {
+      return 'aborted';
     }
     return this.isEnded ? 'stream' : 'open';
   }
 }
 
-/** A handler with its fakes. */
-export class ForwardingBench {
+/** A request handler with fake dependencies. */
+export class ForwardingHarness {
   readonly clock = new FakeClock();
   readonly connector = new FakeConnector();
   readonly control = new FakeControl(this.clock);
@@ -394,7 +396,7 @@
       random: new SeededRandomSource(1),
       logger,
       metrics: new RequestMetrics(new Registry()),
-      wire: new FakeWire(),
+      wire: new FakeHeaderCodec(),
       connector,
       control,
       configuration: this.configuration,
@@ -452,20 +454,20 @@
       body,
     );
     void this.handler.handle(caller);
-    await this.settle();
+    await this.flushPromises();
     return caller;
   }
 
-  /** Lets pending promises run. */
-  async settle(): Promise<void> {
+  /** Lets pending promises settle. */
+  async flushPromises(): Promise<void> {
     for (let turn = 0; turn < 30; turn++) {
       await Promise.resolve();
     }
   }
 
-  /** Moves time on and lets promises run. */
-  async pass(milliseconds: number): Promise<void> {
+  /** Advances the clock and lets pending promises settle. */
+  async advance(milliseconds: number): Promise<void> {
     await this.clock.advanceAsync(milliseconds);
-    await this.settle();
+    await this.flushPromises();
   }
 }
--- a/src/features/forwarding/test/httpUpstreamExchange.test.ts
+++ b/src/features/forwarding/test/httpUpstreamExchange.test.ts
@@ -3,19 +3,21 @@
 import {afterEach, describe, expect, it} from 'vitest';
 
 import {makeUpstream} from '../../fleet/test/upstreams.js';
-import {AnswerListener, ExchangeFailure} from '../common/upstreamExchange.js';
+import {ResponseListener, ExchangeFailure} from '../common/upstreamExchange.js';
 import {RawHeaders} from '../common/wire.js';
 import {HttpUpstreamConnector} from '../node/httpUpstreamConnector.js';
 
-/** Exchanges with upstreams that answer in every wrong way, over real sockets. */
+/** Exchanges over real sockets with upstreams that respond in various faulty ways. */
 
-/** Records an answer and tells when it is over. */
-class Recorder extends AnswerListener {
+/** Records a response and how it ended. */
+class Recorder extends ResponseListener {
   status = 0;
   body = '';
   headers: RawHeaders = [];
-  private onOver: (outcome: string) => void = () => undefined;
-  readonly over = new Promise<string>(resolve => (this.onOver = resolve));
+  private resolveEnded: (outcome: string) => void = () => undefined;
+  readonly ended = new Promise<string>(
+    resolve => (this.resolveEnded = resolve),
+  );
 
   override onHead(status: number, _reason: string, headers: RawHeaders): void {
     this.status = status;
@@ -27,11 +29,11 @@
   }
 
   override onEnd(isFramed: boolean): void {
-    this.onOver(isFramed ? 'end' : 'end of connection');
+    this.resolveEnded(isFramed ? 'end' : 'end of connection');
   }
 
   override onFailure({wasSent}: ExchangeFailure): void {
-    this.onOver(wasSent ? 'lost' : 'not sent');
+    this.resolveEnded(wasSent ? 'lost' : 'not sent');
   }
 }
 
@@ -43,8 +45,8 @@
   servers.splice(0).forEach(server => server.close());
 });
 
-/** Serves by a function of the connection and the count of requests on it. */
-async function serve(
+/** Starts a server; the handler gets the connection and the number of requests on it so far. */
+async function startServer(
   handle: (socket: Socket, count: number) => void,
 ): Promise<string> {
   const server = createServer(socket => {
@@ -89,20 +91,20 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\nX-Proof: p\r\n';
 
-const cases: ReadonlyArray<{
+const responseCases: ReadonlyArray<{
   name: string;
   answer: (socket: Socket) => void;
   outcome: string;
   body: string;
 }> = [
   {
-    name: 'a whole answer',
+    name: 'a complete response',
     answer: socket => socket.write(`${HEAD}Content-Length: 2\r\n\r\nok`),
     outcome: 'end',
     body: 'ok',
   },
   {
-    name: 'a chunked answer',
+    name: 'a chunked response',
     answer: socket =>
       socket.write(
         `${HEAD}Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n`,
@@ -111,13 +113,13 @@
     body: 'ok',
   },
   {
-    name: 'an answer without length that ends with its connection',
+    name: 'an unframed response that ends with its connection',
     answer: socket => socket.end(`${HEAD}Connection: close\r\n\r\nok`),
     outcome: 'end of connection',
     body: 'ok',
   },
   {
-    name: 'an answer without length whose connection is reset',
+    name: 'an unframed response whose connection is reset',
     answer: socket =>
       socket.write(`${HEAD}Connection: close\r\n\r\no`, () =>
         setTimeout(() => socket.resetAndDestroy(), 20),
@@ -126,7 +128,7 @@
     body: 'o',
   },
   {
-    name: 'a reset at once behind an answer without length',
+    name: 'a reset right after an unframed response',
     answer: socket => {
       socket.write(`${HEAD}\r\no`);
       socket.resetAndDestroy();
@@ -135,26 +137,26 @@
     body: '',
   },
   {
-    name: 'an answer that is too short',
+    name: 'a response that is shorter than its content length',
     answer: socket => socket.end(`${HEAD}Content-Length: 9\r\n\r\nok`),
     outcome: 'lost',
     body: 'ok',
   },
   {
-    name: 'a chunked answer that breaks off',
+    name: 'a chunked response that breaks off',
     answer: socket =>
       socket.end(`${HEAD}Transfer-Encoding: chunked\r\n\r\n9\r\nok`),
     outcome: 'lost',
     body: 'ok',
   },
   {
-    name: 'bytes that are no answer',
+    name: 'bytes that are not an HTTP response',
     answer: socket => socket.write('rubbish\r\n\r\n'),
     outcome: 'lost',
     body: '',
   },
   {
-    name: 'a connection that is closed',
+    name: 'a connection that is closed without a response',
     answer: socket => socket.end(),
     outcome: 'lost',
     body: '',
@@ -162,45 +164,48 @@
 ];
 
 describe.each([{isAlone: true}, {isAlone: false}])(
-  'on a connection of its own: $isAlone',
+  'an exchange on its own connection: $isAlone',
   ({isAlone}) => {
-    it.each(cases)('$name', async ({answer, outcome, body}) => {
-      const address = await serve(socket => answer(socket));
-      const recorder = open(makeConnector(), address, isAlone);
-      expect(await recorder.over).toBe(outcome);
-      expect(recorder.body).toContain(body);
-    });
+    it.each(responseCases)(
+      'with $name ends as "$outcome"',
+      async ({answer, outcome, body}) => {
+        const address = await startServer(socket => answer(socket));
+        const recorder = open(makeConnector(), address, isAlone);
+        expect(await recorder.ended).toBe(outcome);
+        expect(recorder.body).toContain(body);
+      },
+    );
   },
 );
 
-it('keeps names, order and repetition of headers', async () => {
+it('an exchange preserves the names, order and repetition of headers', async () => {
   let seen = '';
-  const address = await serve(socket => {
+  const address = await startServer(socket => {
     socket.on('data', bytes => (seen += bytes.toString()));
     socket.end(`${HEAD}X-Two: a\r\nX-Two: b\r\nContent-Length: 0\r\n\r\n`);
   });
   const recorder = open(makeConnector(), address, true);
-  await recorder.over;
+  await recorder.ended;
   expect(recorder.headers.join(' ')).toContain('X-Proof p X-Two a X-Two b');
 });
 
-it('does not take a second answer that comes unasked for the next one', async () => {
-  const address = await serve((socket, count) => {
+it('an exchange does not use an unsolicited response to an earlier request', async () => {
+  const address = await startServer((socket, count) => {
     const answer = `${HEAD}Content-Length: 1\r\n\r\n${count}`;
     socket.write(count === 1 ? `${answer}${answer}` : answer);
   });
   const connector = makeConnector();
   const first = open(connector, address, false);
-  expect(await first.over).toBe('end');
+  expect(await first.ended).toBe('end');
   await new Promise(resolve => setTimeout(resolve, 30));
   const second = open(connector, address, false);
-  expect(await second.over).toBe('end');
+  expect(await second.ended).toBe('end');
 });
 
-it('says of an upstream that nobody listens for that nothing was sent', async () => {
-  const address = await serve(() => undefined);
+it('an exchange reports that nothing was sent when nothing listens at the address', async () => {
+  const address = await startServer(() => undefined);
   const [server] = servers.splice(0);
   await new Promise(resolve => server!.close(resolve));
   const recorder = open(makeConnector(), address, false);
-  expect(await recorder.over).toBe('not sent');
+  expect(await recorder.ended).toBe('not sent');
 });
--- a/src/features/forwarding/test/policies.test.ts
+++ b/src/features/forwarding/test/policies.test.ts
@@ -4,17 +4,17 @@
 import {makeUpstream} from '../../fleet/test/upstreams.js';
 import {choosePlainUpstream} from '../common/choosePlainUpstream.js';
 import {OutcomeHistory} from '../common/outcomeHistory.js';
+import {remainingPathWait} from '../common/pathWait.js';
 import {NotRunReason, retryAfterMilliseconds} from '../common/retryAfter.js';
-import {roomPatience} from '../common/roomPatience.js';
 import {RetryBudget} from '../common/retryBudget.js';
-import {findSilentStreams, StreamProgress} from '../common/silence.js';
+import {findSilentStreams, StreamProgress} from '../common/silentStreams.js';
 
-describe('the retry budget', () => {
+describe('RetryBudget', () => {
   const settings = {ratio: 0.2, slack: 70, windowMilliseconds: 10_000};
 
-  function takeAll(budget: RetryBudget): number {
+  function useUpBudget(budget: RetryBudget): number {
     let taken = 0;
-    while (budget.take('s', 'begun')) {
+    while (budget.tryTake('s', 'begun')) {
       taken++;
     }
     return taken;
@@ -26,7 +26,7 @@
     {requests: 100, instances: 1, taken: 76},
     {requests: 0, instances: 0, taken: 59},
   ])(
-    'of one of $instances instances with $requests requests is $taken',
+    'allows $taken retries for $requests requests on one of $instances instances',
     ({requests, instances, taken}) => {
       const budget = new RetryBudget(
         new FakeClock(),
@@ -34,57 +34,59 @@
         () => instances,
       );
       for (let count = 0; count < requests; count++) {
-        budget.noteRequest('s');
+        budget.recordRequest('s');
       }
-      expect(takeAll(budget)).toBe(taken);
+      expect(useUpBudget(budget)).toBe(taken);
     },
   );
 
-  it('is kept in every window through an outage of all instances', () => {
+  it('is not exceeded in any window while every request fails on all instances', () => {
     const instances = 7;
     const clock = new FakeClock();
     const budgets = [...Array(instances)].map(
       () => new RetryBudget(clock, settings, () => instances),
     );
-    const repeats: number[] = [];
+    const retryTimes: number[] = [];
     let requests = 0;
     for (let step = 0; step < 400; step++) {
       clock.advance(100);
       for (const budget of budgets) {
-        budget.noteRequest('s');
+        budget.recordRequest('s');
         requests++;
-        // Everything fails: each instance repeats whatever it may.
-        repeats.push(...[...Array(takeAll(budget))].map(() => step * 100));
+        // Every request fails, so each instance retries as often as its budget allows.
+        retryTimes.push(
+          ...[...Array(useUpBudget(budget))].map(() => step * 100),
+        );
       }
     }
     const perWindow = (requests / 400) * 100;
     const allowance = settings.ratio * perWindow + settings.slack;
     for (let from = 0; from < 40_000; from += 100) {
-      const inWindow = repeats.filter(
+      const inWindow = retryTimes.filter(
         at => at >= from && at < from + settings.windowMilliseconds,
       ).length;
       expect(inWindow).toBeLessThanOrEqual(allowance);
     }
   });
 
-  it('keeps a part for streams that have begun', () => {
+  it('reserves a share for streams that have begun', () => {
     const budget = new RetryBudget(new FakeClock(), settings, () => 1);
     let first = 0;
-    while (budget.take('s', 'first')) {
+    while (budget.tryTake('s', 'first')) {
       first++;
     }
     expect(first).toBe(41);
-    expect(budget.take('s', 'begun')).toBe(true);
+    expect(budget.tryTake('s', 'begun')).toBe(true);
   });
 
-  it('is separate for each service', () => {
+  it('counts each service separately', () => {
     const budget = new RetryBudget(new FakeClock(), settings, () => 7);
-    takeAll(budget);
-    expect(budget.take('other', 'begun')).toBe(true);
+    useUpBudget(budget);
+    expect(budget.tryTake('other', 'begun')).toBe(true);
   });
 });
 
-describe('the choice among plain upstreams', () => {
+describe('choosePlainUpstream', () => {
   const upstreams = ['a', 'b', 'c'].map(id => makeUpstream({id, slots: 4}));
 
   it.each<{
@@ -95,63 +97,63 @@
     chosen: string | undefined;
   }>([
     {
-      name: 'least loaded',
+      name: 'the least loaded upstream',
       loads: {a: 3, b: 1, c: 2},
       failures: {},
       chosen: 'b',
     },
     {
-      name: 'sound rather than failing',
+      name: 'a healthy upstream instead of a failing one',
       loads: {b: 1, c: 1},
       failures: {a: 0.5},
       chosen: 'b',
     },
     {
-      name: 'failing rather than far more loaded',
+      name: 'a failing upstream instead of a far more loaded one',
       loads: {b: 20, c: 20},
       failures: {a: 0.5},
       chosen: 'a',
     },
     {
-      name: 'usable',
+      name: 'a usable upstream',
       loads: {},
       failures: {},
       unusable: ['a', 'b'],
       chosen: 'c',
     },
     {
-      name: 'none',
+      name: 'nothing if no upstream is usable',
       loads: {},
       failures: {},
       unusable: ['a', 'b', 'c'],
       chosen: undefined,
     },
-  ])('is $name', ({loads, failures, unusable = [], chosen}) => {
-    const answer = choosePlainUpstream({
+  ])('selects $name', ({loads, failures, unusable = [], chosen}) => {
+    const choice = choosePlainUpstream({
       upstreams,
       loadOf: id => ({requests: loads[id] ?? 0, tokenLayers: 0}),
-      failureShareOf: id => failures[id] ?? 0,
+      failureRateOf: id => failures[id] ?? 0,
       isUsable: ({id}) => !unusable.includes(id),
-      draw: () => 0,
+      randomFraction: () => 0,
     });
-    expect(answer.kind === 'found' ? answer.upstream.id : undefined).toBe(
+    expect(choice.kind === 'found' ? choice.upstream.id : undefined).toBe(
       chosen,
     );
   });
 });
 
-it('an upstream that fails shows within its next calls and is forgiven in time', () => {
+it('the failure rate of an upstream rises within a few calls and decays over time', () => {
   const clock = new FakeClock();
   const history = new OutcomeHistory(clock);
   for (let call = 0; call < 4; call++) {
-    history.note('a', false);
+    history.record('a', false);
   }
-  expect(history.failureShare('a')).toBeGreaterThan(0.5);
+  expect(history.failureRate('a')).toBeGreaterThan(0.5);
   clock.advance(20_000);
-  expect(history.failureShare('a')).toBeLessThan(0.05);
+  expect(history.failureRate('a')).toBeLessThan(0.05);
 });
 
-describe('the time to come back', () => {
+describe('the retry delay', () => {
   it.each<{reason: NotRunReason; left: number; draw: number; wait: number}>([
     {reason: 'noRoom', left: 20_000, draw: 0, wait: 400},
     {reason: 'noRoom', left: 20_000, draw: 1, wait: 600},
@@ -159,7 +161,7 @@
     {reason: 'stopping', left: 20_000, draw: 0.5, wait: 0},
     {reason: 'timeOver', left: -5, draw: 0, wait: 0},
   ])(
-    'after $reason with $left ms left is $wait',
+    'after $reason with $left ms left is $wait ms',
     ({reason, left, draw, wait}) => {
       expect(retryAfterMilliseconds(reason, left, draw)).toBe(wait);
     },
@@ -176,42 +178,45 @@
       left: Infinity,
     },
     {
-      name: 'may have run',
+      name: 'may have been executed',
       hasBegun: false,
       mayHaveRun: true,
       silent: 500,
       left: 1_300,
     },
     {
-      name: 'may have run long ago',
+      name: 'may have been executed and has waited too long',
       hasBegun: false,
       mayHaveRun: true,
       silent: 1_900,
       left: 0,
     },
     {
-      name: 'has not run',
+      name: 'was not executed',
       hasBegun: false,
       mayHaveRun: false,
       silent: 20,
       left: 30,
     },
     {
-      name: 'has not run and waited',
+      name: 'was not executed and has waited too long',
       hasBegun: false,
       mayHaveRun: false,
       silent: 60,
       left: 0,
     },
-  ])('of a stream that $name', ({hasBegun, mayHaveRun, silent, left}) => {
-    const patience = roomPatience({
-      hasBegun,
-      mayHaveRun,
-      silentMilliseconds: silent,
-      latencyTargetMilliseconds: 400,
-    });
-    expect(patience).toBe(left);
-  });
+  ])(
+    'of a stream that $name is $left ms',
+    ({hasBegun, mayHaveRun, silent, left}) => {
+      const remaining = remainingPathWait({
+        hasBegun,
+        mayHaveRun,
+        silentMilliseconds: silent,
+        latencyTargetMilliseconds: 400,
+      });
+      expect(remaining).toBe(left);
+    },
+  );
 });
 
 describe('silent streams', () => {
@@ -224,9 +229,9 @@
     return {
       requestId,
       upstreams,
-      lastProgressAt,
+      lastActivityAt: lastProgressAt,
       hasBegun,
-      usualGapMilliseconds: 20,
+      meanGapMilliseconds: 20,
       expectedGapMilliseconds: 20,
     };
   }
@@ -235,7 +240,7 @@
 
   it.each([
     {
-      name: 'point to what they share and flowing ones do not',
+      name: 'suspect the upstreams through which no other stream progresses',
       streams: [
         stream('1', ['a', 'x', 'c'], 900),
         stream('2', ['a', 'x', 'd'], 905),
@@ -244,22 +249,22 @@
       silent: {1: ['x'], 2: ['x', 'd']},
     },
     {
-      name: 'are none while all flow',
+      name: 'are none while all streams progress',
       streams: [stream('1', ['a'], 960), stream('2', ['b'], 990)],
       silent: {},
     },
     {
-      name: 'leave out streams that have just been sent',
+      name: 'exclude streams that were sent recently',
       streams: [stream('1', ['a'], 700, false)],
       silent: {},
     },
     {
-      name: 'count streams that have not begun for long',
+      name: 'include streams that have waited long for their first event',
       streams: [stream('1', ['a'], 600, false), stream('2', ['a'], 995)],
       silent: {1: []},
     },
     {
-      name: 'suspect all when nothing flows',
+      name: 'suspect all upstreams of the path when nothing progresses',
       streams: [stream('1', ['a', 'b'], 900)],
       silent: {1: ['a', 'b']},
     },
