--- a/src/features/forwarding/node/pathChooser.ts
+++ b/src/features/forwarding/node/pathChooser.ts
@@ -33,34 +33,37 @@
    * them.
    */
   findDetour(path: Path, lost: ReadonlySet<string>): PathAnswer {
-    const first = path.findIndex(part => lost.has(part.upstream.id));
-    const last = path.findLastIndex(part => lost.has(part.upstream.id));
-    const before = path[first - 1];
-    const after = path[last + 1];
-    if (before === undefined) {
+    const firstIndex = path.findIndex(part => lost.has(part.upstream.id));
+    const lastIndex = path.findLastIndex(part => lost.has(part.upstream.id));
+    const previousPart = path[firstIndex - 1];
+    const nextPart = path[lastIndex + 1];
+    if (previousPart === undefined) {
       return {kind: 'noLayers', layer: 0};
     }
-    const kept = [...path.slice(0, first), ...path.slice(last + 1)];
-    const keptIds = new Set(kept.map(part => part.upstream.id));
+    const keptParts = [
+      ...path.slice(0, firstIndex),
+      ...path.slice(lastIndex + 1),
+    ];
+    const keptIds = new Set(keptParts.map(part => part.upstream.id));
     const span = {
-      from: path[first]!.range.from,
-      to: path[last]!.range.to,
+      from: path[firstIndex]!.range.from,
+      to: path[lastIndex]!.range.to,
     };
     const detour = findPath({
       ...this.buildQuestion(
         span,
         upstream => !keptIds.has(upstream.id) && !lost.has(upstream.id),
       ),
-      enteringFrom: before.upstream.dataCentre,
-      leavingTo: after?.upstream.dataCentre,
+      enteringFrom: previousPart.upstream.dataCentre,
+      leavingTo: nextPart?.upstream.dataCentre,
     });
     if (detour.kind !== 'found') {
       return detour;
     }
     const joined = [
-      ...path.slice(0, first),
+      ...path.slice(0, firstIndex),
       ...detour.path,
-      ...path.slice(last + 1),
+      ...path.slice(lastIndex + 1),
     ];
     return {...detour, path: joined};
   }
--- a/src/features/forwarding/node/requestMetrics.ts
+++ b/src/features/forwarding/node/requestMetrics.ts
@@ -8,7 +8,7 @@
 /** Counters and latency histograms of requests, served as text on the metrics address. */
 export class RequestMetrics {
   private readonly ended: Counter<'kind' | 'outcome'>;
-  private readonly repeats: Counter<'cause'>;
+  private readonly retries: Counter<'cause'>;
   private readonly first: Histogram<'kind'>;
   private readonly pause: Histogram;
   private readonly whole: Histogram<'kind'>;
@@ -21,7 +21,7 @@
       labelNames: ['kind', 'outcome'],
       registers,
     });
-    this.repeats = new Counter({
+    this.retries = new Counter({
       name: 'redwing_repeats_total',
       help: 'Requests that were retried or moved, by cause.',
       labelNames: ['cause'],
@@ -64,7 +64,7 @@
 
   /** Counts a request that was sent again or moved. */
   recordRetry(cause: string): void {
-    this.repeats.inc({cause});
+    this.retries.inc({cause});
   }
 }
 
--- a/src/features/forwarding/test/forwarding.test.ts
+++ b/src/features/forwarding/test/forwarding.test.ts
@@ -327,7 +327,7 @@
   );
 });
 
-describe('any sequence of faults', () => {
+describe('under any sequence of faults', () => {
   const steps = fastCheck.array(
     fastCheck.constantFrom(
       succeed,
@@ -347,7 +347,7 @@
     '/once/',
   );
 
-  it('executes a request that must not be repeated at most once and reports "notRun" only if it was not executed', async () => {
+  it('a request that must not be repeated is executed at most once, and "notRun" is reported only if nothing was executed', async () => {
     await fastCheck.assert(
       fastCheck.asyncProperty(targets, steps, async (target, faults) => {
         const harness = createHarness();
@@ -649,62 +649,68 @@
   });
 
   it.each([
-    {name: 'responds in time', answers: 20, held: 0, at: 40, suspected: false},
+    {
+      name: 'responds in time',
+      responseAfter: 20,
+      held: 0,
+      at: 40,
+      isSuspected: false,
+    },
     {
       name: 'never responds',
-      answers: Infinity,
+      responseAfter: Infinity,
       held: 0,
       at: 40,
-      suspected: true,
+      isSuspected: true,
     },
     {
       name: 'has not responded in time',
-      answers: 100,
+      responseAfter: 100,
       held: 0,
       at: 40,
-      suspected: true,
+      isSuspected: true,
     },
     {
       name: 'has responded late',
-      answers: 100,
+      responseAfter: 100,
       held: 0,
       at: 101,
-      suspected: false,
+      isSuspected: false,
     },
     // The timeout of the probe fires before the response is read.
     {
       name: 'responds after the event loop was blocked',
-      answers: 61,
+      responseAfter: 61,
       held: 60,
       at: 90,
-      suspected: false,
+      isSuspected: false,
     },
     {
       name: 'responds right after the timeout',
-      answers: 32,
+      responseAfter: 32,
       held: 31,
       at: 40,
-      suspected: false,
+      isSuspected: false,
     },
     {
       name: 'never responds after the event loop was blocked',
-      answers: Infinity,
+      responseAfter: Infinity,
       held: 60,
       at: 130,
-      suspected: true,
+      isSuspected: true,
     },
   ])(
-    'suspects an upstream that $name: $suspected',
-    async ({answers, held, at, suspected}) => {
+    'suspects an upstream that $name: $isSuspected',
+    async ({responseAfter, held, at, isSuspected}) => {
       const harness = createHarness();
       const {clock, control, services, suspicions} = harness;
       const upstream = engines[0]!;
-      control.reportDelayMilliseconds = answers;
+      control.reportDelayMilliseconds = responseAfter;
       void services.trials.try(upstream, 'silent', {});
       await harness.flushPromises();
       clock.pause(held);
       await harness.advance(at - held);
-      expect(suspicions.has(upstream.id)).toBe(suspected);
+      expect(suspicions.has(upstream.id)).toBe(isSuspected);
     },
   );
 
@@ -722,18 +728,18 @@
   });
 
   it.each([
-    {silenceWatch: true, asked: true},
-    {silenceWatch: false, asked: false},
+    {silenceWatch: true, isProbed: true},
+    {silenceWatch: false, isProbed: false},
   ])(
     'that falls silent causes probes only if the silence watch is enabled: $silenceWatch',
-    async ({silenceWatch, asked}) => {
+    async ({silenceWatch, isProbed}) => {
       const harness = createHarness({silenceWatch});
       await harness.send('/stream/');
       const exchange = harness.connector.last;
       exchange.head();
       exchange.sendEvents(1, 2);
       await harness.advance(1_000);
-      expect(harness.control.reportCount > 0).toBe(asked);
+      expect(harness.control.reportCount > 0).toBe(isProbed);
     },
   );
 
