--- a/src/features/forwarding/common/retryAfter.ts
+++ b/src/features/forwarding/common/retryAfter.ts
@@ -43,11 +43,11 @@
  */
 export function retryAfterMilliseconds(
   reason: NotRunReason,
-  timeLeftMilliseconds: number,
+  remainingMilliseconds: number,
   randomFraction: number,
 ): number {
   const base = RETRY_AFTER_MILLISECONDS[reason];
   const jittered = base * (1 + randomFraction / 2);
-  const limit = Math.max(0, timeLeftMilliseconds * MAX_DEADLINE_SHARE);
+  const limit = Math.max(0, remainingMilliseconds * MAX_DEADLINE_SHARE);
   return Math.round(Math.min(jittered, limit));
 }
--- a/src/features/forwarding/node/httpUpstreamConnector.ts
+++ b/src/features/forwarding/node/httpUpstreamConnector.ts
@@ -31,7 +31,7 @@
   implements UpstreamConnector
 {
   private readonly pools = new Map<string, Pool>();
-  private readonly resets = new ResetDetector();
+  private readonly resetDetector = new ResetDetector();
 
   constructor() {
     super();
@@ -50,7 +50,7 @@
       : this.poolOf(upstream);
     const exchange = new HttpUpstreamExchange(
       listener,
-      this.resets,
+      this.resetDetector,
       request.isAlone ? dispatcher : undefined,
     );
     exchange.start(dispatcher, request);
@@ -86,7 +86,7 @@
   private options(): Client.Options {
     return {
       pipelining: 1,
-      connect: this.resets.watch(
+      connect: this.resetDetector.watch(
         buildConnector({timeout: CONNECT_TIMEOUT_MILLISECONDS}),
       ),
       keepAliveTimeout: DEFAULT_KEEP_ALIVE_MILLISECONDS,
--- a/src/features/forwarding/node/httpUpstreamExchange.ts
+++ b/src/features/forwarding/node/httpUpstreamExchange.ts
@@ -21,7 +21,7 @@
 
   constructor(
     private readonly listener: ResponseListener,
-    private readonly resets: ResetDetector,
+    private readonly resetDetector: ResetDetector,
     /** Dispatcher that belongs to this exchange alone and is destroyed with it. */
     private readonly ownDispatcher: Dispatcher | undefined,
   ) {
@@ -105,7 +105,7 @@
     if (this.isDone) {
       return;
     }
-    if (!this.isFramed && this.resets.isResetting) {
+    if (!this.isFramed && this.resetDetector.isResetting) {
       this.fail(
         'connection reset before the end of a close-delimited response',
       );
--- a/src/features/forwarding/node/streamForwarder.ts
+++ b/src/features/forwarding/node/streamForwarder.ts
@@ -52,7 +52,7 @@
   private isMoving = false;
   private hasLoggedWait = false;
   private hasLoggedNoRestart = false;
-  private pathGapMilliseconds = 0;
+  private predictedGapMilliseconds = 0;
 
   constructor(
     services: ForwardingServices,
@@ -113,7 +113,7 @@
       lastActivityAt: Math.max(this.sentAt, this.gaps.lastEventAt),
       hasBegun: this.attempt.hasEvents,
       meanGapMilliseconds: this.gaps.meanGapMilliseconds,
-      expectedGapMilliseconds: this.pathGapMilliseconds,
+      expectedGapMilliseconds: this.predictedGapMilliseconds,
     };
   }
 
@@ -209,7 +209,7 @@
     const activationBytes = this.engine.layers?.activationBytes ?? 0;
     const tokens = tokensOf(this.held.size);
     this.services.linkLoad.note(crossingsOf(path) * tokens * activationBytes);
-    this.pathGapMilliseconds =
+    this.predictedGapMilliseconds =
       this.engine.tokensPerEvent * tokenMilliseconds(this.engine, path);
   }
 
