--- a/src/features/routing/common/cellCodec.ts
+++ b/src/features/routing/common/cellCodec.ts
@@ -17,53 +17,56 @@
 import {
   answerRow,
   failureRow,
-  outcomes,
+  stageOutcomes,
   refusalReasons,
-  releaseRow,
+  releaseRowSchema,
   replanRow,
   reserveRow,
-  summaryRow,
-  workRow,
+  summaryRowSchema,
+  workRowSchema,
 } from './cellSchemas.js';
-import {FrontCoding} from './frontCoding.js';
+import {FrontCoder} from './frontCoder.js';
 
-/** Bits of what a dispatcher must know of a stage. */
-enum StageTrait {
+/** Bit flags of a chosen stage. `checksFencing` has a meaning only if `fencingKnown` is set. */
+enum StageFlag {
   checksFencing = 1,
   fencingKnown = 2,
   probing = 4,
 }
 
 /**
- * Turns messages about cells into positional rows and back. What the reader knows is left out, and
- * names in lists are front-coded.
+ * Converts messages about cells to positional rows and back. Rows omit what the receiver already
+ * knows, and names in lists are front-coded.
  */
 
-/** A reservation call as it travels. */
+/** A call for capacity, as sent on the wire. */
 export type ReserveRow = z.input<typeof reserveRow>;
-/** A call for other stages as it travels. */
+/** A call for replacement stages, as sent on the wire. */
 export type ReplanRow = z.input<typeof replanRow>;
-/** A returned reservation as it travels. */
-export type ReleaseRow = z.input<typeof releaseRow>;
-/** A failed stage as it travels. */
+/** A release, as sent on the wire. */
+export type ReleaseRow = z.input<typeof releaseRowSchema>;
+/** A stage's failure or first answer, as sent on the wire. */
 export type FailureRow = z.input<typeof failureRow>;
-/** An owner's answer as it travels. */
+/** An owner's answer, as sent on the wire. */
 export type AnswerRow = z.input<typeof answerRow>;
-/** What is told of one model in one cell, as it travels. */
-export type SummaryRow = z.input<typeof summaryRow>;
+/** A summary of one model in one cell, as sent on the wire. */
+export type SummaryRow = z.input<typeof summaryRowSchema>;
 
-/** Names of a call from which those in its releases are coded. */
-type Names = Pick<ReserveCall, 'cell' | 'reservationId'>;
-/** Names of a call from which those in its answer are coded. */
-type Asked = Pick<ReserveCall, 'cell' | 'model'>;
+/** Names in a call that its releases are front-coded against. */
+type ReleaseBase = Pick<ReserveCall, 'cell' | 'reservationId'>;
+/** Names in a call that the summaries in its answer are front-coded against. */
+type SummaryBase = Pick<ReserveCall, 'cell' | 'model'>;
 
-const nothing: Names & Asked = {cell: '', reservationId: '', model: ''};
+const emptyBase: ReleaseBase & SummaryBase = {
+  cell: '',
+  reservationId: '',
+  model: '',
+};
 
 type ReservedRow = Extract<AnswerRow, readonly [0, ...unknown[]]>;
 type StageRow = ReservedRow[1][number];
 type PredictionRow = ReservedRow[2];
 
-/** The row of a call for capacity. */
 export function encodeReserve(call: ReserveCall): ReserveRow {
   return [
     call.cell,
@@ -75,7 +78,7 @@
   ];
 }
 
-/** The call of a checked row. */
+/** Decodes a row that its schema has accepted, as do the functions below. */
 export function decodeReserve(row: z.output<typeof reserveRow>): ReserveCall {
   const [cell, model, reservationId, work, excluded, releases] = row;
   return {
@@ -88,58 +91,56 @@
   };
 }
 
-/** The row of a call for other stages. */
 export function encodeReplan(call: ReplanCall): ReplanRow {
   return [call.replaces, encodeReserve(call)];
 }
 
-/** The call of a checked row. */
 export function decodeReplan(row: z.output<typeof replanRow>): ReplanCall {
   const [replaces, reserve] = row;
   return {...decodeReserve(reserve), replaces};
 }
 
-/** The rows of returned reservations, after the names of the call that takes them along. */
+/** Encodes releases; `base` is the call that they are sent with, if any. */
 export function encodeReleases(
-  notes: readonly ReleaseNote[],
-  before: Names = nothing,
+  releases: readonly ReleaseNote[],
+  base: ReleaseBase = emptyBase,
 ): ReleaseRow[] {
-  const cells = new FrontCoding(before.cell);
-  const ids = new FrontCoding(before.reservationId);
-  const upstreams = new FrontCoding();
-  return notes.map(({cell, reservationId, observations}) => [
+  const cells = new FrontCoder(base.cell);
+  const ids = new FrontCoder(base.reservationId);
+  const upstreams = new FrontCoder();
+  return releases.map(({cell, reservationId, observations}) => [
     cells.encode(cell),
     ids.encode(reservationId),
-    observations.map(one => encodeObservation(one, upstreams)),
+    observations.map(observation => encodeObservation(observation, upstreams)),
   ]);
 }
 
-/** The releases of checked rows. */
+/** Decodes releases; `base` is the call that they were sent with, if any. */
 export function decodeReleases(
-  rows: ReadonlyArray<z.output<typeof releaseRow>>,
-  before: Names = nothing,
+  rows: ReadonlyArray<z.output<typeof releaseRowSchema>>,
+  base: ReleaseBase = emptyBase,
 ): ReleaseNote[] {
-  const cells = new FrontCoding(before.cell);
-  const ids = new FrontCoding(before.reservationId);
-  const upstreams = new FrontCoding();
+  const cells = new FrontCoder(base.cell);
+  const ids = new FrontCoder(base.reservationId);
+  const upstreams = new FrontCoder();
   return rows.map(([cell, reservationId, observations]) => ({
     cell: cells.decode(cell),
     reservationId: ids.decode(reservationId),
-    observations: observations.map(one => decodeObservation(one, upstreams)),
+    observations: observations.map(observationRow =>
+      decodeObservation(observationRow, upstreams),
+    ),
   }));
 }
 
-/** The row of a failed stage. */
-export function encodeFailure(note: FailureNote): FailureRow {
-  const {cell, reservationId, observation} = note;
-  const upstreams = new FrontCoding();
+export function encodeFailure(failure: FailureNote): FailureRow {
+  const {cell, reservationId, observation} = failure;
+  const upstreams = new FrontCoder();
   return [cell, reservationId, encodeObservation(observation, upstreams)];
 }
 
-/** The note of a checked row. */
 export function decodeFailure(row: z.output<typeof failureRow>): FailureNote {
   const [cell, reservationId, observation] = row;
-  const upstreams = new FrontCoding();
+  const upstreams = new FrontCoder();
   return {
     cell,
     reservationId,
@@ -147,29 +148,29 @@
   };
 }
 
-/** The rows of summaries, after the cell and model that the reader asked for. */
+/** Encodes summaries; `base` is the call that they answer, if it names a cell and model. */
 export function encodeSummaries(
-  notes: readonly SummaryNote[],
-  before: Asked = nothing,
+  summaries: readonly SummaryNote[],
+  base: SummaryBase = emptyBase,
 ): SummaryRow[] {
-  const cells = new FrontCoding(before.cell);
-  const models = new FrontCoding(before.model);
-  return notes.map(note => [
-    cells.encode(note.cell),
-    models.encode(note.model),
-    note.freeSlots,
-    note.earliestStartMilliseconds,
-    note.ageMilliseconds,
+  const cells = new FrontCoder(base.cell);
+  const models = new FrontCoder(base.model);
+  return summaries.map(summary => [
+    cells.encode(summary.cell),
+    models.encode(summary.model),
+    summary.freeSlots,
+    summary.earliestStartMilliseconds,
+    summary.ageMilliseconds,
   ]);
 }
 
-/** The summaries of checked rows. */
+/** Decodes summaries; `base` is the call that they answer, if it names a cell and model. */
 export function decodeSummaries(
-  rows: ReadonlyArray<z.output<typeof summaryRow>>,
-  before: Asked = nothing,
+  rows: ReadonlyArray<z.output<typeof summaryRowSchema>>,
+  base: SummaryBase = emptyBase,
 ): SummaryNote[] {
-  const cells = new FrontCoding(before.cell);
-  const models = new FrontCoding(before.model);
+  const cells = new FrontCoder(base.cell);
+  const models = new FrontCoder(base.model);
   return rows.map(([cell, model, freeSlots, earliestStart, age]) => ({
     cell: cells.decode(cell),
     model: models.decode(model),
@@ -179,7 +180,7 @@
   }));
 }
 
-/** The row of an answer; the asker knows the cell and the reservation's id. */
+/** Encodes an answer without the cell and the reservation id, which the requester knows from its call. */
 export function encodeAnswer(
   call: ReserveCall,
   answer: ReserveAnswer,
@@ -200,21 +201,21 @@
   ];
 }
 
-/** The answer to a call, of a checked row. */
+/** Decodes the answer to `call`, which supplies the omitted fields. */
 export function decodeAnswer(
   call: ReserveCall,
   row: z.output<typeof answerRow>,
 ): ReserveAnswer {
   if (row[0] === 1) {
-    const [, reason, retryAfterMilliseconds, notes] = row;
+    const [, reason, retryAfterMilliseconds, summaryRows] = row;
     return {
       kind: 'refused',
       reason: refusalReasons[reason]!,
       retryAfterMilliseconds,
-      summaries: decodeSummaries(notes, call),
+      summaries: decodeSummaries(summaryRows, call),
     };
   }
-  const [, stages, prediction, candidates, reason, notes] = row;
+  const [, stages, prediction, candidates, reason, summaryRows] = row;
   return {
     kind: 'reserved',
     reservation: {
@@ -225,12 +226,12 @@
       candidates: candidates ?? undefined,
       reason: reason ?? undefined,
     },
-    summaries: decodeSummaries(notes, call),
+    summaries: decodeSummaries(summaryRows, call),
   };
 }
 
-/** What is seldom there comes last, so that it can be left out. */
-function encodeWork(work: WorkEstimate): z.input<typeof workRow> {
+/** Fields that are often absent come last, so that they can be cut off. */
+function encodeWork(work: WorkEstimate): z.input<typeof workRowSchema> {
   return [
     work.requestId,
     work.classOfWork,
@@ -241,7 +242,7 @@
     work.betweenTokensTarget,
     work.deadlineWithin,
     work.priority,
-    ...withoutTail([
+    ...trimTrailingNulls([
       work.prefixKey ?? null,
       work.prefixTokens ?? null,
       work.adapter ?? null,
@@ -251,11 +252,12 @@
   ];
 }
 
-function decodeWork(row: z.output<typeof workRow>): WorkEstimate {
+function decodeWork(row: z.output<typeof workRowSchema>): WorkEstimate {
   const [requestId, classOfWork, clientAccount, promptTokens, ...others] = row;
   const [outputTokens, firstTokenWithin, betweenTokensTarget, ...rest] = others;
-  const [deadlineWithin, priority, prefixKey, prefixTokens, ...seldom] = rest;
-  const [adapter, version, inProgress] = seldom;
+  const [deadlineWithin, priority, prefixKey, prefixTokens, ...optionalFields] =
+    rest;
+  const [adapter, version, inProgress] = optionalFields;
   return {
     requestId,
     classOfWork,
@@ -274,7 +276,7 @@
   };
 }
 
-type SeldomRow = readonly [
+type OptionalWorkFields = readonly [
   (string | null)?,
   (number | null)?,
   (string | null)?,
@@ -282,18 +284,19 @@
   (boolean | null)?,
 ];
 
-function withoutTail(row: SeldomRow): SeldomRow {
-  const last = row.findLastIndex(value => value !== null);
-  return row.slice(0, last + 1) as unknown as SeldomRow;
+/** Cuts off the nulls at the end of a row. */
+function trimTrailingNulls(row: OptionalWorkFields): OptionalWorkFields {
+  const lastIndex = row.findLastIndex(value => value !== null);
+  return row.slice(0, lastIndex + 1) as unknown as OptionalWorkFields;
 }
 
 function encodeObservation(
   observation: StageObservation,
-  upstreams: FrontCoding,
+  upstreams: FrontCoder,
 ): ReleaseRow[2][number] {
   return [
     upstreams.encode(observation.upstream),
-    outcomes.indexOf(observation.outcome),
+    stageOutcomes.indexOf(observation.outcome),
     observation.steps,
     observation.decodeMilliseconds ?? null,
     observation.linkMilliseconds ?? null,
@@ -301,13 +304,13 @@
 }
 
 function decodeObservation(
-  row: z.output<typeof releaseRow>[2][number],
-  upstreams: FrontCoding,
+  row: z.output<typeof releaseRowSchema>[2][number],
+  upstreams: FrontCoder,
 ): StageObservation {
   const [upstream, outcome, steps, decodeMilliseconds, linkMilliseconds] = row;
   return {
     upstream: upstreams.decode(upstream),
-    outcome: outcomes[outcome]!,
+    outcome: stageOutcomes[outcome]!,
     decodeMilliseconds: decodeMilliseconds ?? undefined,
     linkMilliseconds: linkMilliseconds ?? undefined,
     steps,
@@ -315,47 +318,46 @@
 }
 
 function encodeStages(stages: readonly ChosenStage[]): StageRow[] {
-  const upstreams = new FrontCoding();
-  const addresses = new FrontCoding();
-  const versions = new FrontCoding();
+  const upstreams = new FrontCoder();
+  const addresses = new FrontCoder();
+  const versions = new FrontCoder();
   return stages.map(stage => [
     upstreams.encode(stage.upstream),
     addresses.encode(stage.address),
     stage.layers.from,
     stage.layers.to,
-    encodeTraits(stage),
+    encodeFlags(stage),
     stage.version === undefined ? null : versions.encode(stage.version),
   ]);
 }
 
 function decodeStages(rows: readonly StageRow[]): ChosenStage[] {
-  const upstreams = new FrontCoding();
-  const addresses = new FrontCoding();
-  const versions = new FrontCoding();
-  return rows.map(([upstream, address, from, to, traits, version]) => ({
+  const upstreams = new FrontCoder();
+  const addresses = new FrontCoder();
+  const versions = new FrontCoder();
+  return rows.map(([upstream, address, from, to, flags, version]) => ({
     upstream: upstreams.decode(upstream),
     address: addresses.decode(address),
     layers: {from, to},
-    ...decodeTraits(traits),
+    ...decodeFlags(flags),
     version: version === null ? undefined : versions.decode(version),
   }));
 }
 
-function encodeTraits({checksFencing, probing}: ChosenStage): number {
+function encodeFlags({checksFencing, probing}: ChosenStage): number {
   const fencing =
     checksFencing === undefined
       ? 0
-      : StageTrait.fencingKnown +
-        (checksFencing ? StageTrait.checksFencing : 0);
-  return fencing + (probing === true ? StageTrait.probing : 0);
+      : StageFlag.fencingKnown + (checksFencing ? StageFlag.checksFencing : 0);
+  return fencing + (probing === true ? StageFlag.probing : 0);
 }
 
-function decodeTraits(
-  traits: number,
+function decodeFlags(
+  flags: number,
 ): Pick<ChosenStage, 'checksFencing' | 'probing'> {
-  const isKnown = (traits & StageTrait.fencingKnown) !== 0;
-  const checks = (traits & StageTrait.checksFencing) !== 0;
-  const probing = (traits & StageTrait.probing) !== 0 ? true : undefined;
+  const isKnown = (flags & StageFlag.fencingKnown) !== 0;
+  const checks = (flags & StageFlag.checksFencing) !== 0;
+  const probing = (flags & StageFlag.probing) !== 0 ? true : undefined;
   return {checksFencing: isKnown ? checks : undefined, probing};
 }
 
@@ -376,7 +378,7 @@
     firstTokenMilliseconds: firstToken,
     betweenTokensMilliseconds: betweenTokens,
     wholeMilliseconds: whole,
-    // JSON has no infinite numbers.
+    // JSON has no infinite numbers: Infinity is sent as null.
     figuresAgeMilliseconds: figuresAge ?? Infinity,
   };
 }
--- a/src/features/routing/common/cellMap.ts
+++ b/src/features/routing/common/cellMap.ts
@@ -3,9 +3,9 @@
 import {CellOwnership} from './cellOwnership.js';
 import {Cell, divideIntoCells} from './cells.js';
 
-/** The cells of one view of the system and their owners. */
+/** The cells of one system view and their owners. */
 export class CellMap {
-  /** A map without cells, before the first view. */
+  /** A map without cells, used until the first view arrives. */
   static readonly empty = new CellMap(new Map(), new CellOwnership([]));
 
   private constructor(
@@ -13,7 +13,7 @@
     private readonly ownership: CellOwnership,
   ) {}
 
-  /** Divides a view's engines into cells and finds their owners. */
+  /** Partitions a view's engines into cells. Owners are ranked when a cell is first looked up. */
   static of(view: SystemView, cellSize: number): CellMap {
     const cells = divideIntoCells(view.upstreams, cellSize);
     return new CellMap(cells, new CellOwnership(view.instances));
@@ -23,12 +23,11 @@
     return this.cells.get(id);
   }
 
-  /** All cells. */
   get all(): readonly Cell[] {
     return [...this.cells.values()];
   }
 
-  /** The instances to ask about a cell, in order; the first is the owner. */
+  /** Up to `limit` instances to ask about a cell, in order of preference; the first is the owner. */
   ownersOf(id: string, limit: number): readonly InstanceMember[] {
     const cell = this.cells.get(id);
     return cell === undefined ? [] : this.ownership.ownersOf(cell, limit);
--- a/src/features/routing/common/cellMessages.ts
+++ b/src/features/routing/common/cellMessages.ts
@@ -1,44 +1,45 @@
 import {DisposableOwner} from '../../../base/common/lifecycle.js';
 import {Reservation, StageObservation, WorkEstimate} from './routing.js';
 
-/** Messages between a requester and the owner of a cell. All times are relative: no clock is shared. */
+/** Messages between a requester and the owner of a cell. Times are relative, because processes share no clock. */
 
-/** What an owner tells of one model in one cell. */
+/** The free capacity for one model in one cell, as reported by the cell's owner. */
 export interface SummaryNote {
   readonly cell: string;
   readonly model: string;
   readonly freeSlots: number;
   readonly earliestStartMilliseconds: number;
-  /** Milliseconds since the owner made it. */
+  /** Time since the owner computed the summary. */
   readonly ageMilliseconds: number;
 }
 
-/** Returns one reservation. */
+/** Releases one reservation. */
 export interface ReleaseNote {
   readonly cell: string;
   readonly reservationId: string;
   readonly observations: readonly StageObservation[];
 }
 
-/** Asks for capacity in one cell. */
+/** Requests capacity in one cell. */
 export interface ReserveCall {
   readonly cell: string;
   readonly model: string;
-  /** Named by the requester, so that a repeated call makes one reservation. */
+  /** Chosen by the requester, so that a retried call doesn't create a second reservation. */
   readonly reservationId: string;
   readonly work: WorkEstimate;
-  /** Upstreams that must not be used. */
+  /** Ids of upstreams that must not be used. */
   readonly excluded: readonly string[];
-  /** Returned capacity that travels along. */
+  /** Releases of other reservations, sent along to save a call. */
   readonly releases: readonly ReleaseNote[];
 }
 
-/** Asks for other stages in place of a reservation, which ends if they are found. */
+/** Requests other stages to replace a reservation. The reservation ends only if they are found. */
 export interface ReplanCall extends ReserveCall {
+  /** Id of the reservation to replace. */
   readonly replaces: string;
 }
 
-/** The owner's answer. */
+/** The owner's answer to a request for capacity. */
 export type ReserveAnswer =
   | {
       readonly kind: 'reserved';
@@ -52,14 +53,14 @@
       readonly summaries: readonly SummaryNote[];
     };
 
-/** Reports that a stage failed, before the release. */
+/** Reports a stage's failure, or a probed stage's first answer, before the reservation is released. */
 export interface FailureNote {
   readonly cell: string;
   readonly reservationId: string;
   readonly observation: StageObservation;
 }
 
-/** Answers for cells; those decided in this process and those of a peer look alike. */
+/** Handles requests for cells, either in this process or by forwarding them to a peer. */
 export abstract class CellAuthority extends DisposableOwner {
   abstract reserve(
     call: ReserveCall,
@@ -75,7 +76,7 @@
 
   abstract reportFailure(note: FailureNote): void;
 
-  /** Summaries of cells that the authority holds or heard of, those of the model first if one is named. */
+  /** Summaries of the cells that the authority holds or has learned of; those of `model` come first if it is given. */
   abstract summaries(
     model: string | undefined,
     signal: AbortSignal,
--- a/src/features/routing/common/cellOwnership.ts
+++ b/src/features/routing/common/cellOwnership.ts
@@ -3,7 +3,7 @@
 import {Cell} from './cells.js';
 import {hashText, rendezvousWeight} from './rendezvous.js';
 
-/** Which instances own a cell, by rendezvous hashing over the ready ones. */
+/** Assigns cells to the ready instances by distance, then by rendezvous hashing. */
 
 interface HashedInstance {
   readonly member: InstanceMember;
@@ -16,51 +16,51 @@
   readonly weight: number;
 }
 
-/** Instances kept in the order of a cell; more are never asked. */
-const RANKED_KEPT = 4;
+/** Instances ranked for each cell; callers never ask more. */
+const MAXIMUM_RANKED = 4;
 
-/** Ranks the ready instances of one view for cells; results are kept for the life of the view. */
+/** Ranks the ready instances of one system view for each cell. Rankings are cached, as a view doesn't change. */
 export class CellOwnership {
   private readonly instances: readonly HashedInstance[];
-  private readonly ranked = new Map<string, readonly InstanceMember[]>();
+  private readonly rankedByCell = new Map<string, readonly InstanceMember[]>();
 
   constructor(instances: readonly InstanceView[]) {
     this.instances = instances
-      .filter(one => one.ready)
+      .filter(instance => instance.ready)
       .map(({member}) => ({member, hash: hashText(member.id)}));
   }
 
-  /** The instances to ask about a cell, in order; the first is the owner. At most `limit`. */
+  /** Up to `limit` instances to ask about a cell, in order of preference; the first is the owner. */
   ownersOf(cell: Cell, limit: number): readonly InstanceMember[] {
-    const known = this.ranked.get(cell.id);
-    if (known !== undefined) {
-      return known.slice(0, limit);
+    const cached = this.rankedByCell.get(cell.id);
+    if (cached !== undefined) {
+      return cached.slice(0, limit);
     }
     const ranked = this.rank(cell);
-    this.ranked.set(cell.id, ranked);
+    this.rankedByCell.set(cell.id, ranked);
     return ranked.slice(0, limit);
   }
 
-  /** The first few by distance and weight, in one pass: cells times instances are many. */
+  /** The best instances by distance and weight. A single pass avoids sorting all instances for every cell. */
   private rank(cell: Cell): readonly InstanceMember[] {
     const cellHash = hashText(cell.id);
-    const first: RankedInstance[] = [];
+    const best: RankedInstance[] = [];
     for (const {member, hash} of this.instances) {
       const distance = distanceTo(cell, member);
       const weight = rendezvousWeight(cellHash, hash);
-      insert(first, {member, distance, weight});
+      insertRanked(best, {member, distance, weight});
     }
-    return first.map(({member}) => member);
+    return best.map(({member}) => member);
   }
 }
 
-/** Puts an instance in its place among the first few, if it belongs there. */
-function insert(first: RankedInstance[], added: RankedInstance): void {
-  const worse = first.findIndex(one => isBefore(added, one));
-  const place = worse < 0 ? first.length : worse;
-  if (place < RANKED_KEPT) {
-    first.splice(place, 0, added);
-    first.length = Math.min(first.length, RANKED_KEPT);
+/** Inserts an instance into the sorted list `best`, which keeps `MAXIMUM_RANKED` entries. */
+function insertRanked(best: RankedInstance[], added: RankedInstance): void {
+  const worseIndex = best.findIndex(ranked => isBefore(added, ranked));
+  const position = worseIndex < 0 ? best.length : worseIndex;
+  if (position < MAXIMUM_RANKED) {
+    best.splice(position, 0, added);
+    best.length = Math.min(best.length, MAXIMUM_RANKED);
   }
 }
 
@@ -74,7 +74,7 @@
   return left.member.id < right.member.id;
 }
 
-/** 0 in the cell's data centre, 1 in its region, 2 elsewhere. */
+/** 0 in the cell's data centre, 1 elsewhere in its region, 2 outside of the region. */
 function distanceTo(cell: Cell, member: InstanceMember): number {
   if (member.dataCentre === cell.dataCentre) {
     return 0;
--- a/src/features/routing/common/cellSchemas.ts
+++ b/src/features/routing/common/cellSchemas.ts
@@ -1,9 +1,9 @@
 import {z} from 'zod';
 
-/** Checks of the rows in which peers send messages about cells. */
+/** Schemas of the positional rows in which peers send messages about cells. */
 
-/** Outcomes of a stage, by their number on the wire. */
-export const outcomes = [
+/** Stage outcomes; the array index is the value on the wire. */
+export const stageOutcomes = [
   'completed',
   'failed',
   'refused',
@@ -11,16 +11,17 @@
   'cancelled',
 ] as const;
 
-/** Reasons of a refusal, by their number on the wire. */
+/** Refusal reasons; the array index is the value on the wire. */
 export const refusalReasons = [
   'cannotMeetTarget',
   'overShare',
   'noUpstream',
 ] as const;
 
-const RELEASES_LIMIT = 1024;
+const MAXIMUM_RELEASES = 1024;
 
-function indexOf(values: readonly string[]) {
+/** Accepts an index of `values`. */
+function indexSchema(values: readonly string[]) {
   return z
     .number()
     .int()
@@ -28,8 +29,8 @@
     .max(values.length - 1);
 }
 
-/** The work: what is always there, then what is seldom there. */
-export const workRow = z.tuple([
+/** A work estimate: required fields, then optional ones, which can be cut off at the end. */
+export const workRowSchema = z.tuple([
   z.string(),
   z.string(),
   z.string(),
@@ -46,43 +47,47 @@
   z.boolean().nullable().optional(),
 ]);
 
-/** Upstream, outcome, steps, milliseconds of a decode step and of a hop. */
-const observationRow = z.tuple([
+/** Upstream, outcome, steps, milliseconds of a decode step and of a hop (null if not measured). */
+const observationRowSchema = z.tuple([
   z.string(),
-  indexOf(outcomes),
+  indexSchema(stageOutcomes),
   z.number(),
   z.number().nullable(),
   z.number().nullable(),
 ]);
 
-/** Cell, reservation and what was seen. */
-export const releaseRow = z.tuple([
+/** Cell, reservation id and observations of the stages. */
+export const releaseRowSchema = z.tuple([
   z.string(),
   z.string(),
-  z.array(observationRow),
+  z.array(observationRowSchema),
 ]);
 
-/** A list of releases. */
-export const releaseRows = z.array(releaseRow).max(RELEASES_LIMIT);
+/** The releases in one message. */
+export const releaseRows = z.array(releaseRowSchema).max(MAXIMUM_RELEASES);
 
-/** Cell, model, reservation, work, excluded upstreams and releases. */
+/** Cell, model, reservation id, work, excluded upstreams and releases. */
 export const reserveRow = z.tuple([
   z.string(),
   z.string(),
   z.string(),
-  workRow,
+  workRowSchema,
   z.array(z.string()),
   releaseRows,
 ]);
 
-/** The reservation that is replaced and the call in its place. */
+/** Id of the reservation to replace, then the call that replaces it. */
 export const replanRow = z.tuple([z.string(), reserveRow]);
 
-/** Cell, reservation and the failed stage. */
-export const failureRow = z.tuple([z.string(), z.string(), observationRow]);
+/** Cell, reservation id and the observation of one stage. */
+export const failureRow = z.tuple([
+  z.string(),
+  z.string(),
+  observationRowSchema,
+]);
 
-/** Cell, model, free slots, earliest start and age. */
-export const summaryRow = z.tuple([
+/** Cell, model, free slots, earliest start and age of the summary, both in milliseconds. */
+export const summaryRowSchema = z.tuple([
   z.string(),
   z.string(),
   z.number(),
@@ -90,11 +95,10 @@
   z.number(),
 ]);
 
-/** A list of summaries. */
-export const summaryRows = z.array(summaryRow);
+export const summaryRows = z.array(summaryRowSchema);
 
-/** Upstream, address, layers, traits (see `StageTrait` of the codec), and the version. */
-const stageRow = z.tuple([
+/** Upstream, address, first layer, end layer (exclusive), flags (`StageFlag` of the codec) and version. */
+const stageRowSchema = z.tuple([
   z.string(),
   z.string(),
   z.number(),
@@ -103,8 +107,8 @@
   z.string().nullable(),
 ]);
 
-/** Start, first token, between tokens, whole, and age of the figures. */
-const predictionRow = z.tuple([
+/** Milliseconds to the start, to the first token, between tokens and in total; load data age, null if infinite. */
+const predictionRowSchema = z.tuple([
   z.number(),
   z.number(),
   z.number(),
@@ -112,18 +116,18 @@
   z.number().nullable(),
 ]);
 
-/** Stages, prediction, candidates, reason and summaries; or reason, retry and summaries. */
+/** 0, stages, prediction, candidates, reason and summaries; or 1, refusal reason, retry delay and summaries. */
 export const answerRow = z.union([
   z.tuple([
     z.literal(0),
-    z.array(stageRow),
-    predictionRow,
+    z.array(stageRowSchema),
+    predictionRowSchema,
     z.number().nullable(),
     z.string().nullable(),
     summaryRows,
   ]),
-  z.tuple([z.literal(1), indexOf(refusalReasons), z.number(), summaryRows]),
+  z.tuple([z.literal(1), indexSchema(refusalReasons), z.number(), summaryRows]),
 ]);
 
-/** A call for summaries. */
+/** A request for summaries; those of `model` come first in the answer. */
 export const summariesCallSchema = z.object({model: z.string().optional()});
--- a/src/features/routing/common/cells.ts
+++ b/src/features/routing/common/cells.ts
@@ -1,7 +1,7 @@
 import {UpstreamMember} from '../../../infrastructure/membership/common/membershipList.js';
 import {hashText, rendezvousWeight} from './rendezvous.js';
 
-/** Divides the engines of the platform's list into cells; every instance comes to the same result from the same list. */
+/** Partitions the listed engines into cells. All instances compute the same cells from the same list. */
 
 /** A bounded group of replicas of one data centre. */
 export interface Cell {
@@ -19,19 +19,23 @@
 }
 
 /**
- * Divides replicas into cells of about `cellSize`: each replica goes to the bucket of its data
- * centre that weighs most for it, so that a new replica moves few others.
+ * Partitions replicas into cells of about `cellSize` replicas. Each replica goes to the bucket of its
+ * data centre with the highest rendezvous weight for it, so that adding a replica moves few others.
  */
 export function divideIntoCells(
   upstreams: readonly UpstreamMember[],
   cellSize: number,
 ): ReadonlyMap<string, Cell> {
   const cells = new Map<string, Cell>();
-  for (const [dataCentre, replicas] of byDataCentre(upstreams)) {
+  for (const [dataCentre, replicas] of groupReplicasByDataCentre(upstreams)) {
     const bucketCount = Math.ceil(replicas.length / Math.max(1, cellSize));
     const buckets = bucketHashes(dataCentre, bucketCount);
     for (const replica of replicas) {
-      addReplica(cells, replica, heaviest(hashText(replica.group), buckets));
+      addReplica(
+        cells,
+        replica,
+        indexOfLargestWeight(hashText(replica.group), buckets),
+      );
     }
   }
   return cells;
@@ -54,51 +58,60 @@
   );
 }
 
-function heaviest(keyHash: number, memberHashes: readonly number[]): number {
-  let found = 0;
+function indexOfLargestWeight(
+  keyHash: number,
+  memberHashes: readonly number[],
+): number {
+  let largestIndex = 0;
   let largest = -1;
   memberHashes.forEach((memberHash, index) => {
     const weight = rendezvousWeight(keyHash, memberHash);
     if (weight > largest) {
       largest = weight;
-      found = index;
+      largestIndex = index;
     }
   });
-  return found;
+  return largestIndex;
 }
 
-function byDataCentre(
+function groupReplicasByDataCentre(
   upstreams: readonly UpstreamMember[],
 ): Map<string, Replica[]> {
-  const groups = new Map<string, UpstreamMember[]>();
+  const enginesByReplica = new Map<string, UpstreamMember[]>();
   for (const upstream of upstreams) {
     if (upstream.role === 'engine') {
-      pushTo(groups, upstream.group, upstream);
+      appendTo(enginesByReplica, upstream.group, upstream);
     }
   }
-  const found = new Map<string, Replica[]>();
-  for (const [group, engines] of groups) {
-    const home = homeOf(engines);
-    const {dataCentre, region} = home;
-    pushTo(found, dataCentre, {group, dataCentre, region, engines});
+  const replicasByDataCentre = new Map<string, Replica[]>();
+  for (const [group, engines] of enginesByReplica) {
+    const majorityEngine = majorityEngineOf(engines);
+    const {dataCentre, region} = majorityEngine;
+    appendTo(replicasByDataCentre, dataCentre, {
+      group,
+      dataCentre,
+      region,
+      engines,
+    });
   }
-  return found;
+  return replicasByDataCentre;
 }
 
-/** An engine in the data centre that holds most of a replica; the first by name among equals. */
-function homeOf(engines: readonly UpstreamMember[]): UpstreamMember {
+/** An engine in the data centre with most of the replica's engines. On a tie, the data centre that sorts first wins. */
+function majorityEngineOf(engines: readonly UpstreamMember[]): UpstreamMember {
   const counts = new Map<string, number>();
   for (const {dataCentre} of engines) {
     counts.set(dataCentre, (counts.get(dataCentre) ?? 0) + 1);
   }
   return engines.reduce((best, engine) => {
-    const more = counts.get(engine.dataCentre)! - counts.get(best.dataCentre)!;
+    const difference =
+      counts.get(engine.dataCentre)! - counts.get(best.dataCentre)!;
     const isBefore = engine.dataCentre < best.dataCentre;
-    return more > 0 || (more === 0 && isBefore) ? engine : best;
+    return difference > 0 || (difference === 0 && isBefore) ? engine : best;
   });
 }
 
-function pushTo<T>(lists: Map<string, T[]>, key: string, value: T): void {
+function appendTo<T>(lists: Map<string, T[]>, key: string, value: T): void {
   const list = lists.get(key);
   if (list === undefined) {
     lists.set(key, [value]);
--- a/src/features/routing/common/chooseCells.ts
+++ b/src/features/routing/common/chooseCells.ts
@@ -1,72 +1,79 @@
 import {RandomSource} from '../../../base/common/randomSource.js';
 import {WorkEstimate} from './routing.js';
 
-/** What an owner tells other instances about its cell. */
+/** Free capacity for a model in a cell, as its owner last reported it. */
 export interface CellSummary {
   readonly cell: string;
   readonly model: string;
   readonly dataCentre: string;
-  /** Slots free along whole pipelines. */
+  /** Slots free at every layer range, so that each allows one whole pipeline. */
   readonly freeSlots: number;
-  /** Milliseconds from the summary's making until a pipeline can start. */
+  /** Milliseconds from the summary's computation until a pipeline can start. */
   readonly earliestStartMilliseconds: number;
-  /** Time of one trip from here to the cell's data centre. */
+  /** One-way network latency from this process to the cell's data centre. */
   readonly linkMilliseconds: number;
-  /** Milliseconds since the summary was made; Infinity if none came. */
+  /** Milliseconds since the summary was computed; Infinity if none was received. */
   readonly ageMilliseconds: number;
 }
 
-const MAXIMUM_ASKED = 3;
+const MAXIMUM_CELLS = 3;
 const AGE_TIME_CONSTANT_MILLISECONDS = 2000;
 
-/** How far a summary can be believed, from 1 (fresh) towards 0. */
-function trust(summary: CellSummary): number {
+/** Confidence in a summary: 1 if new, decaying exponentially towards 0 with its age. */
+function freshness(summary: CellSummary): number {
   return Math.exp(-summary.ageMilliseconds / AGE_TIME_CONSTANT_MILLISECONDS);
 }
 
-/** Weight in the random draw: free slots if the figures are fresh, alike for all as they age. */
-function drawWeight(summary: CellSummary): number {
-  return 1 + trust(summary) * Math.max(0, summary.freeSlots);
+/** Sampling weight: by free slots while the summary is fresh, converging to equal weights as it ages. */
+function samplingWeight(summary: CellSummary): number {
+  return 1 + freshness(summary) * Math.max(0, summary.freeSlots);
 }
 
-/** Milliseconds to the first token beyond compute: the wait, less certain with age, and the trip. */
-function expectedWait(summary: CellSummary): number {
+/** Delay of the first token apart from compute: the wait that remains since the summary, and the round trip. */
+function expectedDelayMilliseconds(summary: CellSummary): number {
   const start = summary.earliestStartMilliseconds;
-  const passed = Number.isFinite(summary.ageMilliseconds)
+  const elapsed = Number.isFinite(summary.ageMilliseconds)
     ? summary.ageMilliseconds
     : 0;
-  const wait = summary.freeSlots > 0 ? 0 : Math.max(0, start - passed);
+  const wait = summary.freeSlots > 0 ? 0 : Math.max(0, start - elapsed);
   return wait + 2 * summary.linkMilliseconds;
 }
 
-/** Draws one by weight and removes it from the list. */
-function draw(
+/** Samples one summary by weight and removes it from the list. */
+function sampleOne(
   remaining: CellSummary[],
   random: RandomSource,
 ): CellSummary | undefined {
-  const total = remaining.reduce((sum, one) => sum + drawWeight(one), 0);
-  let point = random.next() * total;
-  const found = remaining.findIndex(one => (point -= drawWeight(one)) < 0);
+  const total = remaining.reduce(
+    (sum, summary) => sum + samplingWeight(summary),
+    0,
+  );
+  let threshold = random.next() * total;
+  const found = remaining.findIndex(
+    summary => (threshold -= samplingWeight(summary)) < 0,
+  );
   const index = found < 0 ? remaining.length - 1 : found;
   return remaining.splice(index, 1)[0];
 }
 
-/** Two drawn by weight, the one with the shorter expected wait first. */
-function drawTwo(
+/** Samples two summaries by weight and returns the one with the shorter expected delay first. */
+function sampleTwo(
   cells: readonly CellSummary[],
   random: RandomSource,
 ): CellSummary[] {
   const remaining = [...cells];
-  const drawn = [draw(remaining, random), draw(remaining, random)];
-  return drawn
-    .filter(one => one !== undefined)
-    .sort((a, b) => expectedWait(a) - expectedWait(b));
+  const sampled = [sampleOne(remaining, random), sampleOne(remaining, random)];
+  return sampled
+    .filter(summary => summary !== undefined)
+    .sort(
+      (a, b) => expectedDelayMilliseconds(a) - expectedDelayMilliseconds(b),
+    );
 }
 
 /**
- * Chooses which cells to ask for capacity, in order, at most three: two random choices weighted by
- * free slots and age in the nearest data centre that serves the model, then two choices elsewhere.
- * Cells whose wait alone exceeds the first token's target go last.
+ * Chooses up to three cells to ask for capacity, in order: two sampled by free slots and age in the own
+ * data centre, then two elsewhere. Cells whose expected delay alone exceeds the first-token target
+ * go last.
  */
 export function chooseCells(
   summaries: readonly CellSummary[],
@@ -75,11 +82,17 @@
   dataCentre: string,
   random: RandomSource,
 ): readonly string[] {
-  const serving = summaries.filter(one => one.model === model);
-  const near = serving.filter(one => one.dataCentre === dataCentre);
-  const far = serving.filter(one => one.dataCentre !== dataCentre);
-  const order = [...drawTwo(near, random), ...drawTwo(far, random)];
-  const inTime = order.filter(one => expectedWait(one) < work.firstTokenWithin);
-  const late = order.filter(one => expectedWait(one) >= work.firstTokenWithin);
-  return [...inTime, ...late].slice(0, MAXIMUM_ASKED).map(one => one.cell);
+  const candidates = summaries.filter(summary => summary.model === model);
+  const near = candidates.filter(summary => summary.dataCentre === dataCentre);
+  const far = candidates.filter(summary => summary.dataCentre !== dataCentre);
+  const order = [...sampleTwo(near, random), ...sampleTwo(far, random)];
+  const inTime = order.filter(
+    summary => expectedDelayMilliseconds(summary) < work.firstTokenWithin,
+  );
+  const late = order.filter(
+    summary => expectedDelayMilliseconds(summary) >= work.firstTokenWithin,
+  );
+  return [...inTime, ...late]
+    .slice(0, MAXIMUM_CELLS)
+    .map(summary => summary.cell);
 }
--- a/src/features/routing/common/concurrencyLimit.ts
+++ b/src/features/routing/common/concurrencyLimit.ts
@@ -1,29 +1,29 @@
-/** Decode time over the uncontended time at which a limit is too high. */
+/** Ratio of decode time to uncontended decode time above which the limit is too high. */
 const CONTENDED_RATIO = 2;
-const DECREASE = 0.9;
-/** Share of the limit that must have been in use for the limit to grow. */
-const IN_USE_SHARE = 0.8;
-/** Milliseconds in which the uncontended time grows by e, so that a lasting change is learned. */
+const DECREASE_FACTOR = 0.9;
+/** Share of the limit that must be in use for the limit to grow. */
+const MINIMUM_UTILIZATION = 0.8;
+/** The uncontended time grows by a factor of e in this time, so that a permanent slowdown becomes the new baseline. */
 const BASELINE_TIME_CONSTANT_MILLISECONDS = 3600000;
-/** Milliseconds between two decreases: one round of sequences must show the effect first. */
+/** Minimum time between decreases: a round of sequences must first run at the lower limit to show its effect. */
 const DECREASE_INTERVAL_MILLISECONDS = 500;
-const MAXIMUM_ENTRIES = 4096;
+const MAXIMUM_UPSTREAMS = 4096;
 
-interface Learned {
+interface LimitState {
   readonly limit: number;
-  readonly uncontended: number;
+  readonly uncontendedMilliseconds: number;
   readonly decreasedAt: number;
-  readonly at: number;
+  readonly updatedAt: number;
 }
 
 /**
- * Sequence limits learned for each upstream from its decode time: additive increase while it stays
- * near the uncontended time, multiplicative decrease beyond. Never above the engine's own limit.
+ * Adapts a sequence limit for each upstream to its decode time (AIMD): additive increase while decode
+ * time stays near its uncontended value, multiplicative decrease beyond. The engine's own limit caps it.
  */
 export class ConcurrencyLimit {
-  private readonly learned = new Map<string, Learned>();
+  private readonly learned = new Map<string, LimitState>();
 
-  /** Takes a mean decode time and how many sequences were resident. */
+  /** Updates the limit from a mean decode time measured with `resident` sequences. */
   observe(
     upstream: string,
     decodeMilliseconds: number,
@@ -34,45 +34,62 @@
     if (!(decodeMilliseconds > 0)) {
       return;
     }
-    const known = this.learned.get(upstream);
-    const limit = Math.min(known?.limit ?? engineLimit, engineLimit);
-    const elapsed = now - (known?.at ?? now);
-    const drift = Math.exp(elapsed / BASELINE_TIME_CONSTANT_MILLISECONDS);
-    const baseline = (known?.uncontended ?? Infinity) * drift;
-    const uncontended = Math.min(baseline, decodeMilliseconds);
-    const decreasedAt = known?.decreasedAt ?? -Infinity;
-    const contended = decodeMilliseconds > CONTENDED_RATIO * uncontended;
-    const mayDecrease = now - decreasedAt >= DECREASE_INTERVAL_MILLISECONDS;
-    if (contended && mayDecrease) {
-      const lower = Math.max(1, Math.min(limit, resident) * DECREASE);
-      this.keep(upstream, {
-        limit: lower,
-        uncontended,
+    const previous = this.learned.get(upstream);
+    const limit = Math.min(previous?.limit ?? engineLimit, engineLimit);
+    const elapsed = now - (previous?.updatedAt ?? now);
+    const baselineGrowth = Math.exp(
+      elapsed / BASELINE_TIME_CONSTANT_MILLISECONDS,
+    );
+    const baselineMilliseconds =
+      (previous?.uncontendedMilliseconds ?? Infinity) * baselineGrowth;
+    const uncontendedMilliseconds = Math.min(
+      baselineMilliseconds,
+      decodeMilliseconds,
+    );
+    const decreasedAt = previous?.decreasedAt ?? -Infinity;
+    const isContended =
+      decodeMilliseconds > CONTENDED_RATIO * uncontendedMilliseconds;
+    const canDecrease = now - decreasedAt >= DECREASE_INTERVAL_MILLISECONDS;
+    if (isContended && canDecrease) {
+      const decreased = Math.max(
+        1,
+        Math.min(limit, resident) * DECREASE_FACTOR,
+      );
+      this.store(upstream, {
+        limit: decreased,
+        uncontendedMilliseconds,
         decreasedAt: now,
-        at: now,
+        updatedAt: now,
       });
       return;
     }
-    const grows = !contended && resident >= limit * IN_USE_SHARE;
-    const next = grows ? Math.min(engineLimit, limit + 1 / limit) : limit;
-    this.keep(upstream, {limit: next, uncontended, decreasedAt, at: now});
+    const canGrow = !isContended && resident >= limit * MINIMUM_UTILIZATION;
+    const limitAfter = canGrow
+      ? Math.min(engineLimit, limit + 1 / limit)
+      : limit;
+    this.store(upstream, {
+      limit: limitAfter,
+      uncontendedMilliseconds,
+      decreasedAt,
+      updatedAt: now,
+    });
   }
 
-  /** Sequences that may be resident, a whole number from 1 to the engine's limit. */
+  /** The current limit on resident sequences, an integer from 1 to `engineLimit`. */
   limit(upstream: string, engineLimit: number): number {
     const learned = this.learned.get(upstream)?.limit ?? engineLimit;
     return Math.max(1, Math.floor(Math.min(learned, engineLimit)));
   }
 
-  /** Forgets an upstream that left or restarted. */
+  /** Drops the state of an upstream that left or restarted. */
   forget(upstream: string): void {
     this.learned.delete(upstream);
   }
 
-  private keep(upstream: string, learned: Learned): void {
+  private store(upstream: string, state: LimitState): void {
     this.learned.delete(upstream);
-    this.learned.set(upstream, learned);
-    if (this.learned.size > MAXIMUM_ENTRIES) {
+    this.learned.set(upstream, state);
+    if (this.learned.size > MAXIMUM_UPSTREAMS) {
       const [oldest] = this.learned.keys();
       this.learned.delete(oldest!);
     }
--- a/src/features/routing/common/decayedMean.ts
+++ b/src/features/routing/common/decayedMean.ts
@@ -1,11 +1,11 @@
-/** A mean of samples whose weight halves with age, mixed with a fallback as they age. */
+/** A mean with exponentially decaying sample weights, blended with a fallback as its samples age. */
 export class DecayedMean {
   private weightedSum = 0;
   private weight = 0;
-  private at = 0;
+  private updatedAt = 0;
 
-  /** @param timeConstant milliseconds in which the weight of a sample falls to 1/e */
-  constructor(private readonly timeConstant: number) {}
+  /** @param timeConstantMilliseconds time in which the weight of a sample falls to 1/e */
+  constructor(private readonly timeConstantMilliseconds: number) {}
 
   /** Adds a sample that stands for `count` measurements. */
   add(value: number, count: number, now: number): void {
@@ -14,23 +14,26 @@
     this.weight += count;
   }
 
-  /** The mean, drawn towards the fallback once the samples have aged. */
+  /** The mean; once the total weight falls below 1, the fallback makes up the rest. */
   value(fallback: number, now: number): number {
     this.decayTo(now);
-    const trust = Math.min(1, this.weight);
-    if (trust === 0) {
+    const confidence = Math.min(1, this.weight);
+    if (confidence === 0) {
       return fallback;
     }
     const mean = this.weightedSum / this.weight;
-    return trust * mean + (1 - trust) * fallback;
+    return confidence * mean + (1 - confidence) * fallback;
   }
 
   private decayTo(now: number): void {
-    const factor = Math.exp(-(now - this.at) / this.timeConstant);
-    this.at = now;
-    this.weight = this.weight * factor < SMALLEST ? 0 : this.weight * factor;
+    const factor = Math.exp(
+      -(now - this.updatedAt) / this.timeConstantMilliseconds,
+    );
+    this.updatedAt = now;
+    this.weight =
+      this.weight * factor < MINIMUM_WEIGHT ? 0 : this.weight * factor;
     this.weightedSum = this.weight === 0 ? 0 : this.weightedSum * factor;
   }
 }
 
-const SMALLEST = 1e-6;
+const MINIMUM_WEIGHT = 1e-6;
--- a/src/features/routing/common/laxityPolicy.ts
+++ b/src/features/routing/common/laxityPolicy.ts
@@ -1,34 +1,35 @@
 import {admit, PipelinePolicy, refuse} from './pipelinePolicy.js';
 import {Pipeline} from './pipelineSearch.js';
 import {CellView, RoutingDecision, ShareView, WorkEstimate} from './routing.js';
-import {ShareStanding, shareStanding} from './shareStanding.js';
-import {mustLeaveSlots} from './slotReserve.js';
+import {FairShareStatus, assessFairShare} from './shareStanding.js';
+import {isReservedForOthers} from './slotReserve.js';
 
-/** How one of several pipelines that are in time is chosen. */
-export type PipelineChoice = (typeof pipelineChoices)[number];
+/** Rule by which one of several pipelines that meet the targets is chosen. */
+export type PipelineSelectionRule = (typeof pipelineSelectionRules)[number];
 
-/** The slowest, the fastest, the first to its first token; or the slowest for a loose token target, else the fastest. */
-export const pipelineChoices = [
+/** In order: slowest, fastest, earliest first token; slowest if the token target is loose, else fastest. */
+export const pipelineSelectionRules = [
   'bestFit',
   'earliestFinish',
   'leastPrefill',
   'byTightness',
 ] as const;
 
-/** Milliseconds before a caller comes back where even an idle pipeline would be too slow. */
+/** Retry delay if even an idle pipeline would be too slow. */
 const TOO_SLOW_RETRY_MILLISECONDS = 5000;
-/** Token target over predicted time from which work counts as loose. */
-const LOOSE_RATIO = 2;
-/** Contention from which waits are stretched in full; then the factor with and without contention. */
-const FULL_CONTENTION = 0.1;
-const CAREFUL_WAIT = 1.6;
-const BOLD_WAIT = 0.7;
-const SHORTEST_RETRY_MILLISECONDS = 20;
-/** Part of each target kept back for what the prediction doesn't see. */
-const SAFETY = 0.05;
+/** Ratio of token target to predicted time between tokens from which the target counts as loose. */
+const LOOSE_TARGET_RATIO = 2;
+/** Contention at and above which waits are scaled by `CONTENDED_WAIT_FACTOR`. */
+const FULL_CONTENTION_SHARE = 0.1;
+const CONTENDED_WAIT_FACTOR = 1.6;
+const UNCONTENDED_WAIT_FACTOR = 0.7;
+const MINIMUM_RETRY_MILLISECONDS = 20;
+/** Share of each target reserved for delays that the prediction doesn't cover. */
+const SAFETY_MARGIN = 0.05;
+
 /**
- * Milliseconds that the start could still be put off without missing a target; negative if late.
- * `waitFactor` stretches the predicted wait.
+ * Milliseconds by which the start can be delayed without missing a target; negative if one will be
+ * missed. `waitFactor` scales the predicted wait, which is uncertain.
  */
 export function laxity(
   pipeline: Pipeline,
@@ -39,35 +40,41 @@
   if (!meetsTokenTarget(pipeline, work)) {
     return -Infinity;
   }
-  const keep = 1 - SAFETY;
-  const stretch = (waitFactor - 1) * prediction.startsInMilliseconds;
-  const first =
-    work.firstTokenWithin * keep - prediction.firstTokenMilliseconds;
-  const whole = work.deadlineWithin * keep - prediction.wholeMilliseconds;
-  return Math.min(first, whole) - stretch;
+  const usableShare = 1 - SAFETY_MARGIN;
+  const addedWait = (waitFactor - 1) * prediction.startsInMilliseconds;
+  const firstTokenSlack =
+    work.firstTokenWithin * usableShare - prediction.firstTokenMilliseconds;
+  const deadlineSlack =
+    work.deadlineWithin * usableShare - prediction.wholeMilliseconds;
+  return Math.min(firstTokenSlack, deadlineSlack) - addedWait;
 }
 
 /**
- * Finish times of others are the least certain figures. While slots are plentiful, work that may
- * be late costs nobody; where others are turned away it must be fairly sure to be on time.
+ * Finish times of other sequences are the least certain inputs. While slots are plentiful, admitting
+ * work that may be late harms no one. While others are refused, it must be likely to be on time.
  */
-function waitFactorAt(contention: number): number {
-  const part = Math.min(1, contention / FULL_CONTENTION);
-  return BOLD_WAIT + part * (CAREFUL_WAIT - BOLD_WAIT);
+function waitFactorFor(contention: number): number {
+  const contentionLevel = Math.min(1, contention / FULL_CONTENTION_SHARE);
+  return (
+    UNCONTENDED_WAIT_FACTOR +
+    contentionLevel * (CONTENDED_WAIT_FACTOR - UNCONTENDED_WAIT_FACTOR)
+  );
 }
 
 /**
- * Takes work only where it can still be on time (laxity of at least zero), else refuses at once
- * and says when a slot will be early enough. After the laxity test of Shin and Hou, made
- * per pipeline and per token target. An account over its share may fill idle slots only and leaves
- * some free.
+ * Admits work only where it can still be on time (laxity of at least zero). Otherwise refuses it at
+ * once, with the delay after which a slot will be free early enough. Based on the laxity test of Shin
+ * and Hou, applied per pipeline and per token target. An account over its share may use only idle
+ * slots and must leave some of them free.
  */
 export class LaxityPolicy extends PipelinePolicy {
   override readonly name: string;
 
-  constructor(private readonly choice: PipelineChoice = 'byTightness') {
+  constructor(
+    private readonly selectionRule: PipelineSelectionRule = 'byTightness',
+  ) {
     super();
-    this.name = `laxity, ${choice}`;
+    this.name = `laxity, ${selectionRule}`;
   }
 
   protected override decideAmong(
@@ -81,90 +88,117 @@
     if (work.inProgress === true) {
       return this.decideInProgress(pipelines, work);
     }
-    const standing = shareStanding(shares, work);
-    const waitFactor = waitFactorAt(standing.contention);
-    const inTime = pipelines.filter(one => laxity(one, work, waitFactor) >= 0);
+    const shareStatus = assessFairShare(shares, work);
+    const waitFactor = waitFactorFor(shareStatus.contention);
+    const inTime = pipelines.filter(
+      pipeline => laxity(pipeline, work, waitFactor) >= 0,
+    );
     if (inTime.length === 0) {
-      const after = comeBackAfter(pipelines, work, waitFactor);
-      return refuse('cannotMeetTarget', after, candidates);
+      const retryAfter = retryDelayMilliseconds(pipelines, work, waitFactor);
+      return refuse('cannotMeetTarget', retryAfter, candidates);
     }
-    const allowed = isOver(standing)
+    const allowed = isOverShare(shareStatus)
       ? inTime.filter(
-          one =>
-            startsNow(one) &&
-            !mustLeaveSlots(one, pipelines, shares, standing, work, now),
+          pipeline =>
+            canStartNow(pipeline) &&
+            !isReservedForOthers(
+              pipeline,
+              pipelines,
+              shares,
+              shareStatus,
+              work,
+              now,
+            ),
         )
       : inTime;
     if (allowed.length === 0) {
-      return refuse('overShare', nextFinish(view, now), candidates);
+      return refuse(
+        'overShare',
+        millisecondsToNextFinish(view, now),
+        candidates,
+      );
     }
     return admit(this.choose(allowed, work), candidates, this.name);
   }
 
   /**
-   * Work that lost its stages goes on wherever it ends soonest, whatever its share: what was done
-   * for it is lost otherwise. Proven pipelines with the token target met come first.
+   * Work that lost its stages continues where it finishes soonest, whatever its account's share, since
+   * a refusal would waste what was computed. Pipelines without probing stages are preferred, among
+   * them those that meet the token target.
    */
   private decideInProgress(
     pipelines: readonly Pipeline[],
     work: WorkEstimate,
   ): RoutingDecision {
-    const whole = (one: Pipeline): number => one.prediction.wholeMilliseconds;
+    const totalTime = (pipeline: Pipeline): number =>
+      pipeline.prediction.wholeMilliseconds;
     const candidates = pipelines.length;
-    const due = pipelines.filter(one => whole(one) <= work.deadlineWithin);
-    if (due.length === 0) {
+    const beforeDeadline = pipelines.filter(
+      pipeline => totalTime(pipeline) <= work.deadlineWithin,
+    );
+    if (beforeDeadline.length === 0) {
       return refuse(
         'cannotMeetTarget',
         TOO_SLOW_RETRY_MILLISECONDS,
         candidates,
       );
     }
-    const proven = preferring(due, one => !isProbe(one));
-    const steady = preferring(proven, one => meetsTokenTarget(one, work));
-    return admit(leastBy(steady, whole), candidates, 'work in progress');
+    const withoutProbes = preferMatching(
+      beforeDeadline,
+      pipeline => !hasProbingStage(pipeline),
+    );
+    const preferred = preferMatching(withoutProbes, pipeline =>
+      meetsTokenTarget(pipeline, work),
+    );
+    return admit(leastBy(preferred, totalTime), candidates, 'work in progress');
   }
 
-  /** A free slot is certain and a predicted one is not, so those that start at once come first. */
+  /** Prefers pipelines that can start at once: a free slot is certain, a predicted one is not. */
   private choose(inTime: readonly Pipeline[], work: WorkEstimate): Pipeline {
     const free = inTime.filter(
-      one => one.prediction.startsInMilliseconds === 0,
+      pipeline => pipeline.prediction.startsInMilliseconds === 0,
     );
     if (free.length === 0) {
-      return leastBy(inTime, one => one.prediction.startsInMilliseconds);
+      return leastBy(
+        inTime,
+        pipeline => pipeline.prediction.startsInMilliseconds,
+      );
     }
-    const whole = (one: Pipeline): number => one.prediction.wholeMilliseconds;
-    switch (this.choice) {
+    const totalTime = (pipeline: Pipeline): number =>
+      pipeline.prediction.wholeMilliseconds;
+    switch (this.selectionRule) {
       case 'earliestFinish':
-        return leastBy(free, whole);
+        return leastBy(free, totalTime);
       case 'leastPrefill':
-        return leastBy(free, one => one.prediction.firstTokenMilliseconds);
+        return leastBy(
+          free,
+          pipeline => pipeline.prediction.firstTokenMilliseconds,
+        );
       case 'bestFit':
-        return leastBy(free, one => -whole(one));
+        return leastBy(free, pipeline => -totalTime(pipeline));
       case 'byTightness':
-        return free.every(one => isLoose(one, work))
-          ? leastBy(free, one => -whole(one))
-          : leastBy(free, whole);
+        return free.every(pipeline => hasLooseTarget(pipeline, work))
+          ? leastBy(free, pipeline => -totalTime(pipeline))
+          : leastBy(free, totalTime);
     }
   }
 }
 
-/** Whether the token target is far above a pipeline's time between tokens. */
-function isLoose(pipeline: Pipeline, work: WorkEstimate): boolean {
+function hasLooseTarget(pipeline: Pipeline, work: WorkEstimate): boolean {
   const step = pipeline.prediction.betweenTokensMilliseconds;
-  return work.betweenTokensTarget >= LOOSE_RATIO * step;
+  return work.betweenTokensTarget >= LOOSE_TARGET_RATIO * step;
 }
 
-/** Whether an account has had more than its share while others are turned away. */
-function isOver({excess, contention}: ShareStanding): boolean {
+/** Whether an account has used more than its share while other requests are refused. */
+function isOverShare({excess, contention}: FairShareStatus): boolean {
   return excess > 0 && contention > 0;
 }
 
-function startsNow(pipeline: Pipeline): boolean {
+function canStartNow(pipeline: Pipeline): boolean {
   return pipeline.prediction.startsInMilliseconds <= 0;
 }
 
-/** Whether a pipeline has a stage that is being probed. */
-function isProbe(pipeline: Pipeline): boolean {
+function hasProbingStage(pipeline: Pipeline): boolean {
   return pipeline.stages.some(stage => stage.health === 'probing');
 }
 
@@ -173,8 +207,8 @@
   return step <= work.betweenTokensTarget;
 }
 
-/** The members that pass a test, or all if none does. */
-function preferring<T>(
+/** The members that pass `test`, or all members if none does. */
+function preferMatching<T>(
   members: readonly T[],
   test: (member: T) => boolean,
 ): readonly T[] {
@@ -182,31 +216,33 @@
   return passing.length > 0 ? passing : members;
 }
 
-/** The member with the least cost; the first of equals. */
+/** The member with the least cost; the first one on a tie. */
 function leastBy<T>(members: readonly T[], cost: (member: T) => number): T {
-  return members.reduce((best, one) => (cost(one) < cost(best) ? one : best));
+  return members.reduce((best, member) =>
+    cost(member) < cost(best) ? member : best,
+  );
 }
 
-/** When the same work, sent anew, would find a slot that is early enough. */
-function comeBackAfter(
+/** Delay after which the same work, if sent again, is expected to find a slot in time. */
+function retryDelayMilliseconds(
   pipelines: readonly Pipeline[],
   work: WorkEstimate,
   waitFactor: number,
 ): number {
   const waits = pipelines
-    .filter(one => laxity(one, work, 0) >= 0)
-    .map(one => -laxity(one, work, waitFactor) / waitFactor);
+    .filter(pipeline => laxity(pipeline, work, 0) >= 0)
+    .map(pipeline => -laxity(pipeline, work, waitFactor) / waitFactor);
   if (waits.length === 0) {
     return TOO_SLOW_RETRY_MILLISECONDS;
   }
-  return Math.max(SHORTEST_RETRY_MILLISECONDS, Math.min(...waits));
+  return Math.max(MINIMUM_RETRY_MILLISECONDS, Math.min(...waits));
 }
 
-/** Milliseconds until the next sequence of the cell ends. */
-function nextFinish(view: CellView, now: number): number {
+/** Time until the first sequence of the cell is expected to finish. */
+function millisecondsToNextFinish(view: CellView, now: number): number {
   const finishes = view.stages
     .map(stage => stage.busyUntil.find(finish => finish > now))
     .filter(finish => finish !== undefined);
   const next = finishes.length === 0 ? 0 : Math.min(...finishes) - now;
-  return Math.max(SHORTEST_RETRY_MILLISECONDS, next);
+  return Math.max(MINIMUM_RETRY_MILLISECONDS, next);
 }
--- a/src/features/routing/common/leastLoadedPolicy.ts
+++ b/src/features/routing/common/leastLoadedPolicy.ts
@@ -2,7 +2,7 @@
 import {admit, PipelinePolicy} from './pipelinePolicy.js';
 import {RoutingDecision, StageView} from './routing.js';
 
-/** Sequences for each slot at a stage. */
+/** Ratio of sequences to slots at a stage. */
 function stageLoad(stage: StageView): number {
   return stage.busyUntil.length / Math.max(1, stage.sequenceLimit);
 }
@@ -12,15 +12,15 @@
   return Math.max(...pipeline.stages.map(stageLoad));
 }
 
-/** A comparison: takes all work, on the pipeline with the fewest sequences for each slot. */
+/** Baseline for comparison: admits all work, on the pipeline with the fewest sequences per slot. */
 export class LeastLoadedPolicy extends PipelinePolicy {
   override readonly name = 'least loaded, no admission';
 
   protected override decideAmong(
     pipelines: readonly Pipeline[],
   ): RoutingDecision {
-    const chosen = pipelines.reduce((best, one) =>
-      pipelineLoad(one) < pipelineLoad(best) ? one : best,
+    const chosen = pipelines.reduce((best, pipeline) =>
+      pipelineLoad(pipeline) < pipelineLoad(best) ? pipeline : best,
     );
     return admit(chosen, pipelines.length, this.name);
   }
--- a/src/features/routing/common/maxMinShare.ts
+++ b/src/features/routing/common/maxMinShare.ts
@@ -1,31 +1,34 @@
 /** Max-min fairness by water-filling. */
 
-/** One who wants part of a capacity. */
+/** A party that demands part of a capacity. */
 export interface Claimant {
-  readonly wanted: number;
+  readonly demand: number;
   readonly weight: number;
 }
 
 /**
- * The level, per unit of weight, at which `capacity` is used up when each claimant gets the lesser
- * of its want and its weight times the level; Infinity if all wants fit.
+ * The level, per unit of weight, that uses up `capacity` if each claimant gets the lesser of its demand
+ * and its weight times the level. Infinity if all demands fit.
  */
 export function fairLevel(
   claimants: readonly Claimant[],
   capacity: number,
 ): number {
-  const ascending = claimants
-    .filter(one => one.weight > 0)
-    .sort((a, b) => a.wanted / a.weight - b.wanted / b.weight);
-  let weight = ascending.reduce((sum, one) => sum + one.weight, 0);
-  let left = capacity;
-  for (const one of ascending) {
-    const level = left / weight;
-    if (one.wanted / one.weight > level) {
+  const sorted = claimants
+    .filter(claimant => claimant.weight > 0)
+    .sort((a, b) => a.demand / a.weight - b.demand / b.weight);
+  let remainingWeight = sorted.reduce(
+    (sum, claimant) => sum + claimant.weight,
+    0,
+  );
+  let remaining = capacity;
+  for (const claimant of sorted) {
+    const level = remaining / remainingWeight;
+    if (claimant.demand / claimant.weight > level) {
       return Math.max(0, level);
     }
-    left -= one.wanted;
-    weight -= one.weight;
+    remaining -= claimant.demand;
+    remainingWeight -= claimant.weight;
   }
   return Infinity;
 }
--- a/src/features/routing/common/pipelinePolicy.ts
+++ b/src/features/routing/common/pipelinePolicy.ts
@@ -7,10 +7,10 @@
   WorkEstimate,
 } from './routing.js';
 
-/** Milliseconds before a caller comes back where no pipeline exists at all. */
+/** Retry delay if the cell's usable stages don't cover all layers. */
 const NO_PIPELINE_RETRY_MILLISECONDS = 1000;
 
-/** Takes the work on a pipeline. */
+/** Decision to run the work on a pipeline. */
 export function admit(
   pipeline: Pipeline,
   candidates: number,
@@ -25,7 +25,7 @@
   return {kind: 'admit', stages, prediction, candidates, reason};
 }
 
-/** Refuses the work with a time to come back. */
+/** Decision to refuse the work until a retry after `retryAfterMilliseconds`. */
 export function refuse(
   reason: 'cannotMeetTarget' | 'overShare' | 'noUpstream',
   retryAfterMilliseconds: number,
@@ -34,7 +34,7 @@
   return {kind: 'refuse', reason, retryAfterMilliseconds, candidates};
 }
 
-/** Base of policies that choose among predicted pipelines; there is at least one when asked. */
+/** Base class of policies that choose among predicted pipelines. */
 export abstract class PipelinePolicy extends RoutingPolicy {
   override decide(
     view: CellView,
@@ -49,7 +49,7 @@
     return this.decideAmong(pipelines, view, shares, work, now);
   }
 
-  /** Decides among the pipelines that exist, in time or not. */
+  /** Decides among at least one pipeline; some may not meet the targets. */
   protected abstract decideAmong(
     pipelines: readonly Pipeline[],
     view: CellView,
--- a/src/features/routing/common/pipelineSearch.ts
+++ b/src/features/routing/common/pipelineSearch.ts
@@ -1,32 +1,32 @@
 import {CellView, Prediction, StageView, WorkEstimate} from './routing.js';
 
-/** Predicts and searches pipelines: chains of stages that cover all layers of a model. */
+/** Finds pipelines (chains of stages that cover all layers of a model) and predicts their times. */
 
-/** Time figures of one stage for one piece of work; milliseconds. */
-export interface TimedStage {
+/** Predicted times of one stage for one piece of work. */
+export interface StageEstimate {
   readonly stage: StageView;
-  /** Wait until a slot is free. */
-  readonly wait: number;
+  /** Time until a slot is free. */
+  readonly waitMilliseconds: number;
   readonly prefill: number;
-  /** One decode step and its hop. */
+  /** Time of one decode step and the hop to the stage. */
   readonly step: number;
 }
 
-/** A chain of stages with its prediction. */
+/** A chain of stages that covers all layers, with its predicted times. */
 export interface Pipeline {
   readonly stages: readonly StageView[];
   readonly prediction: Prediction;
 }
 
-/** Most start times for which a mixed chain is sought. */
-const MAXIMUM_STARTS = 8;
-/** Widening of compute and wait for each second of a figure's age. */
-const WIDENING_PER_SECOND = 0.02;
-/** Longest time past its expected finish that a sequence takes, over the time of the work at hand. */
+/** Maximum number of start times for which a chain across replicas is searched. */
+const MAXIMUM_START_TIMES = 8;
+/** Relative increase of predicted wait and compute times for each second of age of the load report. */
+const UNCERTAINTY_PER_SECOND = 0.02;
+/** Longest assumed overrun of a sequence past its expected finish, as a share of the decode time of the new work. */
 const OVERRUN_SHARE = 0.1;
 const MAXIMUM_AGE_MILLISECONDS = 5000;
 
-/** Whether new work may go to a stage at all. */
+/** Whether a stage accepts new work. A stage that is being probed takes one sequence at a time. */
 export function isUsable(stage: StageView): boolean {
   if (stage.leaving || stage.health === 'quarantined') {
     return false;
@@ -35,167 +35,193 @@
 }
 
 /**
- * Milliseconds until one more sequence can be resident: the finish that leaves one below the
- * limit. Sequences past their expected finish are taken to end evenly over `overrun` from now.
+ * Time until one more sequence can be resident: until the finish that brings the count below the limit.
+ * Overdue sequences are assumed to end at even intervals over the next `overrunMilliseconds`.
  */
-export function waitForSlot(
+export function slotWaitMilliseconds(
   stage: StageView,
   now: number,
-  overrun: number,
+  overrunMilliseconds: number,
 ): number {
-  const probing = stage.health === 'probing';
-  const limit = probing ? 1 : Math.max(1, Math.floor(stage.sequenceLimit));
-  const ahead = stage.busyUntil.length - limit;
-  if (ahead < 0) {
+  const isProbing = stage.health === 'probing';
+  const limit = isProbing ? 1 : Math.max(1, Math.floor(stage.sequenceLimit));
+  const freeingIndex = stage.busyUntil.length - limit;
+  if (freeingIndex < 0) {
     return 0;
   }
-  const overdue = stage.busyUntil.filter(finish => finish <= now).length;
-  if (ahead < overdue) {
-    return (overrun * (ahead + 1)) / (overdue + 1);
+  const overdueCount = stage.busyUntil.filter(finish => finish <= now).length;
+  if (freeingIndex < overdueCount) {
+    return (overrunMilliseconds * (freeingIndex + 1)) / (overdueCount + 1);
   }
-  const uncertain = overdue === 0 ? 0 : overrun;
-  return Math.max(uncertain, stage.busyUntil[ahead]! - now);
+  const minimumWait = overdueCount === 0 ? 0 : overrunMilliseconds;
+  return Math.max(minimumWait, stage.busyUntil[freeingIndex]! - now);
 }
 
-/** Factor that widens figures by their age. */
-function widening(stage: StageView): number {
-  const age = Math.min(MAXIMUM_AGE_MILLISECONDS, stage.reportAgeMilliseconds);
-  return 1 + (WIDENING_PER_SECOND * age) / 1000;
+/** Factor by which predicted wait and compute times grow with the age of the load report. */
+function uncertaintyFactor(stage: StageView): number {
+  const ageMilliseconds = Math.min(
+    MAXIMUM_AGE_MILLISECONDS,
+    stage.reportAgeMilliseconds,
+  );
+  return 1 + (UNCERTAINTY_PER_SECOND * ageMilliseconds) / 1000;
 }
 
-/** The prompt tokens that a stage must compute: all but a prefix in its cache. */
+/** Prompt tokens that a stage must compute: all except a cached prefix. */
 function promptTokensToCompute(stage: StageView, work: WorkEstimate): number {
   const {prefixKey, prefixTokens} = work;
-  const cached = prefixKey !== undefined && stage.cachedPrefixes.has(prefixKey);
-  return Math.max(1, work.promptTokens - (cached ? (prefixTokens ?? 0) : 0));
+  const isCached =
+    prefixKey !== undefined && stage.cachedPrefixes.has(prefixKey);
+  return Math.max(1, work.promptTokens - (isCached ? (prefixTokens ?? 0) : 0));
 }
 
-/** Figures of a stage for a piece of work. */
-export function timeStage(
+/** Predicts the times of one stage. `chainLength` is the number of stages that each token passes. */
+export function estimateStage(
   stage: StageView,
   work: WorkEstimate,
   now: number,
   chainLength: number,
-): TimedStage {
-  const factor = widening(stage);
+): StageEstimate {
+  const factor = uncertaintyFactor(stage);
   const tokens = promptTokensToCompute(stage, work);
   const compute = tokens * stage.prefillMillisecondsPerToken * factor;
   const step = stage.decodeMilliseconds * factor + stage.linkMilliseconds;
-  const overrun = OVERRUN_SHARE * chainLength * step * work.outputTokens;
+  const overrunMilliseconds =
+    OVERRUN_SHARE * chainLength * step * work.outputTokens;
   return {
     stage,
-    wait: waitForSlot(stage, now, overrun) * factor,
+    waitMilliseconds:
+      slotWaitMilliseconds(stage, now, overrunMilliseconds) * factor,
     prefill: compute + stage.linkMilliseconds,
     step,
   };
 }
 
-/** Predicts a chain: it starts when all its stages have a slot; each token passes all stages. */
-export function predict(
-  chain: readonly TimedStage[],
+/** Predicts the times of a chain. It starts when every stage has a free slot; each token passes all stages. */
+export function predictPipeline(
+  chain: readonly StageEstimate[],
   work: WorkEstimate,
 ): Prediction {
   let wait = 0;
   let prefill = 0;
   let step = 0;
-  let age = 0;
-  for (const timed of chain) {
-    wait = Math.max(wait, timed.wait);
-    prefill += timed.prefill;
-    step += timed.step;
-    age = Math.max(age, timed.stage.reportAgeMilliseconds);
+  let ageMilliseconds = 0;
+  for (const estimate of chain) {
+    wait = Math.max(wait, estimate.waitMilliseconds);
+    prefill += estimate.prefill;
+    step += estimate.step;
+    ageMilliseconds = Math.max(
+      ageMilliseconds,
+      estimate.stage.reportAgeMilliseconds,
+    );
   }
-  const first = wait + prefill;
+  const firstTokenMilliseconds = wait + prefill;
   return {
     startsInMilliseconds: wait,
-    firstTokenMilliseconds: first,
+    firstTokenMilliseconds,
     betweenTokensMilliseconds: step,
-    wholeMilliseconds: first + Math.max(0, work.outputTokens - 1) * step,
-    figuresAgeMilliseconds: age,
+    wholeMilliseconds:
+      firstTokenMilliseconds + Math.max(0, work.outputTokens - 1) * step,
+    figuresAgeMilliseconds: ageMilliseconds,
   };
 }
 
-interface Partial {
+interface PartialChain {
   readonly cost: number;
-  readonly last: TimedStage;
-  readonly before: Partial | undefined;
+  readonly last: StageEstimate;
+  readonly before: PartialChain | undefined;
 }
 
-/** The chain of least total time from layer 0 to the last, over any mix of stages (shortest path). */
+/** The chain of any replicas' stages with the least total time over all layers, as a shortest path. */
 function cheapestChain(
-  stages: readonly TimedStage[],
+  estimates: readonly StageEstimate[],
   layerCount: number,
   work: WorkEstimate,
-): readonly TimedStage[] | undefined {
-  const reached = new Map<number, Partial>();
-  for (const timed of stages) {
-    const {from, to} = timed.stage.layers;
+): readonly StageEstimate[] | undefined {
+  const reached = new Map<number, PartialChain>();
+  for (const estimate of estimates) {
+    const {from, to} = estimate.stage.layers;
     const before = reached.get(from);
     if (to <= from || (from !== 0 && before === undefined)) {
       continue;
     }
-    const own = timed.prefill + timed.step * Math.max(0, work.outputTokens - 1);
-    const cost = own + (before?.cost ?? 0);
-    const known = reached.get(to);
-    if (known === undefined || cost < known.cost) {
-      reached.set(to, {cost, last: timed, before});
+    const ownCost =
+      estimate.prefill + estimate.step * Math.max(0, work.outputTokens - 1);
+    const cost = ownCost + (before?.cost ?? 0);
+    const best = reached.get(to);
+    if (best === undefined || cost < best.cost) {
+      reached.set(to, {cost, last: estimate, before});
     }
   }
-  const chain: TimedStage[] = [];
-  for (let at = reached.get(layerCount); at !== undefined; at = at.before) {
-    chain.unshift(at.last);
+  const chain: StageEstimate[] = [];
+  for (
+    let partial = reached.get(layerCount);
+    partial !== undefined;
+    partial = partial.before
+  ) {
+    chain.unshift(partial.last);
   }
   return chain.length === 0 ? undefined : chain;
 }
 
-/** Groups by replica, keeping the order. */
-function byReplica(stages: readonly TimedStage[]): readonly TimedStage[][] {
-  const groups = new Map<string, TimedStage[]>();
-  for (const timed of stages) {
-    const group = groups.get(timed.stage.replica);
+/** Groups estimates by replica and keeps their order. */
+function groupByReplica(
+  estimates: readonly StageEstimate[],
+): readonly StageEstimate[][] {
+  const groups = new Map<string, StageEstimate[]>();
+  for (const estimate of estimates) {
+    const group = groups.get(estimate.stage.replica);
     if (group === undefined) {
-      groups.set(timed.stage.replica, [timed]);
+      groups.set(estimate.stage.replica, [estimate]);
     } else {
-      group.push(timed);
+      group.push(estimate);
     }
   }
   return [...groups.values()];
 }
 
-/** Distinct waits, ascending, thinned to a bounded number. */
-function startTimes(stages: readonly TimedStage[]): readonly number[] {
-  const waits = [...new Set(stages.map(timed => timed.wait))];
+/** Distinct waits in ascending order, thinned out to about `MAXIMUM_START_TIMES`. */
+function candidateStartTimes(
+  estimates: readonly StageEstimate[],
+): readonly number[] {
+  const waits = [
+    ...new Set(estimates.map(estimate => estimate.waitMilliseconds)),
+  ];
   waits.sort((a, b) => a - b);
-  const stride = Math.max(1, Math.ceil(waits.length / MAXIMUM_STARTS));
-  const last = waits.length - 1;
-  return waits.filter((_, index) => index % stride === 0 || index === last);
+  const stride = Math.max(1, Math.ceil(waits.length / MAXIMUM_START_TIMES));
+  const lastIndex = waits.length - 1;
+  return waits.filter(
+    (_, index) => index % stride === 0 || index === lastIndex,
+  );
 }
 
 /**
- * The pipelines worth comparing: each replica's own chain, and for several start times the fastest
- * mix of stages that are free by then, so that the rest of a broken replica is still used.
+ * Finds candidate pipelines: the fastest chain within each replica and, for several start times, the
+ * fastest chain across replicas of stages that are free by then. The latter uses the healthy stages
+ * of replicas that have lost others.
  */
 export function findPipelines(
   view: CellView,
   work: WorkEstimate,
   now: number,
 ): readonly Pipeline[] {
-  const ranges = new Set(view.stages.map(stage => stage.layers.from)).size;
-  const timed = view.stages
+  const rangeCount = new Set(view.stages.map(stage => stage.layers.from)).size;
+  const estimates = view.stages
     .filter(isUsable)
-    .map(stage => timeStage(stage, work, now, ranges))
+    .map(stage => estimateStage(stage, work, now, rangeCount))
     .sort((a, b) => a.stage.layers.from - b.stage.layers.from);
-  const chains = byReplica(timed).map(group =>
+  const chains = groupByReplica(estimates).map(group =>
     cheapestChain(group, view.layerCount, work),
   );
-  for (const start of startTimes(timed)) {
-    const free = timed.filter(one => one.wait <= start);
-    chains.push(cheapestChain(free, view.layerCount, work));
+  for (const start of candidateStartTimes(estimates)) {
+    const available = estimates.filter(
+      estimate => estimate.waitMilliseconds <= start,
+    );
+    chains.push(cheapestChain(available, view.layerCount, work));
   }
   return chains
     .filter(chain => chain !== undefined)
     .map(chain => ({
-      stages: chain.map(one => one.stage),
-      prediction: predict(chain, work),
+      stages: chain.map(estimate => estimate.stage),
+      prediction: predictPipeline(chain, work),
     }));
 }
--- a/src/features/routing/common/roundRobinPolicy.ts
+++ b/src/features/routing/common/roundRobinPolicy.ts
@@ -2,7 +2,7 @@
 import {admit, PipelinePolicy} from './pipelinePolicy.js';
 import {RoutingDecision} from './routing.js';
 
-/** The naive comparison: takes all work, on one pipeline after the other. */
+/** Baseline for comparison: admits all work and cycles through the pipelines. */
 export class RoundRobinPolicy extends PipelinePolicy {
   override readonly name = 'round robin, no admission';
   private turn = 0;
--- a/src/features/routing/common/routing.ts
+++ b/src/features/routing/common/routing.ts
@@ -1,15 +1,16 @@
 import {LayerRange} from '../../../infrastructure/engine/common/engineConnection.js';
 
 /**
- * Routing over cells. A cell is a bounded group of replicas of one model in one data centre. One
- * entry instance, by rendezvous, owns a cell: it knows all that is outstanding there and decides.
- * Ownership is soft: two owners or none only worsen estimates; no invariant depends on it.
+ * Routing over cells. A cell is a bounded group of replicas of one model in one data centre. One entry
+ * instance, chosen by rendezvous hashing, owns a cell: it tracks the outstanding work there and decides
+ * on new work. Ownership is soft: no invariant depends on it, and two owners or none only make
+ * estimates worse.
  */
 
 /** Health of an upstream as the router sees it. */
 export type UpstreamHealth = 'healthy' | 'probing' | 'quarantined';
 
-/** One engine as the cell's owner knows it; times are monotonic milliseconds of the owner. */
+/** State of one engine at the cell's owner. Points in time are monotonic milliseconds of the owner. */
 export interface StageView {
   readonly upstream: string;
   readonly address: string;
@@ -19,20 +20,20 @@
   readonly layers: LayerRange;
   readonly health: UpstreamHealth;
   readonly leaving: boolean;
-  /** Sequences that may be resident at once, after the learned concurrency limit and ramp. */
+  /** Sequences that may be resident at once: the engine's limit, reduced by the adaptive limit and the ramp-up. */
   readonly sequenceLimit: number;
-  /** Expected finish times of the sequences resident or waiting here, ascending. */
+  /** Expected finish times of the resident and queued sequences, ascending. */
   readonly busyUntil: readonly number[];
   readonly decodeMilliseconds: number;
   readonly prefillMillisecondsPerToken: number;
-  /** Measured time of one hop to this stage, beyond compute and queue. */
+  /** Measured time of one hop to this stage, excluding compute and queueing. */
   readonly linkMilliseconds: number;
-  /** Age of the load report behind these figures; Infinity before the first. */
+  /** Age of the load report that this state is based on; Infinity before the first report. */
   readonly reportAgeMilliseconds: number;
   readonly cachedPrefixes: ReadonlySet<string>;
 }
 
-/** A cell as its owner sees it. */
+/** State of a cell at its owner, for one model and version. */
 export interface CellView {
   readonly cell: string;
   readonly model: string;
@@ -41,7 +42,7 @@
   readonly stages: readonly StageView[];
 }
 
-/** The work to be placed. Times are relative, so that no clock is shared. */
+/** Estimate of the work to be placed. Times are relative, because processes share no clock. */
 export interface WorkEstimate {
   readonly requestId: string;
   readonly classOfWork: string;
@@ -50,18 +51,18 @@
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly prefixKey: string | undefined;
-  /** Prompt tokens that `prefixKey` covers; none are taken as cached if absent. */
+  /** Prompt tokens that `prefixKey` covers; if absent, none are assumed to be cached. */
   readonly prefixTokens?: number;
-  /** The version that began the reply; any that is served if absent, the configured one rather. */
+  /** Model version that began the reply; if absent, any version may serve it, preferably the configured one. */
   readonly version?: string;
-  /** Milliseconds left to the first token's target. */
+  /** Milliseconds left until the next token is due, at first the first-token target. */
   readonly firstTokenWithin: number;
   readonly betweenTokensTarget: number;
-  /** Milliseconds left to the deadline. */
+  /** Milliseconds left until the deadline. */
   readonly deadlineWithin: number;
-  /** Lower numbers run first at engines. */
+  /** Engines run lower numbers first. */
   readonly priority: number;
-  /** Whether the work was admitted before and lost its stages: then only its deadline can refuse it. */
+  /** Whether the work was admitted before and lost its stages; it is then refused only if its deadline can't be met. */
   readonly inProgress?: boolean;
 }
 
@@ -70,21 +71,21 @@
   readonly upstream: string;
   readonly address: string;
   readonly layers: LayerRange;
-  /** Whether the engine refuses steps of older epochs; undefined counts as no. */
+  /** Whether the engine rejects steps of older epochs; undefined means no. */
   readonly checksFencing?: boolean;
-  /** The version of the model that the engine holds; undefined counts as the configured one. */
+  /** Model version that the engine holds; undefined means the configured one. */
   readonly version?: string;
-  /** Whether the owner waits for its first answer before it gives it more; undefined counts as no. */
+  /** Whether the engine is being probed and gets no other work until its first answer; undefined means no. */
   readonly probing?: boolean;
 }
 
-/** What the decision expects of the chosen pipeline. */
+/** Predicted times of a pipeline. */
 export interface Prediction {
   readonly startsInMilliseconds: number;
   readonly firstTokenMilliseconds: number;
   readonly betweenTokensMilliseconds: number;
   readonly wholeMilliseconds: number;
-  /** Age of the oldest figure used. */
+  /** Age of the oldest load report used. */
   readonly figuresAgeMilliseconds: number;
 }
 
@@ -110,13 +111,13 @@
   readonly cell: string;
   readonly stages: readonly ChosenStage[];
   readonly prediction: Prediction;
-  /** How many pipelines the decision weighed; undefined when not told. */
+  /** Number of pipelines compared; undefined if not reported. */
   readonly candidates?: number;
-  /** Why the decision chose these stages; undefined when not told. */
+  /** Why these stages were chosen; undefined if not reported. */
   readonly reason?: string;
 }
 
-/** What the owner, or the requester itself, answers to a request for capacity. */
+/** Answer to a request for capacity, from the owner or from a decision of the requester itself. */
 export type ReservationReply =
   | {readonly kind: 'reserved'; readonly reservation: Reservation}
   | {
@@ -125,54 +126,54 @@
       readonly retryAfterMilliseconds: number;
     };
 
-/** What a dispatcher saw of one stage; feeds health, limits and estimates at the owner. */
+/** A dispatcher's observation of one stage. The owner derives health, limits and estimates from it. */
 export interface StageObservation {
   readonly upstream: string;
   readonly outcome: 'completed' | 'failed' | 'refused' | 'silent' | 'cancelled';
-  /** Mean compute milliseconds of a decode step here; undefined if none was seen. */
+  /** Mean compute time of a decode step; undefined if there was none. */
   readonly decodeMilliseconds: number | undefined;
-  /** Mean time of a hop beyond compute and queue. */
+  /** Mean time of a hop, excluding compute and queueing; undefined if there was none. */
   readonly linkMilliseconds: number | undefined;
   readonly steps: number;
 }
 
-/** Obtains, replaces and returns capacity; local and remote cells look alike. */
+/** Reserves, replaces and releases capacity in local and remote cells. */
 export abstract class CapacityBroker {
-  /** Chooses a pipeline for the work, or refuses with a time to come back. */
+  /** Reserves a pipeline for the work, or refuses with a retry delay. */
   abstract reserve(
     work: WorkEstimate,
     model: string,
-    token: AbortSignal,
+    signal: AbortSignal,
   ): Promise<ReservationReply>;
 
-  /** Chooses other stages for work in progress after some failed; excluded upstreams are not used again. */
+  /** Reserves other stages for work in progress after some failed. `excluded` upstreams are not used. */
   abstract replan(
     reservation: Reservation,
     work: WorkEstimate,
     model: string,
     excluded: readonly string[],
-    token: AbortSignal,
+    signal: AbortSignal,
   ): Promise<ReservationReply>;
 
-  /** Returns the capacity and what was seen. */
+  /** Releases a reservation and reports what was observed. */
   abstract release(
     reservation: Reservation,
     observations: readonly StageObservation[],
   ): void;
 
-  /** Reports a failure, or the first answer of a probing stage, at once, before the release. */
+  /** Reports a failure, or the first answer of a probed stage, without waiting for the release. */
   abstract reportFailure(
     reservation: Reservation,
     observation: StageObservation,
   ): void;
 
-  /** Where to send a call to a plain service: address and upstream id, or a refusal. */
+  /** Takes a slot at a replica of a plain service, or refuses with a retry delay. */
   abstract chooseService(
     service: string,
     excluded: readonly string[],
   ): ServiceChoice;
 
-  /** Returns a plain service's slot. */
+  /** Releases a slot at a replica of a plain service. */
   abstract releaseService(
     upstream: string,
     outcome: 'completed' | 'failed' | 'refused',
@@ -180,7 +181,7 @@
   ): void;
 }
 
-/** A chosen replica of a plain service, or why there is none. */
+/** A chosen replica of a plain service, or the retry delay if none is available. */
 export type ServiceChoice =
   | {
       readonly kind: 'chosen';
@@ -190,33 +191,33 @@
     }
   | {readonly kind: 'none'; readonly retryAfterMilliseconds: number};
 
-/** How much of a class's capacity each client account has used lately at one owner. */
+/** Recent slot time by class and client account at one owner. */
 export interface ShareView {
-  /** Slot-milliseconds used, decayed over time, by `class/account`. */
+  /** Slot-milliseconds used by `class/account`, exponentially decayed. */
   readonly usedByAccount: ReadonlyMap<string, number>;
-  /** Slot-milliseconds used, decayed over time, by class. */
+  /** Slot-milliseconds used by class, exponentially decayed. */
   readonly usedByClass: ReadonlyMap<string, number>;
-  /** Slot-milliseconds that accounts asked for, granted or not, decayed over time, by `class/account`. */
-  readonly wantedByAccount: ReadonlyMap<string, number>;
-  /** Requests a second wanted by class, from the configuration. */
-  readonly targetByClass: ReadonlyMap<string, number>;
-  /** Mean slot-milliseconds of one request by class; alike for all classes if absent. */
+  /** Slot-milliseconds requested by `class/account`, granted or not, exponentially decayed. */
+  readonly demandByAccount: ReadonlyMap<string, number>;
+  /** Configured target rate by class, in requests per second. */
+  readonly targetRateByClass: ReadonlyMap<string, number>;
+  /** Mean slot-milliseconds of one request by class; if absent, the same is assumed for all classes. */
   readonly workByClass?: ReadonlyMap<string, number>;
-  /** Targets in milliseconds by class; only the work's own are known if absent. */
-  readonly timesByClass?: ReadonlyMap<string, ClassTimes>;
+  /** Targets by class; if absent, only the targets of the work itself are known. */
+  readonly timesByClass?: ReadonlyMap<string, ClassTargets>;
 }
 
-/** Targets of a class in milliseconds. */
-export interface ClassTimes {
+/** Latency targets of a class, in milliseconds. */
+export interface ClassTargets {
   readonly firstToken: number;
   readonly betweenTokens: number;
 }
 
-/** Decides on one piece of work over one cell; pure. */
+/** Decides on one piece of work in one cell. A decision has no effect on the cell. */
 export abstract class RoutingPolicy {
   abstract readonly name: string;
 
-  /** Chooses one stage for each layer range, or refuses. `now` is the owner's monotonic time. */
+  /** Chooses stages that cover all layers, or refuses. `now` is the owner's monotonic time. */
   abstract decide(
     view: CellView,
     shares: ShareView,
--- a/src/features/routing/common/serviceChooser.ts
+++ b/src/features/routing/common/serviceChooser.ts
@@ -4,7 +4,7 @@
 import {ServiceChoice} from './routing.js';
 import {UpstreamHealthTracker} from './upstreamHealthTracker.js';
 
-/** Where a process stands, to prefer what is near. */
+/** Location of a process; replicas near it are preferred. */
 export interface Place {
   readonly dataCentre: string;
   readonly region: string;
@@ -13,25 +13,25 @@
 interface Replica {
   readonly member: UpstreamMember;
   outstanding: number;
-  /** Calls at once that it takes, learned from refusals. */
+  /** Maximum concurrent calls, adapted to the replica's refusals. */
   limit: number;
 }
 
-const FIRST_LIMIT = 64;
-const LARGEST_LIMIT = 1024;
-const DECREASE = 0.8;
-/** Share of the limit that must be in use for it to grow. */
-const IN_USE_SHARE = 0.8;
-const TIME_SMOOTHING = 0.1;
-const FIRST_TIME_MILLISECONDS = 50;
-const SHORTEST_RETRY_MILLISECONDS = 20;
+const INITIAL_LIMIT = 64;
+const MAXIMUM_LIMIT = 1024;
+const DECREASE_FACTOR = 0.8;
+/** Share of the limit that must be in use for the limit to grow. */
+const MINIMUM_UTILIZATION = 0.8;
+const LATENCY_SMOOTHING = 0.1;
+const INITIAL_LATENCY_MILLISECONDS = 50;
+const MINIMUM_RETRY_MILLISECONDS = 20;
 const NO_REPLICA_RETRY_MILLISECONDS = 1000;
 
-/** Chooses replicas of plain services: the less loaded of two, near ones first. */
+/** Chooses replicas of plain services: the less loaded of two random ones among the nearest with a free slot. */
 export class ServiceChooser {
   private readonly replicas = new Map<string, Replica>();
   private readonly tracker = new UpstreamHealthTracker();
-  private meanMilliseconds = FIRST_TIME_MILLISECONDS;
+  private meanLatencyMilliseconds = INITIAL_LATENCY_MILLISECONDS;
 
   constructor(
     private readonly place: Place,
@@ -39,45 +39,50 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Takes the platform's list; counts of replicas that stay are kept. */
+  /** Applies a list of upstreams. Replicas that stay listed keep their call counts and limits. */
   update(upstreams: readonly UpstreamMember[]): void {
-    const services = upstreams.filter(one => one.role === 'service');
-    const listed = new Set(services.map(one => one.id));
+    const services = upstreams.filter(member => member.role === 'service');
+    const listedIds = new Set(services.map(member => member.id));
     for (const id of [...this.replicas.keys()]) {
-      if (!listed.has(id)) {
+      if (!listedIds.has(id)) {
         this.replicas.delete(id);
       }
     }
     for (const member of services) {
-      const known = this.replicas.get(member.id);
-      const counts = known ?? {outstanding: 0, limit: FIRST_LIMIT};
-      this.replicas.set(member.id, {...counts, member});
+      const previous = this.replicas.get(member.id);
+      const state = previous ?? {outstanding: 0, limit: INITIAL_LIMIT};
+      this.replicas.set(member.id, {...state, member});
     }
-    this.tracker.list(services.map(listedService), this.now());
+    this.tracker.list(services.map(toListedUpstream), this.now());
   }
 
-  /** Takes a slot at a replica, or says when to come back. */
+  /** Takes a slot at a replica, or refuses with a retry delay. */
   choose(service: string, excluded: readonly string[]): ServiceChoice {
     this.tracker.tick(this.now());
     const serving = [...this.replicas.values()]
-      .filter(one => one.member.group === service)
-      .filter(one => one.member.state === 'live')
-      .filter(one => !excluded.includes(one.member.id));
-    const free = serving.filter(one => this.hasRoom(one));
-    const chosen = this.lessLoadedOfTwo(nearest(free, this.place));
+      .filter(replica => replica.member.group === service)
+      .filter(replica => replica.member.state === 'live')
+      .filter(replica => !excluded.includes(replica.member.id));
+    const available = serving.filter(replica => this.hasFreeSlot(replica));
+    const chosen = this.lessLoadedOfTwo(nearestReplicas(available, this.place));
     if (chosen === undefined) {
       return {kind: 'none', retryAfterMilliseconds: this.retryAfter(serving)};
     }
     chosen.outstanding += 1;
     const {id, address} = chosen.member;
-    return {kind: 'chosen', upstream: id, address, candidates: free.length};
+    return {
+      kind: 'chosen',
+      upstream: id,
+      address,
+      candidates: available.length,
+    };
   }
 
-  /** Returns a slot and learns from the outcome. */
+  /** Releases a slot and updates limit, health and latency from the outcome. */
   release(
     upstream: string,
     outcome: 'completed' | 'failed' | 'refused',
-    milliseconds: number,
+    latencyMilliseconds: number,
   ): void {
     const replica = this.replicas.get(upstream);
     if (replica === undefined) {
@@ -87,10 +92,13 @@
     replica.outstanding = Math.max(0, inUse - 1);
     switch (outcome) {
       case 'completed':
-        this.completed(replica, inUse, milliseconds);
+        this.completed(replica, inUse, latencyMilliseconds);
         return;
       case 'refused':
-        replica.limit = Math.max(1, Math.min(replica.limit, inUse) * DECREASE);
+        replica.limit = Math.max(
+          1,
+          Math.min(replica.limit, inUse) * DECREASE_FACTOR,
+        );
         return;
       case 'failed':
         this.tracker.connectionFailed(upstream, this.now());
@@ -101,18 +109,18 @@
   private completed(
     replica: Replica,
     inUse: number,
-    milliseconds: number,
+    latencyMilliseconds: number,
   ): void {
     this.tracker.stepSucceeded(replica.member.id, this.now());
-    this.meanMilliseconds +=
-      TIME_SMOOTHING * (milliseconds - this.meanMilliseconds);
-    if (inUse >= replica.limit * IN_USE_SHARE) {
+    this.meanLatencyMilliseconds +=
+      LATENCY_SMOOTHING * (latencyMilliseconds - this.meanLatencyMilliseconds);
+    if (inUse >= replica.limit * MINIMUM_UTILIZATION) {
       const grown = replica.limit + 1 / replica.limit;
-      replica.limit = Math.min(LARGEST_LIMIT, grown);
+      replica.limit = Math.min(MAXIMUM_LIMIT, grown);
     }
   }
 
-  private hasRoom(replica: Replica): boolean {
+  private hasFreeSlot(replica: Replica): boolean {
     const {id} = replica.member;
     if (this.tracker.health(id) === 'quarantined') {
       return false;
@@ -123,7 +131,7 @@
 
   private lessLoadedOfTwo(replicas: readonly Replica[]): Replica | undefined {
     const first = replicas[this.random.nextInteger(replicas.length)];
-    const others = replicas.filter(one => one !== first);
+    const others = replicas.filter(replica => replica !== first);
     const second = others[this.random.nextInteger(others.length)];
     if (first === undefined || second === undefined) {
       return first;
@@ -131,13 +139,13 @@
     return second.outstanding < first.outstanding ? second : first;
   }
 
-  /** Jittered, so that those refused together don't come back together. */
+  /** Retry delay with jitter, so that calls refused together don't retry together. */
   private retryAfter(serving: readonly Replica[]): number {
-    const base =
+    const baseDelay =
       serving.length === 0
         ? NO_REPLICA_RETRY_MILLISECONDS
-        : Math.max(SHORTEST_RETRY_MILLISECONDS, this.meanMilliseconds);
-    return Math.round(base * (1 + this.random.next()));
+        : Math.max(MINIMUM_RETRY_MILLISECONDS, this.meanLatencyMilliseconds);
+    return Math.round(baseDelay * (1 + this.random.next()));
   }
 
   private now(): number {
@@ -145,7 +153,7 @@
   }
 }
 
-function listedService(member: UpstreamMember) {
+function toListedUpstream(member: UpstreamMember) {
   return {
     upstream: member.id,
     dataCentre: member.dataCentre,
@@ -154,17 +162,19 @@
   };
 }
 
-/** Those of the own data centre, else of the region, else all. */
-function nearest(
+/** Replicas in the same data centre, else in the same region, else all. */
+function nearestReplicas(
   replicas: readonly Replica[],
   place: Place,
 ): readonly Replica[] {
-  const near = replicas.filter(
-    one => one.member.dataCentre === place.dataCentre,
+  const inDataCentre = replicas.filter(
+    replica => replica.member.dataCentre === place.dataCentre,
   );
-  if (near.length > 0) {
-    return near;
+  if (inDataCentre.length > 0) {
+    return inDataCentre;
   }
-  const region = replicas.filter(one => one.member.region === place.region);
-  return region.length > 0 ? region : replicas;
+  const inRegion = replicas.filter(
+    replica => replica.member.region === place.region,
+  );
+  return inRegion.length > 0 ? inRegion : replicas;
 }
--- a/src/features/routing/common/shareAccounts.ts
+++ b/src/features/routing/common/shareAccounts.ts
@@ -1,25 +1,25 @@
 import {ShareView} from './routing.js';
 
-/** Milliseconds in which recorded use falls to 1/e. */
+/** Time in which recorded usage decays to 1/e. */
 export const SHARE_TIME_CONSTANT_MILLISECONDS = 20000;
 const MAXIMUM_ENTRIES = 4096;
-/** Slot-milliseconds below which a sum is dropped. */
-const SMALLEST_KEPT = 0.5;
-/** Requests below which a count is dropped. */
-const SMALLEST_COUNT = 0.001;
-/** Milliseconds between two rounds of decay; what is added in between counts as added at the round. */
+/** Slot time below which a sum is dropped. */
+const MINIMUM_SLOT_MILLISECONDS = 0.5;
+/** Decayed request count below which it is dropped. */
+const MINIMUM_REQUEST_COUNT = 0.001;
+/** Time between two decay rounds. Amounts added in between count as added at the earlier round. */
 const DECAY_INTERVAL_MILLISECONDS = 50;
 
-/** The key of an account within a class. */
-export function shareKey(classOfWork: string, clientAccount: string): string {
+/** Key of a client account within a class of work. */
+export function accountKey(classOfWork: string, clientAccount: string): string {
   return `${classOfWork}/${clientAccount}`;
 }
 
-/** A map of sums that decay exponentially; bounded, small sums are dropped. */
+/** Sums by key that decay exponentially. The map is bounded, and small sums are dropped. */
 class DecayingSums {
   private readonly sums = new Map<string, number>();
 
-  constructor(private readonly smallestKept = SMALLEST_KEPT) {}
+  constructor(private readonly minimumSum = MINIMUM_SLOT_MILLISECONDS) {}
 
   get(key: string): number {
     return this.sums.get(key) ?? 0;
@@ -28,13 +28,13 @@
   add(key: string, amount: number): void {
     this.sums.set(key, this.get(key) + amount);
     if (this.sums.size > MAXIMUM_ENTRIES) {
-      this.dropSmallest();
+      this.evictSmallest();
     }
   }
 
   decay(factor: number): void {
     for (const [key, sum] of this.sums) {
-      if (sum * factor < this.smallestKept) {
+      if (sum * factor < this.minimumSum) {
         this.sums.delete(key);
       } else {
         this.sums.set(key, sum * factor);
@@ -46,27 +46,29 @@
     return new Map(this.sums);
   }
 
-  /** Drops the smaller quarter, so that the work of a drop is spread over many additions. */
-  private dropSmallest(): void {
-    const ascending = [...this.sums].sort((a, b) => a[1] - b[1]);
-    for (const [key] of ascending.slice(0, MAXIMUM_ENTRIES / 4)) {
+  /** Drops the smallest quarter of the sums, so that the cost of sorting is spread over many additions. */
+  private evictSmallest(): void {
+    const sorted = [...this.sums].sort((a, b) => a[1] - b[1]);
+    for (const [key] of sorted.slice(0, MAXIMUM_ENTRIES / 4)) {
       this.sums.delete(key);
     }
   }
 }
 
-/** Decayed accounting of slot time by class and client account at one owner of a cell. */
+/** Exponentially decayed accounting of slot time by class and client account at one cell owner. */
 export class ShareAccounts {
-  private readonly used = new DecayingSums();
-  private readonly usedByClass = new DecayingSums();
-  private readonly wanted = new DecayingSums();
-  private readonly wantedByClass = new DecayingSums();
-  private readonly requestsByClass = new DecayingSums(SMALLEST_COUNT);
+  private readonly usage = new DecayingSums();
+  private readonly usageByClass = new DecayingSums();
+  private readonly demand = new DecayingSums();
+  private readonly demandByClass = new DecayingSums();
+  private readonly requestCountByClass = new DecayingSums(
+    MINIMUM_REQUEST_COUNT,
+  );
   private decayedAt: number | undefined;
 
   /**
-   * Records slot-milliseconds asked for, once for each request whether granted or not. A later
-   * correction of the amount passes 0 requests.
+   * Records slot time demanded, once for each request whether granted or not. A later correction
+   * of the amount passes 0 for `requests`.
    */
   recordWant(
     classOfWork: string,
@@ -76,12 +78,12 @@
     requests = 1,
   ): void {
     this.decayTo(now);
-    this.wanted.add(shareKey(classOfWork, clientAccount), slotMilliseconds);
-    this.wantedByClass.add(classOfWork, slotMilliseconds);
-    this.requestsByClass.add(classOfWork, requests);
+    this.demand.add(accountKey(classOfWork, clientAccount), slotMilliseconds);
+    this.demandByClass.add(classOfWork, slotMilliseconds);
+    this.requestCountByClass.add(classOfWork, requests);
   }
 
-  /** Records slot-milliseconds granted; negative to return what was not used. */
+  /** Records slot time granted; a negative amount returns what was not used. */
   recordUse(
     classOfWork: string,
     clientAccount: string,
@@ -89,27 +91,27 @@
     now: number,
   ): void {
     this.decayTo(now);
-    this.used.add(shareKey(classOfWork, clientAccount), slotMilliseconds);
-    this.usedByClass.add(classOfWork, slotMilliseconds);
+    this.usage.add(accountKey(classOfWork, clientAccount), slotMilliseconds);
+    this.usageByClass.add(classOfWork, slotMilliseconds);
   }
 
   /** An immutable view as of `now`. */
-  view(targetByClass: ReadonlyMap<string, number>, now: number): ShareView {
+  view(targetRateByClass: ReadonlyMap<string, number>, now: number): ShareView {
     this.decayTo(now);
     return {
-      usedByAccount: this.used.copy(),
-      usedByClass: this.usedByClass.copy(),
-      wantedByAccount: this.wanted.copy(),
-      targetByClass,
-      workByClass: this.workByClass(),
+      usedByAccount: this.usage.copy(),
+      usedByClass: this.usageByClass.copy(),
+      demandByAccount: this.demand.copy(),
+      targetRateByClass,
+      workByClass: this.meanWorkByClass(),
     };
   }
 
-  /** Mean slot time of a request by class; the decay cancels out. */
-  private workByClass(): ReadonlyMap<string, number> {
+  /** Mean slot time of a request by class. Sums and counts decay alike, so the decay cancels out. */
+  private meanWorkByClass(): ReadonlyMap<string, number> {
     const means = new Map<string, number>();
-    for (const [name, requests] of this.requestsByClass.copy()) {
-      means.set(name, this.wantedByClass.get(name) / requests);
+    for (const [name, requests] of this.requestCountByClass.copy()) {
+      means.set(name, this.demandByClass.get(name) / requests);
     }
     return means;
   }
@@ -121,10 +123,10 @@
     }
     this.decayedAt = now;
     const factor = Math.exp(-elapsed / SHARE_TIME_CONSTANT_MILLISECONDS);
-    this.used.decay(factor);
-    this.usedByClass.decay(factor);
-    this.wanted.decay(factor);
-    this.wantedByClass.decay(factor);
-    this.requestsByClass.decay(factor);
+    this.usage.decay(factor);
+    this.usageByClass.decay(factor);
+    this.demand.decay(factor);
+    this.demandByClass.decay(factor);
+    this.requestCountByClass.decay(factor);
   }
 }
--- a/src/features/routing/common/shareStanding.ts
+++ b/src/features/routing/common/shareStanding.ts
@@ -1,36 +1,42 @@
 import {fairLevel} from './maxMinShare.js';
 import {ShareView, WorkEstimate} from './routing.js';
 
-/** How a client account stands against its share at one owner. */
-export interface ShareStanding {
-  /** What was used beyond the fair share, one request's work and chance, over the share; 0 or less if within. */
+/** How a client account's recent usage relates to its fair share at one owner. */
+export interface FairShareStatus {
+  /**
+   * Usage beyond the fair share, the work of one request and the variance allowance, relative to the
+   * fair share; 0 or less if within.
+   */
   readonly excess: number;
-  /** Share of the slot time wanted lately that was not granted, 0 to 1. */
+  /** Fraction of the recently demanded slot time that was not granted, 0 to 1. */
   readonly contention: number;
 }
 
-interface AccountUse {
+interface AccountUsage {
   readonly account: string;
-  readonly wanted: number;
-  readonly used: number;
+  readonly demand: number;
+  readonly usage: number;
 }
 
-/** Accounts of a class; what was granted counts as wanted. */
-function accountsOf(shares: ShareView, classOfWork: string): AccountUse[] {
+/** Accounts of a class. Demand is at least the usage. */
+function accountsInClass(
+  shares: ShareView,
+  classOfWork: string,
+): AccountUsage[] {
   const prefix = `${classOfWork}/`;
-  const found: AccountUse[] = [];
-  for (const [key, wanted] of shares.wantedByAccount) {
+  const accounts: AccountUsage[] = [];
+  for (const [key, demand] of shares.demandByAccount) {
     if (!key.startsWith(prefix)) {
       continue;
     }
-    const used = shares.usedByAccount.get(key) ?? 0;
+    const usage = shares.usedByAccount.get(key) ?? 0;
     const account = key.slice(prefix.length);
-    found.push({account, wanted: Math.max(wanted, used), used});
+    accounts.push({account, demand: Math.max(demand, usage), usage});
   }
-  return found;
+  return accounts;
 }
 
-function sum(values: Iterable<number>): number {
+function sumOf(values: Iterable<number>): number {
   let total = 0;
   for (const value of values) {
     total += value;
@@ -38,94 +44,109 @@
   return total;
 }
 
-/** Slot time that each class wanted. */
-function wantedByClass(shares: ShareView): Map<string, number> {
-  const wanted = new Map<string, number>();
-  for (const [key, amount] of shares.wantedByAccount) {
+/** Slot time demanded by each class. */
+function demandByClass(shares: ShareView): Map<string, number> {
+  const demand = new Map<string, number>();
+  for (const [key, amount] of shares.demandByAccount) {
     const name = key.slice(0, key.lastIndexOf('/'));
-    wanted.set(name, (wanted.get(name) ?? 0) + amount);
+    demand.set(name, (demand.get(name) ?? 0) + amount);
   }
-  return wanted;
+  return demand;
 }
 
-/** Weight of a class: its target rate times the work of its requests, as far as seen. */
+/** Weight of a class: its target rate times the mean work of its requests, as far as known. */
 function classWeight(shares: ShareView, classOfWork: string): number {
-  const target = shares.targetByClass.get(classOfWork) ?? 0;
+  const target = shares.targetRateByClass.get(classOfWork) ?? 0;
   const work = shares.workByClass?.get(classOfWork) ?? 1;
   return Math.max(target * work, 1e-9);
 }
 
-/** The part of the observed capacity that is due to a class: max-min by target over classes. */
-function dueToClass(shares: ShareView, classOfWork: string): number {
-  const capacity = sum(shares.usedByClass.values());
-  const wanted = wantedByClass(shares);
-  const claimants = [...wanted].map(([name, amount]) => ({
-    wanted: amount,
+/** Fair share of a class in the observed capacity: max-min over classes, weighted by their targets. */
+function fairShareOfClass(shares: ShareView, classOfWork: string): number {
+  const capacity = sumOf(shares.usedByClass.values());
+  const demand = demandByClass(shares);
+  const claimants = [...demand].map(([name, amount]) => ({
+    demand: amount,
     weight: classWeight(shares, name),
   }));
   const level = fairLevel(claimants, capacity);
-  const due = level * classWeight(shares, classOfWork);
-  return Math.min(wanted.get(classOfWork) ?? 0, due);
+  const fairShare = level * classWeight(shares, classOfWork);
+  return Math.min(demand.get(classOfWork) ?? 0, fairShare);
 }
 
 /** Whether an account is within its fair share over all classes taken together. */
-function isWithinInAll(shares: ShareView, account: string): boolean {
-  const totals = new Map<string, {wanted: number; used: number}>();
-  for (const [key, wanted] of shares.wantedByAccount) {
+function isWithinOverallShare(shares: ShareView, account: string): boolean {
+  const totals = new Map<string, {demand: number; usage: number}>();
+  for (const [key, demand] of shares.demandByAccount) {
     const name = key.slice(key.lastIndexOf('/') + 1);
-    const used = shares.usedByAccount.get(key) ?? 0;
-    const before = totals.get(name) ?? {wanted: 0, used: 0};
+    const usage = shares.usedByAccount.get(key) ?? 0;
+    const previous = totals.get(name) ?? {demand: 0, usage: 0};
     totals.set(name, {
-      wanted: before.wanted + Math.max(wanted, used),
-      used: before.used + used,
+      demand: previous.demand + Math.max(demand, usage),
+      usage: previous.usage + usage,
     });
   }
-  const claimants = [...totals.values()].map(({wanted}) => ({
-    wanted,
+  const claimants = [...totals.values()].map(({demand}) => ({
+    demand,
     weight: 1,
   }));
-  const level = fairLevel(claimants, sum(shares.usedByClass.values()));
-  return (totals.get(account)?.used ?? 0) <= level;
+  const level = fairLevel(claimants, sumOf(shares.usedByClass.values()));
+  return (totals.get(account)?.usage ?? 0) <= level;
 }
 
 /**
- * What an account may be beyond its part of a class by chance: the work of the root of its number
- * of requests, if it is within its share otherwise.
+ * Excess over the share of a class that random variation explains: the mean request work times the
+ * square root of the number of requests, or 0 if the account exceeds its share over all classes.
  */
-function chance(
+function varianceAllowance(
   shares: ShareView,
   account: string,
-  due: number,
-  grain: number,
+  fairShare: number,
+  requestWork: number,
 ): number {
-  return isWithinInAll(shares, account) ? Math.sqrt(grain * due) : 0;
+  return isWithinOverallShare(shares, account)
+    ? Math.sqrt(requestWork * fairShare)
+    : 0;
 }
 
 /**
- * Where the account of this work stands: capacity observed in use is divided over classes by
- * target, then max-min over the accounts of the class; nothing of it is configured.
+ * Compares the usage of the work's account with its fair share. The observed capacity in use is divided
+ * over classes by target, then by max-min fairness over the accounts of the class. Neither capacity
+ * nor account shares are configured.
  */
-export function shareStanding(
+export function assessFairShare(
   shares: ShareView,
   work: WorkEstimate,
-): ShareStanding {
-  const wanted = sum(shares.wantedByAccount.values());
-  const used = sum(shares.usedByClass.values());
-  const contention = wanted <= 0 ? 0 : Math.max(0, 1 - used / wanted);
-  const accounts = accountsOf(shares, work.classOfWork);
-  const own = accounts.find(one => one.account === work.clientAccount);
+): FairShareStatus {
+  const demand = sumOf(shares.demandByAccount.values());
+  const usage = sumOf(shares.usedByClass.values());
+  const contention = demand <= 0 ? 0 : Math.max(0, 1 - usage / demand);
+  const classAccounts = accountsInClass(shares, work.classOfWork);
+  const own = classAccounts.find(
+    candidate => candidate.account === work.clientAccount,
+  );
   if (own === undefined || contention === 0) {
     return {excess: 0, contention};
   }
-  const claimants = accounts.map(one => ({wanted: one.wanted, weight: 1}));
-  const level = fairLevel(claimants, dueToClass(shares, work.classOfWork));
-  const due = Math.min(own.wanted, level);
-  const grain = shares.workByClass?.get(work.classOfWork) ?? 0;
-  const beyond = own.used - due - grain;
-  const over =
-    beyond <= 0
-      ? beyond
-      : beyond - chance(shares, work.clientAccount, due, grain);
-  const excess = due <= 0 ? Math.sign(over) : over / due;
+  const claimants = classAccounts.map(account => ({
+    demand: account.demand,
+    weight: 1,
+  }));
+  const level = fairLevel(
+    claimants,
+    fairShareOfClass(shares, work.classOfWork),
+  );
+  const fairShare = Math.min(own.demand, level);
+  const requestWork = shares.workByClass?.get(work.classOfWork) ?? 0;
+  const excessWork = own.usage - fairShare - requestWork;
+  const unexplainedExcess =
+    excessWork <= 0
+      ? excessWork
+      : excessWork -
+        varianceAllowance(shares, work.clientAccount, fairShare, requestWork);
+  const excess =
+    fairShare <= 0
+      ? Math.sign(unexplainedExcess)
+      : unexplainedExcess / fairShare;
   return {excess, contention};
 }
--- a/src/features/routing/common/slotReserve.ts
+++ b/src/features/routing/common/slotReserve.ts
@@ -1,86 +1,91 @@
 import {Pipeline} from './pipelineSearch.js';
-import {ClassTimes, ShareView, StageView, WorkEstimate} from './routing.js';
-import {ShareStanding} from './shareStanding.js';
+import {ClassTargets, ShareView, StageView, WorkEstimate} from './routing.js';
+import {FairShareStatus} from './shareStanding.js';
 
-/** Slots left to accounts within their share when one over its share asks. */
+/** Slots reserved for accounts within their share when an account over its share requests one. */
 
-/** Part of the shortest first-token target within which a slot must come free to count. */
-const HORIZON_PART = 0.3;
+/** Share of the shortest first-token target within which a slot must become free to count as available. */
+const HORIZON_SHARE = 0.3;
 /**
- * Slots kept, over the square root of all slots (arrivals in a while vary by the root of their
- * number), at full strictness.
+ * Reserved slots at full strictness, as a multiple of the square root of all slots, because the number
+ * of arrivals in a period varies by its square root.
  */
-const KEPT_SHARE = 0.5;
+const RESERVE_FACTOR = 0.5;
 
-interface Slots {
-  readonly coming: number;
+interface RangeSlots {
+  readonly available: number;
   readonly total: number;
 }
 
-/** Slots of the narrowest layer range: how many are free by a time, and all. */
-function slotsBy(
+/** Slots of the layer range with the fewest available by `horizonEnd`. Overdue sequences count as occupying a slot. */
+function narrowestRangeSlots(
   stages: Iterable<StageView>,
   now: number,
-  time: number,
-): Slots {
-  const ranges = new Map<number, Slots>();
+  horizonEnd: number,
+): RangeSlots {
+  const ranges = new Map<number, RangeSlots>();
   for (const {layers, sequenceLimit, busyUntil} of stages) {
-    const range = ranges.get(layers.from) ?? {coming: 0, total: 0};
+    const range = ranges.get(layers.from) ?? {available: 0, total: 0};
     const limit = Math.max(1, Math.floor(sequenceLimit));
-    const held = busyUntil.filter(
-      finish => finish > time || finish <= now,
+    const occupied = busyUntil.filter(
+      finish => finish > horizonEnd || finish <= now,
     ).length;
     ranges.set(layers.from, {
-      coming: range.coming + Math.max(0, limit - held),
+      available: range.available + Math.max(0, limit - occupied),
       total: range.total + limit,
     });
   }
-  return [...ranges.values()].reduce((narrowest, one) =>
-    one.coming < narrowest.coming ? one : narrowest,
+  return [...ranges.values()].reduce((narrowest, range) =>
+    range.available < narrowest.available ? range : narrowest,
   );
 }
 
-/** The shortest first-token target, and the tightest token target from `step` on, of classes that ran lately. */
-function protectedTimes(
+/** Of recently active classes: shortest first-token target, and shortest token target from `stepMilliseconds` up. */
+function protectedTargets(
   shares: ShareView,
   work: WorkEstimate,
-  step: number,
-): ClassTimes {
+  stepMilliseconds: number,
+): ClassTargets {
   let firstToken = work.firstTokenWithin;
   let betweenTokens = work.betweenTokensTarget;
-  for (const [name, times] of shares.timesByClass ?? []) {
+  for (const [name, targets] of shares.timesByClass ?? []) {
     if (!shares.usedByClass.has(name)) {
       continue;
     }
-    firstToken = Math.min(firstToken, times.firstToken);
-    if (times.betweenTokens >= step) {
-      betweenTokens = Math.min(betweenTokens, times.betweenTokens);
+    firstToken = Math.min(firstToken, targets.firstToken);
+    if (targets.betweenTokens >= stepMilliseconds) {
+      betweenTokens = Math.min(betweenTokens, targets.betweenTokens);
     }
   }
   return {firstToken, betweenTokens};
 }
 
 /**
- * Whether an account over its share must leave a pipeline to others. What an arrival can wait for
- * need not be kept idle, so slots count that come free well within the shortest first-token target,
- * over all pipelines that serve the tightest class which this one serves.
+ * Whether an account over its share must leave a pipeline to others. Slots that arriving work can wait
+ * for need not be idle, so those that become free well within the shortest first-token target count as
+ * available. The count covers all pipelines that serve the tightest class served by this one.
  */
-export function mustLeaveSlots(
+export function isReservedForOthers(
   pipeline: Pipeline,
   pipelines: readonly Pipeline[],
   shares: ShareView,
-  {excess, contention}: ShareStanding,
+  {excess, contention}: FairShareStatus,
   work: WorkEstimate,
   now: number,
 ): boolean {
-  const step = pipeline.prediction.betweenTokensMilliseconds;
-  const times = protectedTimes(shares, work, step);
-  const serving = pipelines.filter(
-    one => one.prediction.betweenTokensMilliseconds <= times.betweenTokens,
+  const stepMilliseconds = pipeline.prediction.betweenTokensMilliseconds;
+  const targets = protectedTargets(shares, work, stepMilliseconds);
+  const alternatives = pipelines.filter(
+    other =>
+      other.prediction.betweenTokensMilliseconds <= targets.betweenTokens,
+  );
+  const stages = new Set(alternatives.flatMap(other => other.stages));
+  const horizonMilliseconds = HORIZON_SHARE * targets.firstToken;
+  const {available, total} = narrowestRangeSlots(
+    stages,
+    now,
+    now + horizonMilliseconds,
   );
-  const stages = new Set(serving.flatMap(one => one.stages));
-  const horizon = HORIZON_PART * times.firstToken;
-  const {coming, total} = slotsBy(stages, now, now + horizon);
   const strictness = Math.min(1, excess + contention);
-  return coming <= Math.ceil(KEPT_SHARE * strictness * Math.sqrt(total));
+  return available <= Math.ceil(RESERVE_FACTOR * strictness * Math.sqrt(total));
 }
--- a/src/features/routing/common/slotSummary.ts
+++ b/src/features/routing/common/slotSummary.ts
@@ -1,43 +1,54 @@
 import {isUsable} from './pipelineSearch.js';
 import {StageView} from './routing.js';
 
-/** Free slots and earliest start along the narrowest layer range of a group of stages. */
+/** Free slots and earliest start over a group of stages, each set by the most limiting layer range. */
 export interface SlotSummary {
   readonly freeSlots: number;
   readonly earliestStartMilliseconds: number;
 }
 
-/** Milliseconds told when no stage can be used. */
-const NO_STAGE_MILLISECONDS = 1000;
+/** Earliest start reported if no stage is usable. */
+const NO_STAGE_WAIT_MILLISECONDS = 1000;
 
-/** Milliseconds told at least when no slot is free. */
-const SHORTEST_WAIT_MILLISECONDS = 20;
+/** Minimum wait reported if no slot is free. */
+const MINIMUM_WAIT_MILLISECONDS = 20;
 
 interface RangeSlots {
-  readonly free: number;
-  readonly wait: number;
+  readonly freeSlots: number;
+  readonly waitMilliseconds: number;
 }
 
-/** Sums up the stages of one model; a rough guide for choosing whom to ask, not a decision. */
+/** Summarizes the stages of one model: a rough guide for choosing which cell to ask, not a decision. */
 export function slotSummary(
   stages: readonly StageView[],
   now: number,
 ): SlotSummary {
   const ranges = new Map<number, RangeSlots>();
   for (const stage of stages.filter(isUsable)) {
-    const known = ranges.get(stage.layers.from) ?? {free: 0, wait: Infinity};
+    const range = ranges.get(stage.layers.from) ?? {
+      freeSlots: 0,
+      waitMilliseconds: Infinity,
+    };
     ranges.set(stage.layers.from, {
-      free: known.free + freeSlotsOf(stage),
-      wait: Math.min(known.wait, waitOf(stage, now)),
+      freeSlots: range.freeSlots + freeSlotsOf(stage),
+      waitMilliseconds: Math.min(
+        range.waitMilliseconds,
+        waitMillisecondsOf(stage, now),
+      ),
     });
   }
   if (ranges.size === 0) {
-    return {freeSlots: 0, earliestStartMilliseconds: NO_STAGE_MILLISECONDS};
+    return {
+      freeSlots: 0,
+      earliestStartMilliseconds: NO_STAGE_WAIT_MILLISECONDS,
+    };
   }
   const all = [...ranges.values()];
   return {
-    freeSlots: Math.min(...all.map(range => range.free)),
-    earliestStartMilliseconds: Math.max(...all.map(range => range.wait)),
+    freeSlots: Math.min(...all.map(slots => slots.freeSlots)),
+    earliestStartMilliseconds: Math.max(
+      ...all.map(slots => slots.waitMilliseconds),
+    ),
   };
 }
 
@@ -45,12 +56,12 @@
   return Math.max(0, Math.floor(stage.sequenceLimit) - stage.busyUntil.length);
 }
 
-/** Milliseconds until the sequence ends that leaves one slot free; 0 if one is. */
-function waitOf(stage: StageView, now: number): number {
-  const ahead = stage.busyUntil.length - Math.floor(stage.sequenceLimit);
-  const finish = stage.busyUntil[ahead];
+/** Time until the sequence finishes that frees a slot; 0 if one is free. */
+function waitMillisecondsOf(stage: StageView, now: number): number {
+  const freeingIndex = stage.busyUntil.length - Math.floor(stage.sequenceLimit);
+  const finish = stage.busyUntil[freeingIndex];
   if (finish === undefined) {
     return 0;
   }
-  return Math.max(SHORTEST_WAIT_MILLISECONDS, Math.round(finish - now));
+  return Math.max(MINIMUM_WAIT_MILLISECONDS, Math.round(finish - now));
 }
--- a/src/features/routing/common/slownessDetector.ts
+++ b/src/features/routing/common/slownessDetector.ts
@@ -1,45 +1,46 @@
-/** Decode samples needed before an upstream is judged or serves as a peer. */
-const SAMPLES_NEEDED = 8;
-const PEERS_NEEDED = 2;
-const SMOOTHING = 0.2;
-/** Times the median of its peers at which an upstream counts as much slower. */
-const MUCH_SLOWER = 3;
-/** Observations in a row that must be much slower. */
-const CONSECUTIVE = 5;
+/** Decode samples that an upstream needs before others are compared with it. */
+const MINIMUM_SAMPLES = 8;
+const MINIMUM_PEERS = 2;
+const MEAN_SMOOTHING = 0.2;
+/** Ratio to the median of its peers above which an observation counts as slow. */
+const SLOW_RATIO = 3;
+/** Slow observations in a row after which an upstream is reported. */
+const CONSECUTIVE_SLOW_OBSERVATIONS = 5;
 
 interface DecodeRecord {
   readonly kind: string;
-  mean: number;
+  meanMilliseconds: number;
   samples: number;
-  slowInARow: number;
+  consecutiveSlow: number;
 }
 
-/** Tells when an upstream decodes much slower than its peers of the same kind and layer count. */
+/** Detects upstreams that decode much slower than their peers of the same kind (accelerator and layer count). */
 export class SlownessDetector {
   private readonly records = new Map<string, DecodeRecord>();
 
-  /** Takes a mean decode time; true if the upstream is now much slower than its peers. */
+  /** Adds a mean decode time; returns whether the upstream now counts as much slower than its peers. */
   observe(upstream: string, kind: string, milliseconds: number): boolean {
     const record = this.recordOf(upstream, kind);
     const median = this.peerMedian(upstream, kind);
-    const slow = median !== undefined && milliseconds > MUCH_SLOWER * median;
-    record.slowInARow = slow ? record.slowInARow + 1 : 0;
-    record.mean += SMOOTHING * (milliseconds - record.mean);
+    const isSlow = median !== undefined && milliseconds > SLOW_RATIO * median;
+    record.consecutiveSlow = isSlow ? record.consecutiveSlow + 1 : 0;
+    record.meanMilliseconds +=
+      MEAN_SMOOTHING * (milliseconds - record.meanMilliseconds);
     record.samples += 1;
-    return record.slowInARow >= CONSECUTIVE;
+    return record.consecutiveSlow >= CONSECUTIVE_SLOW_OBSERVATIONS;
   }
 
-  /** Forgets an upstream's figures, as after a restart. */
+  /** Drops an upstream's record, for instance after a restart. */
   forget(upstream: string): void {
     this.records.delete(upstream);
   }
 
   private recordOf(upstream: string, kind: string): DecodeRecord {
-    const known = this.records.get(upstream);
-    if (known !== undefined && known.kind === kind) {
-      return known;
+    const existing = this.records.get(upstream);
+    if (existing !== undefined && existing.kind === kind) {
+      return existing;
     }
-    const record = {kind, mean: 0, samples: 0, slowInARow: 0};
+    const record = {kind, meanMilliseconds: 0, samples: 0, consecutiveSlow: 0};
     this.records.set(upstream, record);
     return record;
   }
@@ -48,11 +49,11 @@
     const means: number[] = [];
     for (const [name, record] of this.records) {
       const isPeer = name !== upstream && record.kind === kind;
-      if (isPeer && record.samples >= SAMPLES_NEEDED) {
-        means.push(record.mean);
+      if (isPeer && record.samples >= MINIMUM_SAMPLES) {
+        means.push(record.meanMilliseconds);
       }
     }
-    if (means.length < PEERS_NEEDED) {
+    if (means.length < MINIMUM_PEERS) {
       return undefined;
     }
     means.sort((a, b) => a - b);
--- a/src/features/routing/common/stageLedger.ts
+++ b/src/features/routing/common/stageLedger.ts
@@ -2,108 +2,114 @@
 import {DecayedMean} from './decayedMean.js';
 import {RecentQuantile} from './recentQuantile.js';
 
-/** What is outstanding at one engine, from own reservations and from its load reports. */
+/** Tracks the outstanding work at one engine, from this owner's reservations and the engine's load reports. */
 
-interface Outstanding {
+interface OutstandingReservation {
   readonly reservedAt: number;
   readonly finishAt: number;
   readonly expiresAt: number;
 }
 
-interface Returned {
+interface ReleasedReservation {
   readonly reservedAt: number;
-  readonly returnedAt: number;
+  readonly releasedAt: number;
 }
 
-/** The newest load report, dated on this process's monotonic clock. */
-export interface DatedReport {
+/** A load report with the time when it was made, on this process's monotonic clock. */
+export interface TimestampedReport {
   readonly report: EngineReport;
   readonly takenAt: number;
 }
 
-const LEARNING_MILLISECONDS = 5000;
-const HOLD_MEMORY_MILLISECONDS = 30000;
-/** Assumed time that a sequence of unknown origin stays. */
-const ASSUMED_HOLD_MILLISECONDS = 2000;
-/** How much longer unknown sequences are taken to stay while they outnumber own reservations. */
-const UNKNOWN_WIDENING = 1.5;
-/** A reservation this old must show in the resident count if it is still running. */
-const RESIDENT_AFTER_MILLISECONDS = 2000;
-/** Round trips of reports kept. */
-const TRIPS_KEPT = 8;
-const RETURNED_KEPT = 512;
-const OUTSTANDING_KEPT = 2048;
-
-/** Outstanding sequences of one engine and times learned there. */
+const MEASUREMENT_TIME_CONSTANT_MILLISECONDS = 5000;
+const HOLD_TIME_CONSTANT_MILLISECONDS = 30000;
+/** Hold time that is assumed until releases have been measured. */
+const DEFAULT_HOLD_MILLISECONDS = 2000;
+/** Factor on the hold time of unattributed sequences while they outnumber own reservations. */
+const UNATTRIBUTED_HOLD_FACTOR = 1.5;
+/** Age from which a reservation that still runs is certain to be counted in a load report. */
+const SETTLING_MILLISECONDS = 2000;
+const MAXIMUM_ROUND_TRIPS = 8;
+const MAXIMUM_RELEASED = 512;
+const MAXIMUM_OUTSTANDING = 2048;
+
+/** Outstanding sequences of one engine, with the decode, link and hold times measured there. */
 export class StageLedger {
-  private readonly outstanding = new Map<string, Outstanding>();
-  private returned: Returned[] = [];
-  private newest: DatedReport | undefined;
-  private readonly holds = new DecayedMean(HOLD_MEMORY_MILLISECONDS);
-  private readonly decode = new DecayedMean(LEARNING_MILLISECONDS);
-  private readonly link = new DecayedMean(LEARNING_MILLISECONDS);
-  private readonly trips = new RecentQuantile(TRIPS_KEPT);
-
-  get report(): DatedReport | undefined {
-    return this.newest;
+  private readonly outstanding = new Map<string, OutstandingReservation>();
+  private released: ReleasedReservation[] = [];
+  private latestReport: TimestampedReport | undefined;
+  private readonly holdTimes = new DecayedMean(HOLD_TIME_CONSTANT_MILLISECONDS);
+  private readonly decode = new DecayedMean(
+    MEASUREMENT_TIME_CONSTANT_MILLISECONDS,
+  );
+  private readonly link = new DecayedMean(
+    MEASUREMENT_TIME_CONSTANT_MILLISECONDS,
+  );
+  private readonly roundTrips = new RecentQuantile(MAXIMUM_ROUND_TRIPS);
+
+  get report(): TimestampedReport | undefined {
+    return this.latestReport;
   }
 
   get reservations(): number {
     return this.outstanding.size;
   }
 
-  /** Enters a reservation; it is forgotten by itself at `expiresAt`. */
+  /** Adds a reservation; it expires at `expiresAt` if it isn't released before. */
   reserve(
     reservationId: string,
     now: number,
     finishAt: number,
     expiresAt: number,
   ): void {
-    if (this.outstanding.size >= OUTSTANDING_KEPT) {
+    if (this.outstanding.size >= MAXIMUM_OUTSTANDING) {
       const [oldest] = this.outstanding.keys();
       this.outstanding.delete(oldest!);
     }
     this.outstanding.set(reservationId, {reservedAt: now, finishAt, expiresAt});
   }
 
-  /** Takes a reservation out; unknown ones are ignored. */
+  /** Removes a reservation; unknown ids are ignored. */
   release(reservationId: string, now: number): void {
-    const entry = this.outstanding.get(reservationId);
-    if (entry === undefined) {
+    const reservation = this.outstanding.get(reservationId);
+    if (reservation === undefined) {
       return;
     }
     this.outstanding.delete(reservationId);
-    this.holds.add(now - entry.reservedAt, 1, now);
-    this.returned.push({reservedAt: entry.reservedAt, returnedAt: now});
-    this.returned = this.returned.slice(-RETURNED_KEPT);
+    this.holdTimes.add(now - reservation.reservedAt, 1, now);
+    this.released.push({reservedAt: reservation.reservedAt, releasedAt: now});
+    this.released = this.released.slice(-MAXIMUM_RELEASED);
   }
 
-  /** Drops all reservations, as when the engine failed or restarted. */
+  /** Drops all reservations, for instance after the engine failed or restarted. */
   clear(): void {
     this.outstanding.clear();
-    this.returned = [];
+    this.released = [];
   }
 
-  /** Takes a load report; true if the engine's process is another one than before. */
+  /** Applies a load report; returns whether the engine has restarted since the previous one. */
   takeReport(
     report: EngineReport,
     roundTripMilliseconds: number,
     now: number,
   ): boolean {
     const takenAt = now - report.ageMilliseconds;
-    const before = this.newest?.report.engineIncarnation;
-    const restarted =
-      before !== undefined && before !== report.engineIncarnation;
-    if (restarted) {
+    const previousIncarnation = this.latestReport?.report.engineIncarnation;
+    const hasRestarted =
+      previousIncarnation !== undefined &&
+      previousIncarnation !== report.engineIncarnation;
+    if (hasRestarted) {
       this.clear();
     }
-    this.newest = {report, takenAt};
-    this.trips.add(roundTripMilliseconds);
-    this.returned = this.returned.filter(one => one.returnedAt > takenAt);
-    return restarted;
+    this.latestReport = {report, takenAt};
+    this.roundTrips.add(roundTripMilliseconds);
+    this.released = this.released.filter(
+      reservation => reservation.releasedAt > takenAt,
+    );
+    return hasRestarted;
   }
 
-  /** Takes times that a dispatcher measured; `steps` is how many they stand for. */
+  /** Adds mean times that a dispatcher measured over a number of steps. */
   learn(
     decodeMilliseconds: number | undefined,
     linkMilliseconds: number | undefined,
@@ -119,88 +125,95 @@
     }
   }
 
-  /** Milliseconds of a decode step: measured by dispatchers, else as reported. */
+  /** Time of a decode step: measured by dispatchers, otherwise as the engine reports it. */
   decodeMilliseconds(now: number): number {
-    return this.decode.value(this.newest?.report.decodeMilliseconds ?? 0, now);
+    return this.decode.value(
+      this.latestReport?.report.decodeMilliseconds ?? 0,
+      now,
+    );
   }
 
   /**
-   * Milliseconds of a hop: measured by dispatchers, else the shortest of the last round trips of
-   * load reports; the others hold connecting and waiting that a step doesn't meet.
+   * Time of a hop: measured by dispatchers, otherwise the shortest recent round trip of a load report.
+   * Longer round trips include connection setup and queueing, which a step doesn't incur.
    */
   linkMilliseconds(now: number): number {
-    return this.link.value(this.trips.quantile(0) ?? 0, now);
+    return this.link.value(this.roundTrips.quantile(0) ?? 0, now);
   }
 
-  /** Age of the load report in milliseconds; Infinity before the first. */
+  /** Age of the latest load report; Infinity before the first. */
   reportAge(now: number): number {
-    return this.newest === undefined ? Infinity : now - this.newest.takenAt;
+    return this.latestReport === undefined
+      ? Infinity
+      : now - this.latestReport.takenAt;
   }
 
-  /** Expected finish times of all that is resident or about to be, ascending; in the past if overdue. */
+  /** Expected finish times of all reserved or reported sequences, ascending; in the past if overdue. */
   busyUntil(now: number): readonly number[] {
-    this.expire(now);
-    const own = this.ownFinishes();
-    const unknown = this.unknownFinishes(own.length, now);
-    return [...own, ...unknown].sort((a, b) => a - b);
+    this.removeExpired(now);
+    const own = this.ownFinishTimes();
+    const unattributed = this.unattributedFinishTimes(own.length, now);
+    return [...own, ...unattributed].sort((a, b) => a - b);
   }
 
-  private expire(now: number): void {
-    for (const [id, entry] of this.outstanding) {
-      if (entry.expiresAt <= now) {
+  private removeExpired(now: number): void {
+    for (const [id, reservation] of this.outstanding) {
+      if (reservation.expiresAt <= now) {
         this.outstanding.delete(id);
       }
     }
   }
 
-  /** Own reservations, without those that the resident count shows to have ended. */
-  private ownFinishes(): number[] {
+  /** Finish times of own reservations, except those that must have ended according to the latest report. */
+  private ownFinishTimes(): number[] {
     return [...this.outstanding.values()]
-      .map(entry => entry.finishAt)
+      .map(reservation => reservation.finishAt)
       .sort((a, b) => a - b)
-      .slice(this.endedUnnoticed());
+      .slice(this.missedReleaseCount());
   }
 
-  /** How many reservations must have ended without a release reaching us, by the newest report. */
-  private endedUnnoticed(): number {
-    if (this.newest === undefined) {
+  /** Number of reservations that have ended without their release arriving, according to the latest report. */
+  private missedReleaseCount(): number {
+    if (this.latestReport === undefined) {
       return 0;
     }
-    const {report, takenAt} = this.newest;
-    const residentBefore = takenAt - RESIDENT_AFTER_MILLISECONDS;
-    const settled = [...this.outstanding.values()].filter(
-      entry => entry.reservedAt <= residentBefore,
+    const {report, takenAt} = this.latestReport;
+    const settledBefore = takenAt - SETTLING_MILLISECONDS;
+    const settledCount = [...this.outstanding.values()].filter(
+      reservation => reservation.reservedAt <= settledBefore,
     ).length;
-    return Math.max(0, settled - sequencesOf(report));
+    return Math.max(0, settledCount - sequenceCount(report));
   }
 
-  /** Sequences in the newest report that no reservation here explains, spread over their likely stay. */
-  private unknownFinishes(ownCount: number, now: number): number[] {
-    if (this.newest === undefined) {
+  /** Finish times of reported sequences without a reservation here, spread evenly over the expected hold time. */
+  private unattributedFinishTimes(ownCount: number, now: number): number[] {
+    if (this.latestReport === undefined) {
       return [];
     }
-    const {report, takenAt} = this.newest;
-    const count = Math.max(0, sequencesOf(report) - this.ownAt(takenAt));
-    const widening = count > ownCount ? UNKNOWN_WIDENING : 1;
-    const hold = this.holds.value(ASSUMED_HOLD_MILLISECONDS, now) * widening;
+    const {report, takenAt} = this.latestReport;
+    const count = Math.max(0, sequenceCount(report) - this.ownCountAt(takenAt));
+    const holdFactor = count > ownCount ? UNATTRIBUTED_HOLD_FACTOR : 1;
+    const holdMilliseconds =
+      this.holdTimes.value(DEFAULT_HOLD_MILLISECONDS, now) * holdFactor;
     return Array.from(
       {length: count},
-      (_, index) => takenAt + (hold * (index + 1)) / (count + 1),
+      (_, index) => takenAt + (holdMilliseconds * (index + 1)) / (count + 1),
     ).filter(finish => finish > now);
   }
 
-  /** Own reservations that may have been resident at a time in the past. */
-  private ownAt(time: number): number {
-    const running = [...this.outstanding.values()].filter(
-      entry => entry.reservedAt <= time,
+  /** Number of own reservations that may have been resident at a past time. */
+  private ownCountAt(time: number): number {
+    const stillOutstanding = [...this.outstanding.values()].filter(
+      reservation => reservation.reservedAt <= time,
     );
-    const since = this.returned.filter(
-      one => one.reservedAt <= time && one.returnedAt > time,
+    const releasedSince = this.released.filter(
+      reservation =>
+        reservation.reservedAt <= time && reservation.releasedAt > time,
     );
-    return running.length + since.length;
+    return stillOutstanding.length + releasedSince.length;
   }
 }
 
-function sequencesOf(report: EngineReport): number {
+function sequenceCount(report: EngineReport): number {
   return report.residentSequences + report.queuedSequences;
 }
--- a/src/features/routing/common/twoChoicesPolicy.ts
+++ b/src/features/routing/common/twoChoicesPolicy.ts
@@ -4,7 +4,7 @@
 import {admit, PipelinePolicy} from './pipelinePolicy.js';
 import {RoutingDecision} from './routing.js';
 
-/** A comparison: takes all work, on the less loaded of two random pipelines. */
+/** Baseline for comparison: admits all work, on the less loaded of two random pipelines. */
 export class TwoChoicesPolicy extends PipelinePolicy {
   override readonly name = 'two choices, no admission';
 
--- a/src/features/routing/common/upstreamHealthTracker.ts
+++ b/src/features/routing/common/upstreamHealthTracker.ts
@@ -6,18 +6,18 @@
 import {SlownessDetector} from './slownessDetector.js';
 import chartDefinition from './upstreamHealth.chart.json' with {type: 'json'};
 
-/** An upstream as the platform's list shows it. */
+/** An upstream as listed by the platform. */
 export interface ListedUpstream {
   readonly upstream: string;
   readonly dataCentre: string;
-  /** Upstreams of one kind (accelerator and size of layer range) are compared in speed. */
+  /** Accelerator and layer count; decode times are compared among upstreams of one kind. */
   readonly kind: string;
   readonly leaving: boolean;
-  /** Whether it ran before it came to be followed here, so that it is given its whole limit at once. */
+  /** Whether it ran before this owner began to track it; it then gets its full limit without a ramp-up. */
   readonly established?: boolean;
 }
 
-/** A change to an upstream's health, to be logged and acted on. */
+/** A change of an upstream's health state, for the caller to log and act on. */
 export interface HealthChange {
   readonly upstream: string;
   readonly from: HealthState;
@@ -39,18 +39,18 @@
 
 type HealthAction = 'quarantine' | 'extend' | 'ramp';
 
-const FIRST_QUARANTINE_MILLISECONDS = 500;
-const LONGEST_QUARANTINE_MILLISECONDS = 8000;
-/** Failing again this soon after a return doubles the quarantine. */
-const RELAPSE_MILLISECONDS = 10000;
+const INITIAL_QUARANTINE_MILLISECONDS = 500;
+const MAXIMUM_QUARANTINE_MILLISECONDS = 8000;
+/** A failure within this time after a recovery doubles the quarantine. */
+const RELAPSE_WINDOW_MILLISECONDS = 10000;
 const RAMP_MILLISECONDS = 2000;
-const RAMP_START = 0.25;
-/** Largest share of the upstreams that suspicion (silence, slowness) may keep out at once. */
-const QUARANTINE_CAP = 0.5;
-/** Failures of one data centre within this time count as one event. */
-const CORRELATION_MILLISECONDS = 2000;
-const CORRELATED_SHARE = 0.5;
-const CORRELATED_MINIMUM = 3;
+const RAMP_INITIAL_SHARE = 0.25;
+/** Share of upstreams in quarantine above which mere suspicion (silence, slowness) quarantines no more. */
+const MAXIMUM_QUARANTINED_SHARE = 0.5;
+/** Failures in one data centre within this time count as one event. */
+const CORRELATION_WINDOW_MILLISECONDS = 2000;
+const CORRELATED_FAILURE_SHARE = 0.5;
+const CORRELATED_FAILURE_MINIMUM = 3;
 
 interface TrackedUpstream {
   listed: ListedUpstream;
@@ -58,13 +58,13 @@
   quarantineMilliseconds: number;
   quarantinedAt: number;
   probeAt: number;
-  rampFrom: number;
-  /** When a probe last succeeded. */
-  returnedAt: number;
+  rampStartedAt: number;
+  /** Time of the last successful probe. */
+  recoveredAt: number;
   failedAt: number;
 }
 
-/** Follows the health of upstreams at one owner, by a state chart for each. */
+/** Tracks the health of upstreams at one owner, with a state chart for each. */
 export class UpstreamHealthTracker {
   private readonly tracked = new Map<string, TrackedUpstream>();
   private readonly slowness = new SlownessDetector();
@@ -74,226 +74,252 @@
     HealthAction
   >(chartDefinition);
 
-  /** Takes the list: adds, removes and marks upstreams. New ones ramp up from `now` unless established. */
+  /** Applies a list: adds and removes upstreams and marks leaving ones. New ones ramp up unless `established`. */
   list(
     upstreams: readonly ListedUpstream[],
     now: number,
   ): readonly HealthChange[] {
-    const names = new Set(upstreams.map(one => one.upstream));
+    const listedNames = new Set(upstreams.map(entry => entry.upstream));
     for (const name of [...this.tracked.keys()]) {
-      if (!names.has(name)) {
+      if (!listedNames.has(name)) {
         this.tracked.delete(name);
         this.slowness.forget(name);
       }
     }
-    return upstreams.flatMap(listed => this.take(listed, now));
+    return upstreams.flatMap(listed => this.updateListed(listed, now));
   }
 
-  /** Takes what a dispatcher saw of an upstream. Unknown upstreams are ignored. */
+  /** Applies a dispatcher's observation. Unknown upstreams are ignored. */
   observe(observation: StageObservation, now: number): readonly HealthChange[] {
-    const one = this.tracked.get(observation.upstream);
-    if (one === undefined) {
+    const entry = this.tracked.get(observation.upstream);
+    if (entry === undefined) {
       return [];
     }
     switch (observation.outcome) {
       case 'failed':
-        return this.fail(one, 'failure', now);
+        return this.recordFailure(entry, 'failure', now);
       case 'silent':
-        return this.fail(one, 'silence', now);
+        return this.recordFailure(entry, 'silence', now);
       case 'completed':
-        return this.succeed(one, observation, now);
+        return this.recordSuccess(entry, observation, now);
       case 'refused':
       case 'cancelled':
         return [];
     }
   }
 
-  /** A connection to the upstream could not be made or broke. */
+  /** Records that a connection to the upstream could not be made or broke. */
   connectionFailed(upstream: string, now: number): readonly HealthChange[] {
-    const one = this.tracked.get(upstream);
-    return one === undefined ? [] : this.fail(one, 'failure', now);
+    const entry = this.tracked.get(upstream);
+    return entry === undefined ? [] : this.recordFailure(entry, 'failure', now);
   }
 
-  /** The upstream answered a step in time; ends a probe without waiting for the whole reply. */
+  /** Records that the upstream answered a step in time. This ends a probe without waiting for the whole reply. */
   stepSucceeded(upstream: string, now: number): readonly HealthChange[] {
-    const one = this.tracked.get(upstream);
-    return one === undefined ? [] : this.send(one, 'success', now);
+    const entry = this.tracked.get(upstream);
+    return entry === undefined ? [] : this.sendEvent(entry, 'success', now);
   }
 
   /**
-   * Lets quarantined upstreams whose time is over be probed; call it often (each 100 ms, say).
-   * Above the cap the list is trusted more than the failures, so longer quarantines are cut short.
+   * Moves upstreams whose quarantine is over to probing; meant to be called about every 100 ms. Once the
+   * quarantine cap is reached, the list is trusted more than the failures, so quarantines are shortened
+   * to the initial time.
    */
   tick(now: number): readonly HealthChange[] {
-    const overCap = !this.mayQuarantineMore();
+    const isCapReached = !this.canQuarantineMore();
     return [...this.tracked.values()]
-      .filter(one => one.chart.state === 'quarantined')
-      .filter(one => {
-        const shortest = one.quarantinedAt + FIRST_QUARANTINE_MILLISECONDS;
-        return now >= (overCap ? shortest : one.probeAt);
+      .filter(entry => entry.chart.state === 'quarantined')
+      .filter(entry => {
+        const earliestProbe =
+          entry.quarantinedAt + INITIAL_QUARANTINE_MILLISECONDS;
+        return now >= (isCapReached ? earliestProbe : entry.probeAt);
       })
-      .flatMap(one => this.send(one, 'probeDue', now));
+      .flatMap(entry => this.sendEvent(entry, 'probeDue', now));
   }
 
-  /** Health for routing. What leaves gets no new work; unlisted upstreams count as quarantined. */
+  /** Health for routing. Leaving and unlisted upstreams count as quarantined, so they get no new work. */
   health(upstream: string): UpstreamHealth {
     const state = this.tracked.get(upstream)?.chart.state ?? 'quarantined';
     return state === 'leaving' ? 'quarantined' : state;
   }
 
-  /** The engine's sequence limit after ramp and probe; at least 1. */
+  /** The engine's sequence limit reduced by ramp-up or probing; at least 1. */
   sequenceLimit(upstream: string, engineLimit: number, now: number): number {
-    const one = this.tracked.get(upstream);
-    if (one === undefined || one.chart.state === 'probing') {
+    const entry = this.tracked.get(upstream);
+    if (entry === undefined || entry.chart.state === 'probing') {
       return 1;
     }
-    const progress = (now - one.rampFrom) / RAMP_MILLISECONDS;
-    const share = Math.min(1, RAMP_START + (1 - RAMP_START) * progress);
+    const progress = (now - entry.rampStartedAt) / RAMP_MILLISECONDS;
+    const share = Math.min(
+      1,
+      RAMP_INITIAL_SHARE + (1 - RAMP_INITIAL_SHARE) * progress,
+    );
     return Math.max(1, Math.floor(engineLimit * share));
   }
 
-  /** Data centres of which most upstreams failed within a short time. */
+  /** Data centres where most upstreams failed within the correlation window. */
   lostDataCentres(now: number): readonly string[] {
-    const centres = new Set(
-      [...this.tracked.values()].map(one => one.listed.dataCentre),
+    const dataCentres = new Set(
+      [...this.tracked.values()].map(entry => entry.listed.dataCentre),
+    );
+    return [...dataCentres].filter(dataCentre =>
+      this.isDataCentreLost(dataCentre, now),
     );
-    return [...centres].filter(centre => this.isLost(centre, now));
   }
 
-  private take(listed: ListedUpstream, now: number): readonly HealthChange[] {
+  private updateListed(
+    listed: ListedUpstream,
+    now: number,
+  ): readonly HealthChange[] {
     const known = this.tracked.get(listed.upstream);
     if (known === undefined) {
       this.tracked.set(listed.upstream, this.create(listed, now));
     } else {
       known.listed = listed;
     }
-    const one = this.tracked.get(listed.upstream)!;
+    const entry = this.tracked.get(listed.upstream)!;
     if (listed.leaving) {
-      return this.send(one, 'listLeaving', now);
+      return this.sendEvent(entry, 'listLeaving', now);
     }
-    return one.chart.state === 'leaving' ? this.send(one, 'listLive', now) : [];
+    return entry.chart.state === 'leaving'
+      ? this.sendEvent(entry, 'listLive', now)
+      : [];
   }
 
   private create(listed: ListedUpstream, now: number): TrackedUpstream {
     return {
       listed,
       chart: new ChartInstance(this.chart),
-      quarantineMilliseconds: FIRST_QUARANTINE_MILLISECONDS,
+      quarantineMilliseconds: INITIAL_QUARANTINE_MILLISECONDS,
       quarantinedAt: now,
       probeAt: now,
-      rampFrom: listed.established === true ? -Infinity : now,
-      returnedAt: -Infinity,
+      rampStartedAt: listed.established === true ? -Infinity : now,
+      recoveredAt: -Infinity,
       failedAt: -Infinity,
     };
   }
 
-  private succeed(
-    one: TrackedUpstream,
+  private recordSuccess(
+    entry: TrackedUpstream,
     observation: StageObservation,
     now: number,
   ): readonly HealthChange[] {
     const {decodeMilliseconds} = observation;
-    const {upstream, kind} = one.listed;
-    const slow =
+    const {upstream, kind} = entry.listed;
+    const isSlow =
       decodeMilliseconds !== undefined &&
       this.slowness.observe(upstream, kind, decodeMilliseconds);
-    if (slow && this.mayQuarantineMore()) {
-      return this.send(one, 'slowness', now);
+    if (isSlow && this.canQuarantineMore()) {
+      return this.sendEvent(entry, 'slowness', now);
     }
-    return this.send(one, 'success', now);
+    return this.sendEvent(entry, 'success', now);
   }
 
-  /** A failed connection counts at once; mere suspicion only below the cap. */
-  private fail(
-    one: TrackedUpstream,
+  /** Applies a connection failure at once, but silence of a healthy upstream only below the quarantine cap. */
+  private recordFailure(
+    entry: TrackedUpstream,
     event: 'failure' | 'silence',
     now: number,
   ): readonly HealthChange[] {
-    const suspicion = event === 'silence' && one.chart.state === 'healthy';
-    if (suspicion && !this.mayQuarantineMore()) {
+    const isSuspicion = event === 'silence' && entry.chart.state === 'healthy';
+    if (isSuspicion && !this.canQuarantineMore()) {
       return [];
     }
-    one.failedAt = now;
-    const changes = this.send(one, event, now);
-    const centre = one.listed.dataCentre;
-    return this.isLost(centre, now)
-      ? [...changes, ...this.loseDataCentre(centre, now)]
+    entry.failedAt = now;
+    const changes = this.sendEvent(entry, event, now);
+    const dataCentre = entry.listed.dataCentre;
+    return this.isDataCentreLost(dataCentre, now)
+      ? [...changes, ...this.quarantineDataCentre(dataCentre, now)]
       : changes;
   }
 
-  private loseDataCentre(centre: string, now: number): readonly HealthChange[] {
+  private quarantineDataCentre(
+    dataCentre: string,
+    now: number,
+  ): readonly HealthChange[] {
     return [...this.tracked.values()]
-      .filter(one => one.listed.dataCentre === centre)
-      .filter(one => one.chart.state === 'healthy')
-      .flatMap(one => this.send(one, 'dataCentreLost', now));
+      .filter(entry => entry.listed.dataCentre === dataCentre)
+      .filter(entry => entry.chart.state === 'healthy')
+      .flatMap(entry => this.sendEvent(entry, 'dataCentreLost', now));
   }
 
-  /** Whether a data centre's failures are one event; never said of the only data centre known. */
-  private isLost(centre: string, now: number): boolean {
+  /** Whether a data centre's failures count as its loss; never true for the only known data centre. */
+  private isDataCentreLost(dataCentre: string, now: number): boolean {
     const all = [...this.tracked.values()];
-    const members = all.filter(one => one.listed.dataCentre === centre);
+    const members = all.filter(entry => entry.listed.dataCentre === dataCentre);
     const failed = members.filter(
-      one => now - one.failedAt <= CORRELATION_MILLISECONDS,
+      entry => now - entry.failedAt <= CORRELATION_WINDOW_MILLISECONDS,
     );
     return (
       members.length < all.length &&
-      failed.length >= CORRELATED_MINIMUM &&
-      failed.length > members.length * CORRELATED_SHARE
+      failed.length >= CORRELATED_FAILURE_MINIMUM &&
+      failed.length > members.length * CORRELATED_FAILURE_SHARE
     );
   }
 
-  private mayQuarantineMore(): boolean {
-    const out = [...this.tracked.values()].filter(
-      one => one.chart.state === 'quarantined',
+  private canQuarantineMore(): boolean {
+    const quarantinedCount = [...this.tracked.values()].filter(
+      entry => entry.chart.state === 'quarantined',
     ).length;
-    return out + 1 <= this.tracked.size * QUARANTINE_CAP;
+    return (
+      quarantinedCount + 1 <= this.tracked.size * MAXIMUM_QUARANTINED_SHARE
+    );
   }
 
-  private send(
-    one: TrackedUpstream,
+  private sendEvent(
+    entry: TrackedUpstream,
     event: HealthEvent,
     now: number,
   ): readonly HealthChange[] {
-    const from = one.chart.state;
-    const step = one.chart.send(event);
+    const from = entry.chart.state;
+    const step = entry.chart.send(event);
     for (const action of step.actions) {
-      this.act(one, action, now);
+      this.performAction(entry, action, now);
     }
     if (step.state === from) {
       return [];
     }
-    const {upstream} = one.listed;
+    const {upstream} = entry.listed;
     return [{upstream, from, to: step.state, cause: event}];
   }
 
-  private act(one: TrackedUpstream, action: HealthAction, now: number): void {
+  private performAction(
+    entry: TrackedUpstream,
+    action: HealthAction,
+    now: number,
+  ): void {
     switch (action) {
       case 'quarantine': {
-        const relapse = now - one.returnedAt <= RELAPSE_MILLISECONDS;
-        this.quarantine(one, relapse ? 2 * one.quarantineMilliseconds : 0, now);
-        this.slowness.forget(one.listed.upstream);
+        const isRelapse =
+          now - entry.recoveredAt <= RELAPSE_WINDOW_MILLISECONDS;
+        this.quarantine(
+          entry,
+          isRelapse ? 2 * entry.quarantineMilliseconds : 0,
+          now,
+        );
+        this.slowness.forget(entry.listed.upstream);
         return;
       }
       case 'extend':
-        this.quarantine(one, 2 * one.quarantineMilliseconds, now);
+        this.quarantine(entry, 2 * entry.quarantineMilliseconds, now);
         return;
       case 'ramp':
-        one.rampFrom = now;
-        one.returnedAt = now;
+        entry.rampStartedAt = now;
+        entry.recoveredAt = now;
         return;
     }
   }
 
   private quarantine(
-    one: TrackedUpstream,
+    entry: TrackedUpstream,
     milliseconds: number,
     now: number,
   ): void {
-    one.quarantineMilliseconds = Math.min(
-      LONGEST_QUARANTINE_MILLISECONDS,
-      Math.max(FIRST_QUARANTINE_MILLISECONDS, milliseconds),
+    entry.quarantineMilliseconds = Math.min(
+      MAXIMUM_QUARANTINE_MILLISECONDS,
+      Math.max(INITIAL_QUARANTINE_MILLISECONDS, milliseconds),
     );
-    one.quarantinedAt = now;
-    one.probeAt = now + one.quarantineMilliseconds;
+    entry.quarantinedAt = now;
+    entry.probeAt = now + entry.quarantineMilliseconds;
   }
 }
--- a/src/features/routing/common/upstreamJoins.ts
+++ b/src/features/routing/common/upstreamJoins.ts
@@ -1,27 +1,27 @@
 import {UpstreamMember} from '../../../infrastructure/membership/common/membershipList.js';
 
-/** Milliseconds for which an upstream that joined the list counts as new. */
-const NEW_MILLISECONDS = 2000;
+/** Time for which an upstream that joined the list counts as new. */
+const RECENT_JOIN_MILLISECONDS = 2000;
 
 /**
- * Tells upstreams that joined the system from those that a process hears of for the first time, as
- * when it starts or takes over a cell.
+ * Distinguishes upstreams that have just joined the system from those that are new only to this
+ * process, for instance after it started or took over a cell.
  */
 export class UpstreamJoins {
   private joinedAt: ReadonlyMap<string, number> | undefined;
 
-  /** Takes the list; all in the first one count as there before. */
+  /** Applies a list. Upstreams in the first list count as having joined earlier. */
   update(members: readonly UpstreamMember[], now: number): void {
-    const before = this.joinedAt;
-    const first = before === undefined ? -Infinity : now;
+    const previous = this.joinedAt;
+    const joinTime = previous === undefined ? -Infinity : now;
     this.joinedAt = new Map(
-      members.map(({id}) => [id, before?.get(id) ?? first]),
+      members.map(({id}) => [id, previous?.get(id) ?? joinTime]),
     );
   }
 
-  /** Whether an upstream joined lately. */
+  /** Whether an upstream joined recently; true for unlisted ones. */
   isNew(upstream: string, now: number): boolean {
     const joinedAt = this.joinedAt?.get(upstream) ?? now;
-    return now - joinedAt < NEW_MILLISECONDS;
+    return now - joinedAt < RECENT_JOIN_MILLISECONDS;
   }
 }
--- a/src/features/routing/test/common/cellSchemas.test.ts
+++ b/src/features/routing/test/common/cellSchemas.test.ts
@@ -51,16 +51,22 @@
 
 it.each([
   ['every field', work],
-  ['only the last of the seldom ones', {...work, adapter: undefined}],
   [
-    'only the first of them',
+    'an absent optional field before present ones',
+    {...work, adapter: undefined},
+  ],
+  [
+    'absent optional fields at the end',
     {...work, version: undefined, inProgress: undefined},
   ],
-])('a call for capacity keeps its work on the wire: %s', (_, changed) => {
-  const sent = {...call, work: changed};
-  const text = JSON.stringify(encodeReserve(sent));
-  expect(decodeReserve(reserveRow.parse(JSON.parse(text)))).toEqual(sent);
-});
+])(
+  'a call for capacity is decoded as it was encoded, with %s',
+  (_, variant) => {
+    const sent = {...call, work: variant};
+    const text = JSON.stringify(encodeReserve(sent));
+    expect(decodeReserve(reserveRow.parse(JSON.parse(text)))).toEqual(sent);
+  },
+);
 
 const stage = {
   upstream: 'u1',
@@ -108,8 +114,11 @@
   },
 ];
 
-it.each(answers)('an answer keeps every field: $kind', answer => {
-  const text = JSON.stringify(encodeAnswer(call, answer));
-  const row = answerRow.parse(JSON.parse(text));
-  expect(decodeAnswer(call, row)).toEqual(answer);
-});
+it.each(answers)(
+  'an answer of kind $kind is decoded as it was encoded',
+  answer => {
+    const text = JSON.stringify(encodeAnswer(call, answer));
+    const row = answerRow.parse(JSON.parse(text));
+    expect(decodeAnswer(call, row)).toEqual(answer);
+  },
+);
--- a/src/features/routing/test/common/chooseCells.test.ts
+++ b/src/features/routing/test/common/chooseCells.test.ts
@@ -5,7 +5,10 @@
 
 const work = {firstTokenWithin: 500} as WorkEstimate;
 
-function summary(cell: string, change: Partial<CellSummary> = {}): CellSummary {
+function summary(
+  cell: string,
+  changes: Partial<CellSummary> = {},
+): CellSummary {
   return {
     cell,
     model: 'm',
@@ -14,28 +17,35 @@
     earliestStartMilliseconds: 0,
     linkMilliseconds: 1,
     ageMilliseconds: 100,
-    ...change,
+    ...changes,
   };
 }
 
-const full = {freeSlots: 0, earliestStartMilliseconds: 300};
+const noFreeSlots = {freeSlots: 0, earliestStartMilliseconds: 300};
 const cases: ReadonlyArray<[string, readonly CellSummary[], string]> = [
-  ['no cell', [], ''],
-  ['another model', [summary('a1', {model: 'n'})], ''],
-  ['near before far', [summary('b1'), summary('a1')], 'a1 b1'],
-  ['free before full', [summary('a1', full), summary('a2')], 'a2 a1'],
+  ['chooses nothing if there are no cells', [], ''],
+  ['leaves out cells of other models', [summary('a1', {model: 'n'})], ''],
+  ['prefers the own data centre', [summary('b1'), summary('a1')], 'a1 b1'],
   [
-    'late ones last',
-    [summary('a1', {...full, earliestStartMilliseconds: 900}), summary('b1')],
+    'prefers cells with free slots',
+    [summary('a1', noFreeSlots), summary('a2')],
+    'a2 a1',
+  ],
+  [
+    'puts cells last that start after the first-token target',
+    [
+      summary('a1', {...noFreeSlots, earliestStartMilliseconds: 900}),
+      summary('b1'),
+    ],
     'b1 a1',
   ],
   [
-    'long links last',
+    'puts cells last whose link latency exceeds the first-token target',
     [summary('b1', {linkMilliseconds: 300}), summary('a1')],
     'a1 b1',
   ],
   [
-    'a cell never heard of is still asked',
+    'chooses a cell without a summary',
     [summary('a1', {ageMilliseconds: Infinity})],
     'a1',
   ],
@@ -48,22 +58,22 @@
     expect(chosen.join(' ')).toBe(expected);
   });
 
-  it('asks at most three, none twice, and spreads by free slots unless figures are old', () => {
-    const shareOfFirst = (ageMilliseconds: number): number => {
+  it('chooses three distinct cells, by free slots unless the summaries are old', () => {
+    const shareWithFirst = (ageMilliseconds: number): number => {
       const random = new SeededRandomSource(2);
       const summaries = [8, 1, 1, 1].map((freeSlots, index) =>
         summary(`a${index}`, {freeSlots, ageMilliseconds}),
       );
       summaries.push(summary('b1'), summary('b2'));
-      let first = 0;
+      let countOfFirst = 0;
       for (let count = 0; count < 1000; count += 1) {
         const chosen = chooseCells(summaries, 'm', work, 'a', random);
         expect(new Set(chosen).size).toBe(3);
-        first += chosen.includes('a0') ? 1 : 0;
+        countOfFirst += chosen.includes('a0') ? 1 : 0;
       }
-      return first / 1000;
+      return countOfFirst / 1000;
     };
-    expect(shareOfFirst(0)).toBeGreaterThan(0.75);
-    expect(shareOfFirst(60000)).toBeCloseTo(0.5, 1);
+    expect(shareWithFirst(0)).toBeGreaterThan(0.75);
+    expect(shareWithFirst(60000)).toBeCloseTo(0.5, 1);
   });
 });
--- a/src/features/routing/test/common/laxityPolicy.test.ts
+++ b/src/features/routing/test/common/laxityPolicy.test.ts
@@ -14,8 +14,8 @@
 const noShares: ShareView = {
   usedByAccount: new Map(),
   usedByClass: new Map(),
-  wantedByAccount: new Map(),
-  targetByClass: new Map(),
+  demandByAccount: new Map(),
+  targetRateByClass: new Map(),
 };
 const work: WorkEstimate = {
   requestId: 'r',
@@ -35,7 +35,7 @@
   replica: string,
   from: number,
   to: number,
-  change: Partial<StageView> = {},
+  changes: Partial<StageView> = {},
 ): StageView {
   return {
     upstream: `${replica}.${from}`,
@@ -53,129 +53,210 @@
     linkMilliseconds: 1,
     reportAgeMilliseconds: 0,
     cachedPrefixes: new Set(),
-    ...change,
+    ...changes,
   };
 }
 
-function cell(...stages: readonly StageView[]): CellView {
+function cellView(...stages: readonly StageView[]): CellView {
   return {cell: 'c', model: 'm', version: '1', layerCount: 8, stages};
 }
 
-/** The outcome in one line: chosen upstreams, or the reason and the time to come back. */
-function outcome(decision: RoutingDecision): string {
+/** A decision in one line: the chosen upstreams, or the reason and the retry delay. */
+function describeDecision(decision: RoutingDecision): string {
   return decision.kind === 'admit'
-    ? decision.stages.map(one => one.upstream).join('+')
+    ? decision.stages.map(stage => stage.upstream).join('+')
     : `${decision.reason} ${Math.round(decision.retryAfterMilliseconds)}`;
 }
 
-const x = (change?: Partial<StageView>): StageView => stage('x', 0, 8, change);
-const y = (change?: Partial<StageView>): StageView => stage('y', 0, 8, change);
-const busy = (...waits: readonly number[]): Partial<StageView> => ({
+const replicaX = (changes?: Partial<StageView>): StageView =>
+  stage('x', 0, 8, changes);
+const replicaY = (changes?: Partial<StageView>): StageView =>
+  stage('y', 0, 8, changes);
+const busyFor = (...waits: readonly number[]): Partial<StageView> => ({
   busyUntil: waits.map(wait => NOW + wait),
 });
 const slow = {decodeMilliseconds: 20};
-const out = {health: 'quarantined' as const};
+const quarantined = {health: 'quarantined' as const};
 const probing = {health: 'probing' as const};
-const halves = [
-  ...[stage('x', 0, 4), stage('x', 4, 8, out)],
+const brokenReplicas = [
+  ...[stage('x', 0, 4), stage('x', 4, 8, quarantined)],
   ...[stage('y', 0, 4, {leaving: true}), stage('y', 4, 8)],
 ];
 const cached = {cachedPrefixes: new Set('p')};
 const longPrompt = {promptTokens: 900, prefixKey: 'p', prefixTokens: 800};
 
-const lost = {inProgress: true, firstTokenWithin: -9, betweenTokensTarget: 15};
+const lostStages = {
+  inProgress: true,
+  firstTokenWithin: -9,
+  betweenTokensTarget: 15,
+};
 
 type Case = readonly [string, CellView, Partial<WorkEstimate>, string];
 const cases: readonly Case[] = [
-  ['one chain', cell(stage('x', 0, 4), stage('x', 4, 8)), {}, 'x.0+x.4'],
-  ['no stages', cell(), {}, 'noUpstream 1000'],
-  ['a gap in the layers', cell(stage('x', 0, 4)), {}, 'noUpstream 1000'],
-  ['halves of two broken replicas', cell(...halves), {}, 'x.0+y.4'],
   [
-    'replicas cut at different layers',
-    cell(x(busy(200, 400)), stage('y', 0, 2), stage('y', 2, 8)),
+    'takes the only chain',
+    cellView(stage('x', 0, 4), stage('x', 4, 8)),
+    {},
+    'x.0+x.4',
+  ],
+  ['refuses without stages', cellView(), {}, 'noUpstream 1000'],
+  [
+    'refuses if layers are missing',
+    cellView(stage('x', 0, 4)),
+    {},
+    'noUpstream 1000',
+  ],
+  [
+    'combines the healthy stages of two broken replicas',
+    cellView(...brokenReplicas),
+    {},
+    'x.0+y.4',
+  ],
+  [
+    'takes a replica that is split at another layer',
+    cellView(replicaX(busyFor(200, 400)), stage('y', 0, 2), stage('y', 2, 8)),
     {},
     'y.0+y.2',
   ],
-  ['a tight target', cell(x(slow), y()), {betweenTokensTarget: 30}, 'y.0'],
-  ['a loose target', cell(x(slow), y()), {betweenTokensTarget: 300}, 'x.0'],
   [
-    'too slow',
-    cell(x(slow)),
+    'takes the fast replica for a tight target',
+    cellView(replicaX(slow), replicaY()),
+    {betweenTokensTarget: 30},
+    'y.0',
+  ],
+  [
+    'takes the slow replica for a loose target',
+    cellView(replicaX(slow), replicaY()),
+    {betweenTokensTarget: 300},
+    'x.0',
+  ],
+  [
+    'refuses if the time between tokens is too long',
+    cellView(replicaX(slow)),
     {betweenTokensTarget: 20},
     'cannotMeetTarget 5000',
   ],
-  ['too long', cell(x()), {outputTokens: 1000}, 'cannotMeetTarget 5000'],
-  ['a wait that fits', cell(x(busy(200, 400))), {}, 'x.0'],
   [
-    'a wait that is too long: when 0.7 of what is left of it fits',
-    cell(x(busy(1000, 1900))),
+    'refuses if the reply is too long for the deadline',
+    cellView(replicaX()),
+    {outputTokens: 1000},
+    'cannotMeetTarget 5000',
+  ],
+  [
+    'admits after a wait that meets the targets',
+    cellView(replicaX(busyFor(200, 400))),
+    {},
+    'x.0',
+  ],
+  [
+    'refuses a wait that is too long, until 0.7 of the rest meets the targets',
+    cellView(replicaX(busyFor(1000, 1900))),
     {},
     'cannotMeetTarget 466',
   ],
   [
-    'the place in the queue counts, not the mean',
-    cell(x(busy(9, 9, 900, 900))),
+    'waits for the finish that frees a slot, not for the mean',
+    cellView(replicaX(busyFor(9, 9, 900, 900))),
     {},
     'cannotMeetTarget 366',
   ],
-  ['a cached prefix', cell(x(), y(cached)), longPrompt, 'y.0'],
-  ['probing takes one request', cell(x(probing)), {}, 'x.0'],
-  ['and no second', cell(x({...probing, ...busy(9)})), {}, 'noUpstream 1000'],
   [
-    'old figures are widened past the target',
-    cell(x({reportAgeMilliseconds: Infinity})),
+    'prefers a cached prefix',
+    cellView(replicaX(), replicaY(cached)),
+    longPrompt,
+    'y.0',
+  ],
+  [
+    'admits one request to a probing stage',
+    cellView(replicaX(probing)),
+    {},
+    'x.0',
+  ],
+  [
+    'refuses a second request to a probing stage',
+    cellView(replicaX({...probing, ...busyFor(9)})),
+    {},
+    'noUpstream 1000',
+  ],
+  [
+    'refuses if the age of the load report raises the time between tokens past the target',
+    cellView(replicaX({reportAgeMilliseconds: Infinity})),
     {betweenTokensTarget: 11.4},
     'cannotMeetTarget 5000',
   ],
   [
-    'no first token in time',
-    cell(y()),
+    'refuses if the first token would be late',
+    cellView(replicaY()),
     {firstTokenWithin: 9},
     'cannotMeetTarget 5000',
   ],
-  ['work in progress goes on', cell(x(slow), y(busy(1))), lost, 'y.0'],
-  ['on what is left', cell(x(slow), y(out)), lost, 'x.0'],
-  ['on a probe only if need be', cell(x(probing), y(slow)), lost, 'y.0'],
   [
-    'but not past its deadline',
-    cell(x(slow)),
-    {...lost, deadlineWithin: 300},
+    'continues work in progress past the first-token target',
+    cellView(replicaX(slow), replicaY(busyFor(1))),
+    lostStages,
+    'y.0',
+  ],
+  [
+    'continues work in progress on the remaining replica',
+    cellView(replicaX(slow), replicaY(quarantined)),
+    lostStages,
+    'x.0',
+  ],
+  [
+    'avoids probing stages for work in progress',
+    cellView(replicaX(probing), replicaY(slow)),
+    lostStages,
+    'y.0',
+  ],
+  [
+    'refuses work in progress that would miss its deadline',
+    cellView(replicaX(slow)),
+    {...lostStages, deadlineWithin: 300},
     'cannotMeetTarget 5000',
   ],
-  ['new ones are not', cell(x()), {betweenTokensTarget: 11.4}, 'x.0'],
+  [
+    'admits at the same target if the load report is new',
+    cellView(replicaX()),
+    {betweenTokensTarget: 11.4},
+    'x.0',
+  ],
 ];
 
 describe('LaxityPolicy', () => {
-  it.each(cases)('%s', (_, view, change, expected) => {
+  it.each(cases)('%s', (_, view, changes, expected) => {
     const decision = new LaxityPolicy().decide(
       view,
       noShares,
-      {...work, ...change},
+      {...work, ...changes},
       NOW,
     );
-    expect(outcome(decision)).toBe(expected);
+    expect(describeDecision(decision)).toBe(expected);
   });
 
-  it.each(cases.filter(one => /Target (?!5000)/.test(one[3])))(
-    '%s: taken at the time to come back',
-    (_, view, change, expected) => {
+  it.each(cases.filter(row => /Target (?!5000)/.test(row[3])))(
+    '%s: admits the work after the retry delay',
+    (_, view, changes, expected) => {
       const later = NOW + Number(expected.split(' ')[1]) + 1;
-      const sent = {...work, ...change};
-      const decision = new LaxityPolicy().decide(view, noShares, sent, later);
+      const changedWork = {...work, ...changes};
+      const decision = new LaxityPolicy().decide(
+        view,
+        noShares,
+        changedWork,
+        later,
+      );
       expect(decision.kind).toBe('admit');
     },
   );
 
-  it('stretches waits where others are turned away', () => {
+  it('scales waits up while other requests are refused', () => {
     const shares: ShareView = {
       ...noShares,
       usedByClass: new Map([['c', 800]]),
-      wantedByAccount: new Map([['c/b', 1000]]),
+      demandByAccount: new Map([['c/b', 1000]]),
     };
-    const view = cell(x(busy(250, 900)));
+    const view = cellView(replicaX(busyFor(250, 900)));
     const decide = (shares: ShareView): string =>
-      outcome(new LaxityPolicy().decide(view, shares, work, NOW));
+      describeDecision(new LaxityPolicy().decide(view, shares, work, NOW));
     expect(decide(noShares)).toBe('x.0');
     expect(decide(shares)).toBe('cannotMeetTarget 20');
   });
@@ -189,42 +270,82 @@
       ['c', 1000],
       ['tight', 1],
     ]),
-    wantedByAccount: new Map([
+    demandByAccount: new Map([
       ['c/a', 1500],
       ['c/b', 500],
     ]),
-    targetByClass: new Map([['c', 1]]),
+    targetRateByClass: new Map([['c', 1]]),
     timesByClass: new Map([['tight', {firstToken: 500, betweenTokens: 15}]]),
   };
-  const held = (count: number, wait: number): Partial<StageView> => ({
+  const occupied = (count: number, wait: number): Partial<StageView> => ({
     sequenceLimit: 16,
-    ...busy(...Array<number>(count).fill(wait)),
+    ...busyFor(...Array<number>(count).fill(wait)),
   });
   it.each([
-    ['more free than kept', 'a', [x(held(13, 200))], 'x.0'],
-    ['no more free than kept', 'a', [x(held(14, 200))], 'overShare 200'],
-    ['others soon free need not be kept', 'a', [x(held(15, 140))], 'x.0'],
-    ['overdue ones are not sure', 'a', [x(held(15, -1))], 'overShare 20'],
-    ['none free', 'a', [x(held(16, 140))], 'overShare 140'],
-    ['within its share', 'b', [x(held(14, 200))], 'x.0'],
-    ['within its share, all taken', 'b', [x(held(16, 100))], 'x.0'],
     [
-      'too slow for a tighter class, so nothing is kept for it elsewhere',
+      'admits an account over its share if more slots are free than reserved',
+      'a',
+      [replicaX(occupied(13, 200))],
+      'x.0',
+    ],
+    [
+      'refuses an account over its share if no more slots are free than reserved',
       'a',
-      [x(held(16, 200)), y({...held(9, 200), ...slow})],
+      [replicaX(occupied(14, 200))],
+      'overShare 200',
+    ],
+    [
+      'admits an account over its share if other slots become free soon',
+      'a',
+      [replicaX(occupied(15, 140))],
+      'x.0',
+    ],
+    [
+      'refuses an account over its share if the other sequences are overdue',
+      'a',
+      [replicaX(occupied(15, -1))],
+      'overShare 20',
+    ],
+    [
+      'refuses an account over its share if no slot is free',
+      'a',
+      [replicaX(occupied(16, 140))],
+      'overShare 140',
+    ],
+    [
+      'admits an account within its share to a reserved slot',
+      'b',
+      [replicaX(occupied(14, 200))],
+      'x.0',
+    ],
+    [
+      'lets an account within its share wait for a slot',
+      'b',
+      [replicaX(occupied(16, 100))],
+      'x.0',
+    ],
+    [
+      'admits an account over its share to a replica too slow for the tighter class, which needs no reserve there',
+      'a',
+      [replicaX(occupied(16, 200)), replicaY({...occupied(9, 200), ...slow})],
       'y.0',
     ],
     [
-      'its own slots only are free, and the others count not',
+      'refuses an account over its share if only slots of the replica that serves the tighter class are free',
       'a',
-      [x(held(15, 200)), y({...held(16, 200), ...slow})],
+      [replicaX(occupied(15, 200)), replicaY({...occupied(16, 200), ...slow})],
       'overShare 200',
     ],
-  ])('an account over its share: %s', (_, clientAccount, stages, expected) => {
-    const asked = {...work, clientAccount};
+  ])('%s', (_, clientAccount, stages, expected) => {
+    const accountWork = {...work, clientAccount};
     const policy = new LaxityPolicy();
-    const decision = policy.decide(cell(...stages), contended, asked, NOW);
-    expect(outcome(decision)).toBe(expected);
+    const decision = policy.decide(
+      cellView(...stages),
+      contended,
+      accountWork,
+      NOW,
+    );
+    expect(describeDecision(decision)).toBe(expected);
   });
 
   const stages = fc.array(
@@ -244,36 +365,44 @@
   );
   const policies = [new LaxityPolicy(), new RoundRobinPolicy()];
 
-  it.each(policies)('$name covers all layers once, in order', policy => {
-    fc.assert(
-      fc.property(stages, drawn => {
-        const view = cell(
-          ...drawn.map((one, index) =>
-            stage(one.replica, one.from, Math.min(8, one.from + one.size), {
-              upstream: String(index),
-              health: one.health,
-              leaving: one.leaving,
-              busyUntil: one.finishes
-                .map(finish => NOW + finish)
-                .sort((a, b) => a - b),
-            }),
-          ),
-        );
-        const decision = policy.decide(view, noShares, work, NOW);
-        if (decision.kind === 'refuse') {
-          expect(decision.retryAfterMilliseconds).toBeGreaterThan(0);
-          return;
-        }
-        let covered = 0;
-        for (const {layers, upstream} of decision.stages) {
-          const {leaving, health} = view.stages[Number(upstream)]!;
-          expect([leaving, health === 'quarantined']).toEqual([false, false]);
-          expect(layers.from).toBe(covered);
-          covered = layers.to;
-        }
-        expect(covered).toBe(8);
-      }),
-      {seed: 5, numRuns: 300},
-    );
-  });
+  it.each(policies)(
+    '$name chooses stages that cover all layers once, in order',
+    policy => {
+      fc.assert(
+        fc.property(stages, drawn => {
+          const view = cellView(
+            ...drawn.map((drawnStage, index) =>
+              stage(
+                drawnStage.replica,
+                drawnStage.from,
+                Math.min(8, drawnStage.from + drawnStage.size),
+                {
+                  upstream: String(index),
+                  health: drawnStage.health,
+                  leaving: drawnStage.leaving,
+                  busyUntil: drawnStage.finishes
+                    .map(finish => NOW + finish)
+                    .sort((a, b) => a - b),
+                },
+              ),
+            ),
+          );
+          const decision = policy.decide(view, noShares, work, NOW);
+          if (decision.kind === 'refuse') {
+            expect(decision.retryAfterMilliseconds).toBeGreaterThan(0);
+            return;
+          }
+          let covered = 0;
+          for (const {layers, upstream} of decision.stages) {
+            const {leaving, health} = view.stages[Number(upstream)]!;
+            expect([leaving, health === 'quarantined']).toEqual([false, false]);
+            expect(layers.from).toBe(covered);
+            covered = layers.to;
+          }
+          expect(covered).toBe(8);
+        }),
+        {seed: 5, numRuns: 300},
+      );
+    },
+  );
 });
--- a/src/features/routing/test/common/queueModel.test.ts
+++ b/src/features/routing/test/common/queueModel.test.ts
@@ -26,25 +26,27 @@
   ),
 );
 
-describe('LaxityPolicy against round robin without admission', () => {
+describe('LaxityPolicy, compared with round robin without admission,', () => {
   it.each(cases)(
-    '$replicas replicas, load $load, token target $betweenTarget, seed $seed: never fewer on time',
-    one => {
-      const naive = runQueueModel(one, new RoundRobinPolicy());
-      const laxity = runQueueModel(one, new LaxityPolicy());
+    'completes at least as many requests on time: $replicas replicas, load $load, token target $betweenTarget, seed $seed',
+    queueCase => {
+      const roundRobin = runQueueModel(queueCase, new RoundRobinPolicy());
+      const laxity = runQueueModel(queueCase, new LaxityPolicy());
       expect(laxity.onTimeRequests).toBeGreaterThanOrEqual(
-        naive.onTimeRequests,
+        roundRobin.onTimeRequests,
       );
     },
   );
 
-  it('keeps small accounts near their share beside one that sends half of 1.5 times the capacity', () => {
-    const one = cases.find(each => each.replicas === 8 && each.load === 1.5)!;
-    const long = {...one, milliseconds: 60000};
-    const naive = runQueueModel(long, new RoundRobinPolicy());
+  it('keeps small accounts near their share while one account sends half of a load of 1.5 times the capacity', () => {
+    const queueCase = cases.find(
+      candidate => candidate.replicas === 8 && candidate.load === 1.5,
+    )!;
+    const long = {...queueCase, milliseconds: 60000};
+    const roundRobin = runQueueModel(long, new RoundRobinPolicy());
     const laxity = runQueueModel(long, new LaxityPolicy());
     expect(laxity.ratio).toBeGreaterThan(0.9);
     expect(laxity.meanSmall).toBeGreaterThan(0.9);
-    expect(naive.meanSmall).toBeLessThan(0.5);
+    expect(roundRobin.meanSmall).toBeLessThan(0.5);
   });
 });
--- a/src/features/routing/test/common/queueModel.ts
+++ b/src/features/routing/test/common/queueModel.ts
@@ -12,41 +12,41 @@
   betweenTargetOf,
   CLASSES,
   makeArrivals,
-  PREFILL,
+  PREFILL_MILLISECONDS_PER_TOKEN,
   QueueCase,
-  speedOf,
-  STEP,
-  workOf,
+  speedOfReplica,
+  STEP_MILLISECONDS,
+  slotMillisecondsOf,
 } from './queueWorkload.js';
 
-/** What a policy brought in one case; work is in milliseconds of a slot of speed 1. */
+/** Result of a policy in one case. Work is measured in milliseconds of a slot of speed 1. */
 export interface QueueResult {
   readonly onTimeRequests: number;
-  /** On-time work over the bound (the lesser of offered work and capacity). */
+  /** Ratio of on-time work to its upper bound, the lesser of offered work and capacity. */
   readonly ratio: number;
-  /** The worst small account's on-time work over its max-min share. */
+  /** Lowest ratio of on-time work to max-min share among the small accounts. */
   readonly worstSmall: number;
-  /** The mean of the same over the small accounts. */
+  /** Mean of that ratio over the small accounts. */
   readonly meanSmall: number;
-  /** The large account's on-time work over its max-min share. */
+  /** Ratio of on-time work to max-min share of the large account. */
   readonly large: number;
-  /** Taken requests that ended late, over those taken. */
+  /** Share of the admitted requests that missed a target. */
   readonly lateShare: number;
 }
 
-/** The first part of a run fills the cell; its work is not counted in shares and ratio. */
-const WARM_SHARE = 0.2;
+/** Share of a run in which the cell fills; its work is excluded from shares and ratios. */
+const WARM_UP_SHARE = 0.2;
 
 interface Residency {
   readonly predicted: number;
   readonly actual: number;
 }
 
-function sum(values: Iterable<number>): number {
+function sumOf(values: Iterable<number>): number {
   return [...values].reduce((a, b) => a + b, 0);
 }
 
-/** One cell whose slots are held in order of arrival; late work is cancelled at its deadline. */
+/** One cell whose slots are assigned in order of arrival. Late work is cancelled at its deadline. */
 class QueueModel {
   private readonly random: SeededRandomSource;
   private readonly resident = new Map<string, readonly Residency[]>();
@@ -64,122 +64,145 @@
     return {...names, layerCount: stages, stages: chains.flat()};
   }
 
-  /** Holds slots for an arrival; whether it ended on time. */
+  /** Assigns slots to an arrival; returns whether it meets its targets. */
   place(
     arrival: Arrival,
     chosen: readonly ChosenStage[],
-    whole: number,
+    predictedMilliseconds: number,
   ): boolean {
-    const {at} = arrival;
-    const held = chosen.map(stage => this.resident.get(stage.upstream)!);
-    const start = Math.max(at, ...held.map(one => this.freeAt(one, at)));
-    const slow = sum(chosen.map(one => 1 / speedOf(parseInt(one.upstream))));
-    const wobble = 1 + this.one.error * 0.1 * (2 * this.random.next() - 1);
-    const factor = (slow / chosen.length) * wobble;
-    const first = start + arrival.promptTokens * PREFILL * factor;
-    const finish = first + (arrival.actualOutput - 1) * STEP * factor;
-    const deadline = at + arrival.deadlineWithin;
+    const {arrivedAt} = arrival;
+    const residencies = chosen.map(stage => this.resident.get(stage.upstream)!);
+    const start = Math.max(
+      arrivedAt,
+      ...residencies.map(others => this.freeAt(others, arrivedAt)),
+    );
+    const slowdown = sumOf(
+      chosen.map(stage => 1 / speedOfReplica(parseInt(stage.upstream))),
+    );
+    const jitter = 1 + this.one.error * 0.1 * (2 * this.random.next() - 1);
+    const factor = (slowdown / chosen.length) * jitter;
+    const first =
+      start + arrival.promptTokens * PREFILL_MILLISECONDS_PER_TOKEN * factor;
+    const finish =
+      first + (arrival.actualOutput - 1) * STEP_MILLISECONDS * factor;
+    const deadline = arrivedAt + arrival.deadlineWithin;
     const actual = Math.min(finish, Math.max(deadline, start));
     chosen.forEach(({upstream}, index) => {
-      const entry = {predicted: at + whole, actual};
-      this.resident.set(upstream, [...held[index]!, entry]);
+      const entry = {predicted: arrivedAt + predictedMilliseconds, actual};
+      this.resident.set(upstream, [...residencies[index]!, entry]);
     });
-    const firstInTime = first <= at + arrival.firstTokenWithin;
-    const tokensInTime = STEP * factor <= arrival.betweenTokensTarget;
-    return firstInTime && tokensInTime && finish <= deadline;
+    const isFirstTokenInTime = first <= arrivedAt + arrival.firstTokenWithin;
+    const areTokensInTime =
+      STEP_MILLISECONDS * factor <= arrival.betweenTokensTarget;
+    return isFirstTokenInTime && areTokensInTime && finish <= deadline;
   }
 
-  private freeAt(held: readonly Residency[], now: number): number {
-    const ascending = held.map(one => one.actual).sort((a, b) => a - b);
+  private freeAt(residencies: readonly Residency[], now: number): number {
+    const ascending = residencies
+      .map(entry => entry.actual)
+      .sort((a, b) => a - b);
     return ascending[ascending.length - this.one.slots] ?? now;
   }
 
   private stage(replica: number, stage: number, now: number): StageView {
     const upstream = `${replica}.${stage}`;
-    const share = this.one.stages * speedOf(replica);
-    const known = this.resident.get(upstream) ?? [];
-    const held = known.filter(entry => entry.actual > now);
-    this.resident.set(upstream, held);
-    const finishes = held.map(entry => Math.max(now, entry.predicted));
+    const share = this.one.stages * speedOfReplica(replica);
+    const previous = this.resident.get(upstream) ?? [];
+    const residencies = previous.filter(entry => entry.actual > now);
+    this.resident.set(upstream, residencies);
+    const finishes = residencies.map(entry => Math.max(now, entry.predicted));
     return {
       upstream,
       address: upstream,
       dataCentre: 'a',
       replica: String(replica),
-      acceleratorKind: String(speedOf(replica)),
+      acceleratorKind: String(speedOfReplica(replica)),
       layers: {from: stage, to: stage + 1},
       health: 'healthy',
       leaving: false,
       sequenceLimit: this.one.slots,
       busyUntil: finishes.sort((a, b) => a - b),
-      decodeMilliseconds: STEP / share,
+      decodeMilliseconds: STEP_MILLISECONDS / share,
       linkMilliseconds: 0,
-      prefillMillisecondsPerToken: PREFILL / share,
+      prefillMillisecondsPerToken: PREFILL_MILLISECONDS_PER_TOKEN / share,
       reportAgeMilliseconds: 500,
       cachedPrefixes: new Set<string>(),
     };
   }
 }
 
-/** Runs one policy over one case. */
 export function runQueueModel(
-  one: QueueCase,
+  queueCase: QueueCase,
   policy: RoutingPolicy,
 ): QueueResult {
-  const speeds = [...Array(one.replicas).keys()].map(speedOf);
-  const capacity = one.slots * sum(speeds);
-  const warm = WARM_SHARE * one.milliseconds;
-  const model = new QueueModel(one);
+  const speeds = [...Array(queueCase.replicas).keys()].map(speedOfReplica);
+  const capacity = queueCase.slots * sumOf(speeds);
+  const warmUpMilliseconds = WARM_UP_SHARE * queueCase.milliseconds;
+  const model = new QueueModel(queueCase);
   const accounts = new ShareAccounts();
-  const targets = new Map(CLASSES.map(kind => [kind.name, kind.part]));
+  const targets = new Map(
+    CLASSES.map(trafficClass => [trafficClass.name, trafficClass.part]),
+  );
   const timesByClass = new Map(
     CLASSES.map(({name, first}) => [
       name,
       {
         firstToken: first,
-        betweenTokens: betweenTargetOf(name, one),
+        betweenTokens: betweenTargetOf(name, queueCase),
       },
     ]),
   );
   const offered = new Map<string, number>();
   const onTime = new Map<string, number>();
-  let taken = 0;
+  let admitted = 0;
   let onTimeRequests = 0;
-  for (const arrival of makeArrivals(one, capacity)) {
-    const {at, clientAccount: account, classOfWork, promptTokens} = arrival;
-    const work = workOf(promptTokens, arrival.actualOutput);
-    const estimate = workOf(promptTokens, arrival.outputTokens);
-    const counted = at >= warm ? work : 0;
-    offered.set(account, (offered.get(account) ?? 0) + counted);
-    const shares = {...accounts.view(targets, at), timesByClass};
-    const decision = policy.decide(model.view(at), shares, arrival, at);
-    accounts.recordWant(classOfWork, account, estimate, at);
+  for (const arrival of makeArrivals(queueCase, capacity)) {
+    const {
+      arrivedAt,
+      clientAccount: account,
+      classOfWork,
+      promptTokens,
+    } = arrival;
+    const work = slotMillisecondsOf(promptTokens, arrival.actualOutput);
+    const estimate = slotMillisecondsOf(promptTokens, arrival.outputTokens);
+    const countedWork = arrivedAt >= warmUpMilliseconds ? work : 0;
+    offered.set(account, (offered.get(account) ?? 0) + countedWork);
+    const shares = {...accounts.view(targets, arrivedAt), timesByClass};
+    const decision = policy.decide(
+      model.view(arrivedAt),
+      shares,
+      arrival,
+      arrivedAt,
+    );
+    accounts.recordWant(classOfWork, account, estimate, arrivedAt);
     if (decision.kind === 'refuse') {
       continue;
     }
-    taken += 1;
-    accounts.recordUse(classOfWork, account, estimate, at);
-    const whole = decision.prediction.wholeMilliseconds;
-    if (model.place(arrival, decision.stages, whole)) {
+    admitted += 1;
+    accounts.recordUse(classOfWork, account, estimate, arrivedAt);
+    const predictedMilliseconds = decision.prediction.wholeMilliseconds;
+    if (model.place(arrival, decision.stages, predictedMilliseconds)) {
       onTimeRequests += 1;
-      onTime.set(account, (onTime.get(account) ?? 0) + counted);
+      onTime.set(account, (onTime.get(account) ?? 0) + countedWork);
     }
   }
-  const wants = [...offered.values()].map(wanted => ({wanted, weight: 1}));
+  const claimants = [...offered.values()].map(demand => ({demand, weight: 1}));
   const bound = Math.min(
-    sum(offered.values()),
-    capacity * (one.milliseconds - warm),
+    sumOf(offered.values()),
+    capacity * (queueCase.milliseconds - warmUpMilliseconds),
   );
-  const level = fairLevel(wants, bound);
-  const shareOf = (account: string): number =>
+  const level = fairLevel(claimants, bound);
+  const ratioToShare = (account: string): number =>
     (onTime.get(account) ?? 0) / Math.min(offered.get(account) ?? 0, level);
-  const small = [...offered.keys()].filter(account => account !== 'large');
+  const smallAccounts = [...offered.keys()].filter(
+    account => account !== 'large',
+  );
   return {
     onTimeRequests,
-    ratio: sum(onTime.values()) / bound,
-    worstSmall: Math.min(...small.map(shareOf)),
-    meanSmall: sum(small.map(shareOf)) / small.length,
-    large: shareOf('large'),
-    lateShare: taken === 0 ? 0 : 1 - onTimeRequests / taken,
+    ratio: sumOf(onTime.values()) / bound,
+    worstSmall: Math.min(...smallAccounts.map(ratioToShare)),
+    meanSmall: sumOf(smallAccounts.map(ratioToShare)) / smallAccounts.length,
+    large: ratioToShare('large'),
+    lateShare: admitted === 0 ? 0 : 1 - onTimeRequests / admitted,
   };
 }
--- a/src/features/routing/test/common/queueModelTable.ts
+++ b/src/features/routing/test/common/queueModelTable.ts
@@ -1,5 +1,8 @@
 import {SeededRandomSource} from '../../../../base/common/randomSource.js';
-import {LaxityPolicy, pipelineChoices} from '../../common/laxityPolicy.js';
+import {
+  LaxityPolicy,
+  pipelineSelectionRules,
+} from '../../common/laxityPolicy.js';
 import {LeastLoadedPolicy} from '../../common/leastLoadedPolicy.js';
 import {RoundRobinPolicy} from '../../common/roundRobinPolicy.js';
 import {RoutingPolicy} from '../../common/routing.js';
@@ -8,32 +11,32 @@
 import {QueueResult, runQueueModel} from './queueModel.js';
 import {QueueCase} from './queueWorkload.js';
 
-/** Prints the queue model's table of policies: mean of the seeds given as arguments (1 2 3 by default). */
+/** Prints a table that compares policies in the queue model, as means over the seeds given (1 2 3 by default). */
 
 const policies: ReadonlyArray<() => RoutingPolicy> = [
   () => new RoundRobinPolicy(),
   () => new LeastLoadedPolicy(),
   () => new TwoChoicesPolicy(new SeededRandomSource(1)),
   () => new StaticThresholdPolicy(400),
-  ...pipelineChoices.map(choice => () => new LaxityPolicy(choice)),
+  ...pipelineSelectionRules.map(choice => () => new LaxityPolicy(choice)),
 ];
 const cells = [
   {replicas: 14, stages: 2, slots: 16, milliseconds: 30000},
   {replicas: 4, stages: 2, slots: 4, milliseconds: 100000},
 ];
 const accounts = {smallAccounts: 8, largeShare: 0.5, error: 0.2};
-const given = process.argv.slice(2).map(Number);
-const seeds = given.length > 0 ? given : [1, 2, 3];
+const seedArguments = process.argv.slice(2).map(Number);
+const seeds = seedArguments.length > 0 ? seedArguments : [1, 2, 3];
 
-function printRow(makePolicy: () => RoutingPolicy, one: QueueCase): void {
+function printRow(makePolicy: () => RoutingPolicy, queueCase: QueueCase): void {
   const results = seeds.map(seed =>
-    runQueueModel({...one, seed}, makePolicy()),
+    runQueueModel({...queueCase, seed}, makePolicy()),
   );
   const mean = (key: keyof QueueResult): string =>
     (
       results.reduce((sum, result) => sum + result[key], 0) / seeds.length
     ).toFixed(3);
-  const {replicas, slots, load, betweenTarget} = one;
+  const {replicas, slots, load, betweenTarget} = queueCase;
   const keys = [
     'ratio',
     'worstSmall',
@@ -41,9 +44,9 @@
     'large',
     'lateShare',
   ] as const;
-  const figures = keys.map(mean);
+  const means = keys.map(mean);
   console.log(
-    `| ${replicas} x ${slots} | ${betweenTarget} | ${load} | ${makePolicy().name} | ${figures.join(' | ')} |`,
+    `| ${replicas} x ${slots} | ${betweenTarget} | ${load} | ${makePolicy().name} | ${means.join(' | ')} |`,
   );
 }
 
@@ -55,8 +58,8 @@
   for (const betweenTarget of [61, 30]) {
     for (const load of [0.8, 1, 1.5]) {
       for (const makePolicy of policies) {
-        const one = {...cell, ...accounts, betweenTarget, load, seed: 0};
-        printRow(makePolicy, one);
+        const queueCase = {...cell, ...accounts, betweenTarget, load, seed: 0};
+        printRow(makePolicy, queueCase);
       }
     }
   }
