--- a/src/features/routing/test/common/shares.test.ts
+++ b/src/features/routing/test/common/shares.test.ts
@@ -6,30 +6,33 @@
   SHARE_TIME_CONSTANT_MILLISECONDS,
   ShareAccounts,
 } from '../../common/shareAccounts.js';
-import {shareStanding} from '../../common/shareStanding.js';
+import {assessFairShare} from '../../common/shareStanding.js';
 
 const claimants = fc.array(
   fc.record({
-    wanted: fc.integer({min: 1, max: 1000}),
+    demand: fc.integer({min: 1, max: 1000}),
     weight: fc.integer({min: 1, max: 5}),
   }),
   {minLength: 1, maxLength: 12},
 );
 
 describe('fairLevel', () => {
-  it('uses up the capacity, or satisfies all wants', () => {
+  it('uses up the capacity or satisfies all demands', () => {
     fc.assert(
       fc.property(
         claimants,
         fc.integer({min: 1, max: 3000}),
         (all, capacity) => {
           const level = fairLevel(all, capacity);
-          const given = all.map(one =>
-            Math.min(one.wanted, one.weight * level),
+          const granted = all.map(claimant =>
+            Math.min(claimant.demand, claimant.weight * level),
           );
-          const total = given.reduce((a, b) => a + b, 0);
-          const wanted = all.reduce((sum, one) => sum + one.wanted, 0);
-          expect(total).toBeCloseTo(Math.min(wanted, capacity), 6);
+          const total = granted.reduce((a, b) => a + b, 0);
+          const demand = all.reduce(
+            (sum, claimant) => sum + claimant.demand,
+            0,
+          );
+          expect(total).toBeCloseTo(Math.min(demand, capacity), 6);
         },
       ),
       {seed: 3},
@@ -38,7 +41,7 @@
 });
 
 describe('ShareAccounts', () => {
-  it('decays use and want, and tells the mean work of a class', () => {
+  it('decays usage and demand and computes the mean work of a class', () => {
     const accounts = new ShareAccounts();
     accounts.recordWant('c', 'a', 100, 0);
     accounts.recordWant('c', 'b', 200, 0);
@@ -48,20 +51,20 @@
     const view = accounts.view(new Map(), SHARE_TIME_CONSTANT_MILLISECONDS);
     expect(view.usedByAccount.get('c/a')).toBeCloseTo(60 / Math.E);
     expect(view.usedByClass.get('c')).toBeCloseTo(60 / Math.E);
-    expect(view.wantedByAccount.get('c/b')).toBeCloseTo(300 / Math.E);
+    expect(view.demandByAccount.get('c/b')).toBeCloseTo(300 / Math.E);
     expect(view.workByClass?.get('c')).toBeCloseTo(200);
   });
 
-  it('drops small sums, and the smallest of too many', () => {
+  it('drops small sums, and the smallest ones if there are too many', () => {
     const accounts = new ShareAccounts();
     for (let index = 0; index < 20000; index += 1) {
       accounts.recordWant('c', `a${index}`, 10, 0);
     }
     accounts.recordWant('c', 'large', 1e6, 0);
-    const soon = accounts.view(new Map(), 0).wantedByAccount;
-    expect(soon.size).toBeLessThanOrEqual(4096);
-    expect(soon.get('c/large')).toBe(1e6);
-    const later = accounts.view(new Map(), 100000).wantedByAccount;
+    const early = accounts.view(new Map(), 0).demandByAccount;
+    expect(early.size).toBeLessThanOrEqual(4096);
+    expect(early.get('c/large')).toBe(1e6);
+    const later = accounts.view(new Map(), 100000).demandByAccount;
     expect([...later.keys()]).toEqual(['c/large']);
   });
 });
@@ -69,10 +72,18 @@
 type Sums = Readonly<Record<string, number>>;
 const cases: ReadonlyArray<[string, Sums, Sums, Sums, string, number, number]> =
   [
-    // name, wanted, used, class targets, class/account, excess, contention
-    ['nobody turned away', {'c/a': 90}, {'c/a': 90}, {c: 1}, 'c/a', 0, 0],
+    // title, demand, usage, class targets, class/account, excess, contention
     [
-      'the large one of two',
+      'finds no excess without contention',
+      {'c/a': 90},
+      {'c/a': 90},
+      {c: 1},
+      'c/a',
+      0,
+      0,
+    ],
+    [
+      'finds a positive excess of the larger of two accounts',
       {'c/a': 160, 'c/b': 40},
       {'c/a': 70, 'c/b': 30},
       {c: 1},
@@ -81,7 +92,7 @@
       0.5,
     ],
     [
-      'the small one of two',
+      'finds no excess of the smaller of two accounts',
       {'c/a': 160, 'c/b': 40},
       {'c/a': 70, 'c/b': 30},
       {c: 1},
@@ -90,7 +101,7 @@
       0.5,
     ],
     [
-      'a class over its target beside one under',
+      'finds an excess in a class that exceeds its target while another is below',
       {'c/a': 100, 'd/a': 100},
       {'c/a': 60, 'd/a': 40},
       {c: 1, d: 3},
@@ -99,7 +110,7 @@
       0.5,
     ],
     [
-      'a class may use what another leaves',
+      'lets a class use what another leaves',
       {'c/a': 180, 'd/a': 20},
       {'c/a': 80, 'd/a': 20},
       {c: 1, d: 3},
@@ -108,7 +119,7 @@
       0.5,
     ],
     [
-      'an account not seen yet',
+      'finds no excess of an unknown account',
       {'c/a': 20},
       {'c/a': 10},
       {c: 1},
@@ -117,7 +128,7 @@
       0.5,
     ],
     [
-      'beyond its part of a class by chance, within its share in all',
+      'allows for random variation in one class within the share over all classes',
       {'g/s': 30, 'g/l': 100, 'd/s': 5, 'd/l': 100},
       {'g/s': 30, 'g/l': 30, 'd/s': 5, 'd/l': 35},
       {g: 1, d: 1},
@@ -126,7 +137,7 @@
       1 - 100 / 235,
     ],
     [
-      'no chance is allowed for beyond the share in all',
+      'allows for no random variation beyond the share over all classes',
       {'g/s': 30, 'g/l': 100, 'd/s': 5, 'd/l': 100},
       {'g/s': 25, 'g/l': 35, 'd/s': 5, 'd/l': 35},
       {g: 1, d: 1},
@@ -136,24 +147,27 @@
     ],
   ];
 
-describe('shareStanding', () => {
-  it.each(cases)('%s', (_, wanted, used, targets, key, excess, contention) => {
-    const [classOfWork, clientAccount] = key.split('/');
-    const usedByClass = new Map<string, number>();
-    for (const [each, amount] of Object.entries(used)) {
-      const name = each.split('/')[0]!;
-      usedByClass.set(name, (usedByClass.get(name) ?? 0) + amount);
-    }
-    const shares = {
-      wantedByAccount: new Map(Object.entries(wanted)),
-      usedByAccount: new Map(Object.entries(used)),
-      usedByClass,
-      targetByClass: new Map(Object.entries(targets)),
-      workByClass: new Map([['g', 1]]),
-    };
-    const work = {classOfWork, clientAccount} as WorkEstimate;
-    const standing = shareStanding(shares, work);
-    expect(standing.excess).toBeCloseTo(excess);
-    expect(standing.contention).toBeCloseTo(contention);
-  });
+describe('assessFairShare', () => {
+  it.each(cases)(
+    '%s',
+    (_, demand, usage, targetRates, key, excess, contention) => {
+      const [classOfWork, clientAccount] = key.split('/');
+      const usedByClass = new Map<string, number>();
+      for (const [classAndAccount, amount] of Object.entries(usage)) {
+        const name = classAndAccount.split('/')[0]!;
+        usedByClass.set(name, (usedByClass.get(name) ?? 0) + amount);
+      }
+      const shares = {
+        demandByAccount: new Map(Object.entries(demand)),
+        usedByAccount: new Map(Object.entries(usage)),
+        usedByClass,
+        targetRateByClass: new Map(Object.entries(targetRates)),
+        workByClass: new Map([['g', 1]]),
+      };
+      const work = {classOfWork, clientAccount} as WorkEstimate;
+      const status = assessFairShare(shares, work);
+      expect(status.excess).toBeCloseTo(excess);
+      expect(status.contention).toBeCloseTo(contention);
+    },
+  );
 });
--- a/src/features/routing/test/common/upstreamHealthTracker.test.ts
+++ b/src/features/routing/test/common/upstreamHealthTracker.test.ts
@@ -14,7 +14,7 @@
   return {upstream, dataCentre, kind: 'k', leaving};
 }
 
-function seen(
+function observation(
   upstream: string,
   outcome: StageObservation['outcome'],
   decodeMilliseconds?: number,
@@ -23,8 +23,8 @@
   return {upstream, outcome, decodeMilliseconds, linkMilliseconds, steps: 10};
 }
 
-/** Applies events to `u1` of four upstreams and notes its health after each. */
-function follow(steps: string): string {
+/** Applies events to `u1`, one of four upstreams, and returns the initial of its health after each. */
+function healthAfterEach(steps: string): string {
   const tracker = new UpstreamHealthTracker();
   const names = ['u1', 'u2', 'u3', 'u4'];
   tracker.list(
@@ -49,39 +49,59 @@
         tracker.list(all, now);
       } else {
         const outcome = event as StageObservation['outcome'];
-        tracker.observe(seen('u1', outcome), now);
+        tracker.observe(observation('u1', outcome), now);
       }
       return tracker.health('u1')[0];
     })
     .join('');
 }
 
-/** h healthy, q quarantined (also leaving), p probing. */
+/** Title, events and expected health: h healthy, q quarantined or leaving, p probing. */
 const cases: ReadonlyArray<readonly [string, string, string]> = [
-  ['a broken connection counts at once', '0 connection', 'q'],
-  ['silence counts', '0 silent', 'q'],
-  ['refusal and cancellation are no faults', '0 refused, 1 cancelled', 'hh'],
-  ['back on a probe', '0 failed, 499 tick, 500 tick, 501 step', 'qqph'],
-  ['one event, one quarantine', '0 failed, 1 failed, 500 tick', 'qqp'],
   [
-    'a failed probe doubles the quarantine',
+    'quarantines an upstream at once when a connection fails',
+    '0 connection',
+    'q',
+  ],
+  ['quarantines a silent upstream', '0 silent', 'q'],
+  [
+    'does not count refusals and cancellations as failures',
+    '0 refused, 1 cancelled',
+    'hh',
+  ],
+  [
+    'recovers after a successful probe',
+    '0 failed, 499 tick, 500 tick, 501 step',
+    'qqph',
+  ],
+  [
+    'does not extend a quarantine on further failures',
+    '0 failed, 1 failed, 500 tick',
+    'qqp',
+  ],
+  [
+    'doubles the quarantine after a failed probe',
     '0 failed, 500 tick, 510 connection, 1500 tick, 1510 tick',
     'qpqqp',
   ],
   [
-    'a relapse soon after the return doubles it too',
+    'doubles the quarantine after a failure soon after recovery',
     '0 failed, 500 tick, 510 step, 600 failed, 1500 tick, 1600 tick',
     'qphqqp',
   ],
-  ['leaving takes no new work', '0 leaving, 1 step, 2 live', 'qqh'],
+  [
+    'quarantines a leaving upstream until it is listed as live',
+    '0 leaving, 1 step, 2 live',
+    'qqh',
+  ],
 ];
 
 describe('UpstreamHealthTracker', () => {
   it.each(cases)('%s', (_, steps, expected) => {
-    expect(follow(steps)).toBe(expected);
+    expect(healthAfterEach(steps)).toBe(expected);
   });
 
-  it('ramps up the sequence limit; one sequence while probing', () => {
+  it('ramps up the sequence limit and limits it to 1 while probing', () => {
     const tracker = new UpstreamHealthTracker();
     tracker.list([listed('u'), listed('v')], 0);
     const limits = [0, 1000, 2000].map(now =>
@@ -95,14 +115,14 @@
     expect(tracker.sequenceLimit('u', 16, 3600)).toBe(4);
   });
 
-  it('caps what silence keeps out, and cuts quarantines short above the cap', () => {
+  it('caps the quarantines due to silence and shortens quarantines above the cap', () => {
     const tracker = new UpstreamHealthTracker();
     const names = ['u1', 'u2', 'u3', 'u4'];
     tracker.list(
       names.map(name => listed(name)),
       0,
     );
-    names.forEach(name => tracker.observe(seen(name, 'silent'), 10));
+    names.forEach(name => tracker.observe(observation(name, 'silent'), 10));
     expect(names.map(name => tracker.health(name)[0]).join('')).toBe('qqhh');
     for (let now = 10; now < 5000; now += 500) {
       names.forEach(name => tracker.connectionFailed(name, now));
@@ -111,25 +131,26 @@
     expect(names.map(name => tracker.health(name)[0]).join('')).toBe('pppp');
   });
 
-  it('takes the loss of most of a data centre as one event, of no other', () => {
+  it('quarantines the rest of a data centre when most of it fails, but no other data centre', () => {
     const tracker = new UpstreamHealthTracker();
-    const near = ['a1', 'a2', 'a3', 'a4', 'a5'];
-    const all = [...near, 'b1', 'b2', 'b3'].map(name => listed(name, name[0]));
+    const namesInA = ['a1', 'a2', 'a3', 'a4', 'a5'];
+    const all = [...namesInA, 'b1', 'b2', 'b3'].map(name =>
+      listed(name, name[0]),
+    );
     tracker.list(all, 0);
     tracker.connectionFailed('a1', 100);
     tracker.connectionFailed('a2', 2200);
     tracker.connectionFailed('a3', 2300);
     expect(tracker.lostDataCentres(2300)).toEqual([]);
     const changes = tracker.connectionFailed('a4', 2400);
-    expect(changes.map(one => `${one.upstream} ${one.cause}`)).toEqual([
-      'a4 failure',
-      'a5 dataCentreLost',
-    ]);
+    expect(changes.map(change => `${change.upstream} ${change.cause}`)).toEqual(
+      ['a4 failure', 'a5 dataCentreLost'],
+    );
     expect(tracker.lostDataCentres(2400)).toEqual(['a']);
     expect(tracker.health('b1')).toBe('healthy');
   });
 
-  it('quarantines what is much slower than its peers', () => {
+  it('quarantines an upstream that is much slower than its peers', () => {
     const tracker = new UpstreamHealthTracker();
     const names = ['u1', 'u2', 'u3', 'u4'];
     tracker.list(
@@ -138,18 +159,18 @@
     );
     for (let round = 0; round < 20; round += 1) {
       names.forEach(name =>
-        tracker.observe(seen(name, 'completed', 10), round),
+        tracker.observe(observation(name, 'completed', 10), round),
       );
     }
     const health = [1, 2, 3, 4, 5].map(round => {
-      tracker.observe(seen('u1', 'completed', 40), 100 + round);
+      tracker.observe(observation('u1', 'completed', 40), 100 + round);
       return tracker.health('u1')[0];
     });
     expect(health.join('')).toBe('hhhhq');
   });
 
   it.each([1, 2, 3, 4])(
-    'finds no fault in an hour without one, seed %s',
+    'changes no health in an hour without failures, seed %s',
     seed => {
       const random = new SeededRandomSource(seed);
       const tracker = new UpstreamHealthTracker();
@@ -160,13 +181,16 @@
       );
       for (let now = 0; now < 3600000; now += 100) {
         const name = names[random.nextInteger(names.length)]!;
-        const batch = 1 + random.next();
-        const pause = random.next() < 0.05 ? 8 : 1;
+        const batchFactor = 1 + random.next();
+        const pauseFactor = random.next() < 0.05 ? 8 : 1;
         const draw = random.next();
         const outcome =
           draw < 0.1 ? 'refused' : draw < 0.2 ? 'cancelled' : 'completed';
         const changes = [
-          ...tracker.observe(seen(name, outcome, 10 * batch * pause), now),
+          ...tracker.observe(
+            observation(name, outcome, 10 * batchFactor * pauseFactor),
+            now,
+          ),
           ...tracker.tick(now),
         ];
         expect(changes).toEqual([]);
