--- a/src/features/forwarding/node/requestMetrics.ts
+++ b/src/features/forwarding/node/requestMetrics.ts
@@ -23,14 +23,14 @@
     });
     this.retries = new Counter({
       name: 'redwing_repeats_total',
-      help: 'Requests that were retried or moved, by cause.',
+      help: 'Requests that were sent once more or moved, by cause.',
       labelNames: ['cause'],
       registers,
     });
     this.first = createHistogram(
       registers,
       'redwing_first_milliseconds',
-      'Time to the first event of a stream or to a complete response.',
+      'Time to the first event of a stream or to a whole answer.',
       ['kind'],
     );
     this.pause = createHistogram(
@@ -42,7 +42,7 @@
     this.whole = createHistogram(
       registers,
       'redwing_whole_milliseconds',
-      'Time to the end of a response.',
+      'Time to the end of an answer.',
       ['kind'],
     );
   }
