--- a/src/features/instances/common/chooseAddresses.ts
+++ b/src/features/instances/common/chooseAddresses.ts
@@ -1,35 +1,33 @@
 import {rankByRendezvous} from '../../../base/common/rendezvous.js';
 import {InstanceRecord} from './instance.js';
 
-/** Chooses the addresses that a caller may use. */
+/** Minimum size of a group of instances given to a caller, so that one remains when another is lost. */
+const MINIMUM_INSTANCES = 2;
 
-/** Fewer instances than this in a caller's own data centre are not enough: the loss of one must leave another. */
-const LEAST_NEAR = 2;
-
-/** Who asks. */
-export interface AddressQuestion {
+/** Location of the caller; undefined where the query doesn't state it. */
+export interface AddressQuery {
   readonly dataCentre: string | undefined;
   readonly region: string | undefined;
 }
 
 /**
- * The instances of the caller's data centre, else of its region, else all; within the limit those
- * that rank first for the data centre, so that callers from one place share instances.
+ * Chooses the addresses that a caller may connect to: instances of its data centre, else of its region, else all.
+ * Above the limit, rendezvous hashing by data centre makes callers of one data centre share instances.
  */
 export function chooseAddresses(
-  question: AddressQuestion,
+  query: AddressQuery,
   serving: readonly InstanceRecord[],
   limit: number,
 ): readonly string[] {
-  const near = serving.filter(
-    ({dataCentre}) => dataCentre === question.dataCentre,
+  const inDataCentre = serving.filter(
+    ({dataCentre}) => dataCentre === query.dataCentre,
   );
-  const regional = serving.filter(({region}) => region === question.region);
-  const chosen = [near, regional, serving].find(
-    group => group.length >= Math.min(LEAST_NEAR, serving.length),
+  const inRegion = serving.filter(({region}) => region === query.region);
+  const chosen = [inDataCentre, inRegion, serving].find(
+    group => group.length >= Math.min(MINIMUM_INSTANCES, serving.length),
   );
   const ranked = rankByRendezvous(
-    question.dataCentre ?? '',
+    query.dataCentre ?? '',
     chosen ?? serving,
     ({name}) => name,
   );
--- a/src/features/instances/common/directoryProtocol.ts
+++ b/src/features/instances/common/directoryProtocol.ts
@@ -1,15 +1,15 @@
-import {AddressQuestion} from './chooseAddresses.js';
+import {AddressQuery} from './chooseAddresses.js';
 
-/** How callers and the platform ask about instances, as a port. */
+/** Port for the platform's format of readiness and address queries. */
 export abstract class DirectoryProtocol {
-  /** Path of the question whether this instance is ready. */
+  /** HTTP path of the readiness check. */
   abstract readonly readinessPath: string;
-  /** Path of the question where to connect. */
+  /** HTTP path of the address query. */
   abstract readonly addressesPath: string;
-  abstract readQuestion(query: URLSearchParams): AddressQuestion;
-  /** The JSON body of an answer. */
-  abstract writeAnswer(
+  abstract parseAddressQuery(query: URLSearchParams): AddressQuery;
+  /** Creates the JSON body of the response to an address query. */
+  abstract formatAddresses(
     addresses: readonly string[],
-    keepSeconds: number,
+    timeToLiveSeconds: number,
   ): unknown;
 }
--- a/src/features/instances/common/peerNews.ts
+++ b/src/features/instances/common/gossipMessage.ts
@@ -2,42 +2,42 @@
 
 import {SlownessReading} from '../../fleet/common/slowness.js';
 import {Upstream} from '../../fleet/common/upstream.js';
-import {InstanceNews} from './instance.js';
+import {InstanceHeartbeat} from './instance.js';
 
-/** What instances tell each other in one exchange. */
+/** Messages that instances exchange by gossip. */
 
-/** The load of the sender on one upstream. */
-export interface UpstreamLoadNews {
+/** Load that the sender puts on one upstream. */
+export interface UpstreamLoadReport {
   readonly upstream: string;
   readonly requests: number;
   readonly tokenLayers: number;
 }
 
-/** What a peer knows of the platform's list of upstreams. */
-export interface UpstreamListNews {
+/** Version of the platform's list of upstreams at the sender. */
+export interface UpstreamListState {
   readonly digest: string;
-  /** Time since it was read. */
+  /** Time since the list was read. */
   readonly ageMilliseconds: number;
-  /** The list itself, in an answer to a peer that knows another, older one. */
+  /** The entries, in a response to a peer whose list is a different, older one. */
   readonly upstreams?: readonly Upstream[];
 }
 
-/** One side of an exchange. */
-export interface PeerNews {
+/** Request or response of an exchange. */
+export interface GossipMessage {
   readonly from: string;
-  readonly instances: readonly InstanceNews[];
-  readonly loads: readonly UpstreamLoadNews[];
+  readonly instances: readonly InstanceHeartbeat[];
+  readonly loads: readonly UpstreamLoadReport[];
   readonly slow: readonly SlownessReading[];
-  /** Undefined before the list was first read. */
-  readonly list?: UpstreamListNews;
-  /** Whether the sender holds the lease for orders about layers. */
+  /** Undefined before the first read of the list. */
+  readonly list?: UpstreamListState;
+  /** Whether the sender holds the lease of the layer controller. */
   readonly holdsLease: boolean;
-  /** Upstreams that the sender holds to be lost. */
+  /** Identifiers of upstreams that the sender suspects to be lost. */
   readonly lost: readonly string[];
 }
 
-/** Entries of each list that are read; a longer one is cut off by its sender. */
-export const PEER_LIST_LIMIT = 4_096;
+/** Maximum entries of each list in a message. Senders truncate longer lists and leave out a longer list of upstreams. */
+export const MESSAGE_LIST_LIMIT = 4_096;
 
 const text = zod.string().max(200);
 
@@ -69,7 +69,7 @@
   slots: zod.number(),
   isLeaving: zod.boolean(),
   coldMilliseconds: zod.number(),
-  // JSON leaves out what is undefined.
+  // JSON omits properties that are undefined.
   acceleratorKind: text.optional().transform(kind => kind),
   layers: zod
     .object({from: zod.int(), to: zod.int()})
@@ -81,13 +81,13 @@
 const list = zod.object({
   digest: text,
   ageMilliseconds: zod.number().nonnegative(),
-  upstreams: zod.array(upstream).max(PEER_LIST_LIMIT).optional(),
+  upstreams: zod.array(upstream).max(MESSAGE_LIST_LIMIT).optional(),
 });
 
-/** Checks what a peer sent. */
-export const peerNewsSchema: zod.ZodType<PeerNews> = zod.object({
+/** Validates a message of a peer. */
+export const gossipMessageSchema: zod.ZodType<GossipMessage> = zod.object({
   from: text,
-  instances: zod.array(instance).max(PEER_LIST_LIMIT),
+  instances: zod.array(instance).max(MESSAGE_LIST_LIMIT),
   loads: zod
     .array(
       zod.object({
@@ -96,7 +96,7 @@
         tokenLayers: zod.number(),
       }),
     )
-    .max(PEER_LIST_LIMIT),
+    .max(MESSAGE_LIST_LIMIT),
   slow: zod
     .array(
       zod.object({
@@ -105,11 +105,11 @@
         ageMilliseconds: zod.number().nonnegative(),
       }),
     )
-    .max(PEER_LIST_LIMIT),
+    .max(MESSAGE_LIST_LIMIT),
   list: list.optional(),
   holdsLease: zod.boolean(),
-  lost: zod.array(text).max(PEER_LIST_LIMIT),
+  lost: zod.array(text).max(MESSAGE_LIST_LIMIT),
 });
 
-/** Checks a record from the list of instances. */
+/** Validates a record of the instance registry. */
 export const instanceRecordSchema = record;
--- a/src/features/instances/common/instance.ts
+++ b/src/features/instances/common/instance.ts
@@ -1,25 +1,25 @@
-/** The instances of the router, as they tell each other. */
+/** Data about router instances that they exchange with each other. */
 
-/** What an instance can do for callers. */
+/** Whether an instance accepts requests of callers. */
 export type InstanceState = 'serving' | 'unready' | 'stopping';
 
-/** One run of the router on an instance. */
+/** Identity and addresses of one run of the router on an instance. */
 export interface InstanceRecord {
   readonly name: string;
-  /** Names one run of the program; a later run of the same instance has a later start. */
+  /** Wall clock time of the start in milliseconds; identifies the run among those of the instance. */
   readonly startedAt: number;
   readonly dataCentre: string;
   readonly region: string;
-  /** Where callers connect, `IP:port`. */
+  /** Address for callers, `IP:port`. */
   readonly callerAddress: string;
-  /** Where peers connect, `IP:port`. */
+  /** Address for peers, `IP:port`. */
   readonly peerAddress: string;
 }
 
-/** What is told about an instance. */
-export interface InstanceNews {
+/** State of an instance, as spread by gossip. */
+export interface InstanceHeartbeat {
   readonly record: InstanceRecord;
   readonly state: InstanceState;
-  /** Grows while the instance runs. */
+  /** Heartbeat counter; increases while the instance runs. */
   readonly beat: number;
 }
--- a/src/features/instances/common/instanceRegistry.ts
+++ b/src/features/instances/common/instanceRegistry.ts
@@ -2,47 +2,50 @@
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 import {TableService} from '../../../infrastructure/table/common/tableService.js';
 import {InstanceRecord} from './instance.js';
-import {instanceRecordSchema} from './peerNews.js';
+import {instanceRecordSchema} from './gossipMessage.js';
 
-/** The instances' own rows in the table: how those that have just started find each other. */
+const KEY_PREFIX = 'instances/';
+const INSTANCE_LIMIT = 500;
 
-const PREFIX = 'instances/';
-const LIST_LIMIT = 500;
-
-/** Reads and writes the rows. */
+/** Registers instances as rows of the table, through which a newly started instance discovers its peers. */
 export class InstanceRegistry {
   constructor(
     private readonly table: TableService,
     private readonly logger: Logger,
   ) {}
 
-  /** Writes an instance's row in place of an earlier one; answers whether that is sure. */
+  /** Writes or overwrites the row of an instance; resolves with whether the write is confirmed. */
   async announce(
     record: InstanceRecord,
     token: CancellationToken,
   ): Promise<boolean> {
     const value = JSON.stringify(record);
-    const key = `${PREFIX}${record.name}`;
+    const key = `${KEY_PREFIX}${record.name}`;
     return this.write(key, value, token);
   }
 
-  /** Removes an instance's row. */
+  /** Deletes the row of an instance; resolves with whether the deletion is confirmed. */
   withdraw(name: string, token: CancellationToken): Promise<boolean> {
-    return this.write(`${PREFIX}${name}`, undefined, token);
+    return this.write(`${KEY_PREFIX}${name}`, undefined, token);
   }
 
-  /** All instances that have a row; undefined when the table can't be read. */
+  /** Reads all registered instances; resolves with undefined when the table can't be read. */
   async list(
     token: CancellationToken,
   ): Promise<readonly InstanceRecord[] | undefined> {
-    const rows = await this.table.scan(PREFIX, undefined, LIST_LIMIT, token);
+    const rows = await this.table.scan(
+      KEY_PREFIX,
+      undefined,
+      INSTANCE_LIMIT,
+      token,
+    );
     if (!rows.ok) {
-      this.logger.warn('instances not listed', {...rows.error});
+      this.logger.warn('could not read instance rows', {...rows.error});
       return undefined;
     }
     const records: InstanceRecord[] = [];
     for (const {key, value} of rows.value) {
-      const parsed = instanceRecordSchema.safeParse(parse(value));
+      const parsed = instanceRecordSchema.safeParse(parseJson(value));
       if (parsed.success) {
         records.push(parsed.data);
       } else {
@@ -68,17 +71,20 @@
       token,
     );
     if (!written.ok) {
-      this.logger.warn('instance row not written', {key, ...written.error});
+      this.logger.warn('instance row not confirmed as written', {
+        key,
+        ...written.error,
+      });
     }
     return written.ok;
   }
 }
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
-    // The schema then reports the row as malformed.
+    // The schema rejects undefined, so the row is reported as malformed.
     return undefined;
   }
 }
--- a/src/features/instances/common/instanceTable.ts
+++ b/src/features/instances/common/instanceTable.ts
@@ -1,35 +1,35 @@
 import {Clock} from '../../../base/common/clock.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
-import {listAgeLimit, readerFor} from './listReader.js';
-import {InstanceNews, InstanceRecord, InstanceState} from './instance.js';
+import {listAgeLimitFor, selectListReader} from './upstreamListReader.js';
+import {InstanceHeartbeat, InstanceRecord, InstanceState} from './instance.js';
 
 /**
- * An instance that was not heard of for this long is not named to callers: news goes round in two or
- * three exchanges of 400 ms, and one may be lost.
+ * Time without a new heartbeat after which an instance is no longer listed for callers. A heartbeat reaches
+ * all instances in two or three gossip rounds of 400 ms, and one exchange may be lost.
  */
-const SILENT_MILLISECONDS = 1_600;
+const HEARTBEAT_TIMEOUT_MILLISECONDS = 1_600;
 
-/** An instance that was not heard of for this long is forgotten. */
-const FORGOTTEN_MILLISECONDS = 30_000;
+/** Time without a new heartbeat after which the entry of an instance is removed. */
+const RETENTION_MILLISECONDS = 30_000;
 
-interface Known {
-  readonly news: InstanceNews;
-  /** Monotonic milliseconds at which the beat grew. */
-  readonly heardAt: number;
+interface PeerEntry {
+  readonly news: InstanceHeartbeat;
+  /** Monotonic milliseconds at which the last new heartbeat was received. */
+  readonly heartbeatAt: number;
   readonly isUnreachable: boolean;
 }
 
-/** Which run of a peer answered, and when it was asked. */
-interface PeerAnswer {
+/** The run of a peer that sent a response, and the monotonic time of the request. */
+interface PeerResponse {
   readonly startedAt: number;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
-/** Which instances there are and what each can do, from what they tell each other. */
+/** Membership table: the known instances and their states, as learned by gossip. */
 export class InstanceTable {
-  private readonly others = new Map<string, Known>();
-  /** The last answer of each peer. */
-  private readonly answers = new Map<string, PeerAnswer>();
+  private readonly peerEntries = new Map<string, PeerEntry>();
+  /** Last response of each peer. */
+  private readonly lastResponses = new Map<string, PeerResponse>();
   private beat = 0;
   private ownState: InstanceState = 'unready';
 
@@ -39,8 +39,8 @@
     private readonly own: InstanceRecord,
   ) {}
 
-  /** What this instance tells of itself; each call is a new beat. */
-  nextNews(): InstanceNews {
+  /** Creates a heartbeat of this instance; each call increments its counter. */
+  createHeartbeat(): InstanceHeartbeat {
     this.beat++;
     return {record: this.own, state: this.ownState, beat: this.beat};
   }
@@ -56,138 +56,152 @@
     }
   }
 
-  /** Takes news that a peer passed on; older news changes nothing. */
-  hear(news: InstanceNews): void {
-    const {name, startedAt} = news.record;
+  /** Applies a heartbeat that a peer sent or relayed, unless a newer one is known. */
+  applyHeartbeat(heartbeat: InstanceHeartbeat): void {
+    const {name, startedAt} = heartbeat.record;
     if (name === this.own.name) {
       return;
     }
-    const known = this.others.get(name);
-    if (known !== undefined && !isNewer(news, known.news)) {
+    const entry = this.peerEntries.get(name);
+    if (entry !== undefined && !isNewer(heartbeat, entry.news)) {
       return;
     }
     if (
-      known?.news.state !== news.state ||
-      known?.news.record.startedAt !== startedAt
+      entry?.news.state !== heartbeat.state ||
+      entry?.news.record.startedAt !== startedAt
     ) {
       this.logger.decision('peerChanged', {
         peer: name,
-        before: known?.news.state,
-        state: news.state,
-        address: news.record.callerAddress,
+        before: entry?.news.state,
+        state: heartbeat.state,
+        address: heartbeat.record.callerAddress,
       });
     }
-    const heardAt = this.clock.monotonicMilliseconds();
-    this.others.set(name, {news, heardAt, isUnreachable: false});
+    const heartbeatAt = this.clock.monotonicMilliseconds();
+    this.peerEntries.set(name, {
+      news: heartbeat,
+      heartbeatAt,
+      isUnreachable: false,
+    });
   }
 
-  /** Takes an instance from a list that says nothing of its state. */
-  learn(record: InstanceRecord): void {
-    const known = this.others.get(record.name);
+  /** Adds an instance from the registry, which doesn't hold its state, unless this run or a later one is known. */
+  addRecord(record: InstanceRecord): void {
+    const entry = this.peerEntries.get(record.name);
     if (
       record.name !== this.own.name &&
-      (known === undefined || known.news.record.startedAt < record.startedAt)
+      (entry === undefined || entry.news.record.startedAt < record.startedAt)
     ) {
-      const heardAt = -Infinity;
-      const news: InstanceNews = {record, state: 'unready', beat: 0};
-      this.others.set(record.name, {news, heardAt, isUnreachable: false});
+      const heartbeatAt = -Infinity;
+      const heartbeat: InstanceHeartbeat = {record, state: 'unready', beat: 0};
+      this.peerEntries.set(record.name, {
+        news: heartbeat,
+        heartbeatAt,
+        isUnreachable: false,
+      });
     }
   }
 
-  /** A peer could not be reached: it is not named until it is heard of again. */
-  noteUnreachable(name: string): void {
-    const known = this.others.get(name);
-    if (known !== undefined && !known.isUnreachable) {
-      this.others.set(name, {...known, isUnreachable: true});
+  /** Marks a peer as unreachable: it isn't listed for callers until its next heartbeat. */
+  markUnreachable(name: string): void {
+    const entry = this.peerEntries.get(name);
+    if (entry !== undefined && !entry.isUnreachable) {
+      this.peerEntries.set(name, {...entry, isUnreachable: true});
       this.logger.decision('peerUnreachable', {peer: name});
     }
   }
 
-  /** A peer answered a question that was sent at a monotonic time: this run of it was alive then. */
-  noteAnswer({name, startedAt}: InstanceRecord, askedAt: number): void {
-    this.answers.set(name, {startedAt, askedAt});
+  /** Records that this run of a peer responded to a request that was sent at a monotonic time, and so was alive then. */
+  recordResponse({name, startedAt}: InstanceRecord, requestedAt: number): void {
+    this.lastResponses.set(name, {startedAt, requestedAt});
   }
 
   /**
-   * Whether a run of an instance that was active up to a monotonic time has surely ended: there is one
-   * process on an instance, and another run answered a later question. Starts are only compared for
-   * being equal, since wall clocks jump.
+   * Whether a run of an instance that was last active at a monotonic time is known to have ended. An instance
+   * runs one process at a time, so the run has ended if another one responded to a request sent later. Start
+   * times are only tested for equality, since wall clocks jump.
    */
-  hasEnded(name: string, startedAt: number, activeUntil: number): boolean {
+  hasRunEnded(name: string, startedAt: number, activeUntil: number): boolean {
     if (name === this.own.name) {
       return startedAt !== this.own.startedAt;
     }
-    const answer = this.answers.get(name);
+    const response = this.lastResponses.get(name);
     return (
-      answer !== undefined &&
-      answer.startedAt !== startedAt &&
-      answer.askedAt > activeUntil
+      response !== undefined &&
+      response.startedAt !== startedAt &&
+      response.requestedAt > activeUntil
     );
   }
 
-  /** Peers to exchange news with, stopping and silent ones included until they are forgotten. */
+  /** Peers to exchange messages with, including stopping and silent ones until their entries are removed. */
   get peers(): readonly InstanceRecord[] {
-    this.forgetOld();
-    return [...this.others.values()].map(({news}) => news.record);
+    this.removeExpired();
+    return [...this.peerEntries.values()].map(({news}) => news.record);
   }
 
-  /** News to pass on: this instance's and that of all that were heard of lately. */
-  get allNews(): readonly InstanceNews[] {
-    const others = [...this.others.values()].filter(known =>
-      this.isHeard(known),
+  /** Heartbeats to send: a new one of this instance and the last ones of all live peers. */
+  get liveHeartbeats(): readonly InstanceHeartbeat[] {
+    const peers = [...this.peerEntries.values()].filter(entry =>
+      this.isLive(entry),
     );
-    return [this.nextNews(), ...others.map(({news}) => news)];
+    return [this.createHeartbeat(), ...peers.map(({news}) => news)];
   }
 
-  /** Instances that serve callers now, this one included when it does. */
+  /** Instances that currently serve callers, including this one when it does. */
   get serving(): readonly InstanceRecord[] {
-    const others = [...this.others.values()]
+    const peers = [...this.peerEntries.values()]
       .filter(
-        known =>
-          known.news.state === 'serving' &&
-          !known.isUnreachable &&
-          this.isHeard(known),
+        entry =>
+          entry.news.state === 'serving' &&
+          !entry.isUnreachable &&
+          this.isLive(entry),
       )
       .map(({news}) => news.record);
-    return this.ownState === 'serving' ? [this.own, ...others] : others;
+    return this.ownState === 'serving' ? [this.own, ...peers] : peers;
   }
 
-  /** The instance that reads the list of upstreams for this one; undefined while none serves. */
-  get reader(): string | undefined {
-    return readerFor(
+  /** Name of the instance that reads the list of upstreams for this one; undefined when none of its group serves. */
+  get listReader(): string | undefined {
+    return selectListReader(
       this.own.name,
       this.serving.map(({name}) => name),
     );
   }
 
-  /** Milliseconds for which this instance may go without reading the list of upstreams. */
-  get listAgeLimit(): number {
-    return listAgeLimit(this.own.name, this.reader);
+  /** Age in milliseconds from which this instance reads the list of upstreams itself. */
+  get listAgeLimitMilliseconds(): number {
+    return listAgeLimitFor(this.own.name, this.listReader);
   }
 
-  /** Instances that share bounds over all instances: this one and each known other. */
-  get size(): number {
-    return this.others.size + 1;
+  /** Number of known instances including this one, by which limits for all instances together are divided. */
+  get instanceCount(): number {
+    return this.peerEntries.size + 1;
   }
 
-  private isHeard({heardAt}: Known): boolean {
-    return this.clock.monotonicMilliseconds() - heardAt < SILENT_MILLISECONDS;
+  private isLive({heartbeatAt}: PeerEntry): boolean {
+    return (
+      this.clock.monotonicMilliseconds() - heartbeatAt <
+      HEARTBEAT_TIMEOUT_MILLISECONDS
+    );
   }
 
-  private forgetOld(): void {
+  private removeExpired(): void {
     const now = this.clock.monotonicMilliseconds();
-    for (const [name, {heardAt}] of this.others) {
-      if (heardAt > 0 && now - heardAt > FORGOTTEN_MILLISECONDS) {
-        this.others.delete(name);
-        this.answers.delete(name);
+    for (const [name, {heartbeatAt}] of this.peerEntries) {
+      if (heartbeatAt > 0 && now - heartbeatAt > RETENTION_MILLISECONDS) {
+        this.peerEntries.delete(name);
+        this.lastResponses.delete(name);
       }
     }
   }
 }
 
-function isNewer(news: InstanceNews, known: InstanceNews): boolean {
-  const {startedAt} = news.record;
+function isNewer(
+  heartbeat: InstanceHeartbeat,
+  known: InstanceHeartbeat,
+): boolean {
+  const {startedAt} = heartbeat.record;
   return startedAt === known.record.startedAt
-    ? news.beat > known.beat
+    ? heartbeat.beat > known.beat
     : startedAt > known.record.startedAt;
 }
--- /dev/null
+++ b/src/features/instances/node/peerGossip.ts
@@ -0,0 +1,253 @@
+import {CancellationToken} from '../../../base/common/cancellation.js';
+import {Clock} from '../../../base/common/clock.js';
+import {DisposableOwner} from '../../../base/common/lifecycle.js';
+import {momentOf} from '../../../base/common/moment.js';
+import {RandomSource} from '../../../base/common/randomSource.js';
+import {Logger} from '../../../infrastructure/logging/common/logger.js';
+import {RpcConnections} from '../../../infrastructure/rpc/node/rpc.js';
+import {Slowness} from '../../fleet/common/slowness.js';
+import {Suspicions} from '../../fleet/common/suspicions.js';
+import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
+import {UpstreamLoad} from '../../fleet/common/upstreamLoad.js';
+import {UpstreamTrials} from '../../forwarding/node/upstreamTrials.js';
+import {Mechanisms} from '../../mechanisms/common/mechanisms.js';
+import {RepeatingTask} from '../../membership/common/repeatingTask.js';
+import {TableLease} from '../../placement/common/tableLease.js';
+import {InstanceRecord} from '../common/instance.js';
+import {InstanceRegistry} from '../common/instanceRegistry.js';
+import {InstanceTable} from '../common/instanceTable.js';
+import {UpstreamListExchange} from '../common/upstreamListExchange.js';
+import {
+  GossipMessage,
+  gossipMessageSchema,
+  MESSAGE_LIST_LIMIT,
+} from '../common/gossipMessage.js';
+import {GossipRouter} from './gossipRouter.js';
+
+/** Period of gossip rounds. */
+const ROUND_PERIOD_MILLISECONDS = 400;
+
+/** Peers contacted in one round. With more instances, a message takes more rounds to reach all of them. */
+const PEERS_PER_ROUND = 4;
+
+/** Timeout of one exchange; the latency between data centres is about a millisecond. */
+const EXCHANGE_TIMEOUT_MILLISECONDS = 300;
+
+/** Rounds between two reads of the instance registry; gossip usually announces new instances sooner. */
+const ROUNDS_PER_REGISTRY_READ = 40;
+
+/** Time without a message of the lease holder after which its row is read again; it contacts each peer about twice a second. */
+const LEASE_HOLDER_TIMEOUT_MILLISECONDS = 1_000;
+
+/** State that is sent to peers or updated from their messages. */
+export interface GossipDependencies {
+  readonly instances: InstanceTable;
+  readonly registry: InstanceRegistry;
+  readonly directory: UpstreamDirectory;
+  readonly load: UpstreamLoad;
+  readonly slowness: Slowness;
+  readonly suspicions: Suspicions;
+  readonly trials: UpstreamTrials;
+  readonly lease: TableLease;
+  readonly mechanisms: Mechanisms;
+}
+
+/** Exchanges state with peers by gossip. */
+export class PeerGossip extends DisposableOwner {
+  private readonly task: RepeatingTask;
+  private readonly connections: RpcConnections;
+  private readonly listExchange: UpstreamListExchange;
+  private round = 0;
+  private holderReportedAt = -Infinity;
+  /** Name of the peer that last reported that it holds the lease. */
+  private holder = '';
+  private isRegistered = false;
+
+  constructor(
+    private readonly clock: Clock,
+    private readonly random: RandomSource,
+    private readonly logger: Logger,
+    private readonly own: InstanceRecord,
+    peerKey: string,
+    private readonly dependencies: GossipDependencies,
+  ) {
+    super();
+    this.listExchange = new UpstreamListExchange(dependencies.directory);
+    this.connections = this.register(new RpcConnections(peerKey));
+    this.task = this.register(
+      new RepeatingTask(
+        clock,
+        random,
+        () => ROUND_PERIOD_MILLISECONDS,
+        token => this.runRound(token),
+      ),
+    );
+    this.register(
+      dependencies.suspicions.onDidSuspect(({reason}) => {
+        if (reason !== 'toldByPeer') {
+          this.task.runNow();
+        }
+      }),
+    );
+  }
+
+  /** Starts the gossip rounds; the first one runs at once. */
+  start(): void {
+    this.task.runNow();
+  }
+
+  /** Exchanges messages with all peers at once, for changes that must not wait for the next rounds. */
+  async exchangeWithAll(token: CancellationToken): Promise<void> {
+    const peers = this.dependencies.instances.peers;
+    await Promise.all(peers.map(peer => this.exchangeWith(peer, token)));
+  }
+
+  /** Whether a peer has recently reported that it holds the lease of the layer controller. */
+  get isLeaseHolderLive(): boolean {
+    const now = this.clock.monotonicMilliseconds();
+    return now - this.holderReportedAt < LEASE_HOLDER_TIMEOUT_MILLISECONDS;
+  }
+
+  /** Processes the message of a peer and returns the response. */
+  answer(request: GossipMessage): GossipMessage {
+    this.applyMessage(request);
+    return {
+      ...this.composeMessage(),
+      list: this.listExchange.createResponse(request.list),
+    };
+  }
+
+  private async runRound(token: CancellationToken): Promise<void> {
+    const isRegistryReadDue = this.round % ROUNDS_PER_REGISTRY_READ === 0;
+    this.round++;
+    if (isRegistryReadDue || !this.isRegistered) {
+      await this.list(token);
+    }
+    const peers = this.choosePeers(this.dependencies.instances.peers);
+    await Promise.all(peers.map(peer => this.exchangeWith(peer, token)));
+  }
+
+  private async list(token: CancellationToken): Promise<void> {
+    const {registry, instances} = this.dependencies;
+    this.isRegistered ||= await registry.announce(this.own, token);
+    const records = await registry.list(token);
+    records?.forEach(record => instances.addRecord(record));
+  }
+
+  private choosePeers(
+    peers: readonly InstanceRecord[],
+  ): readonly InstanceRecord[] {
+    // The reader of this instance's list of upstreams is contacted in every round.
+    const {listReader} = this.dependencies.instances;
+    const candidates = peers.filter(({name}) => name !== listReader);
+    const chosenPeers = peers.filter(({name}) => name === listReader);
+    while (candidates.length > 0 && chosenPeers.length < PEERS_PER_ROUND) {
+      chosenPeers.push(
+        ...candidates.splice(this.random.nextInteger(candidates.length), 1),
+      );
+    }
+    return chosenPeers;
+  }
+
+  private async exchangeWith(
+    peer: InstanceRecord,
+    token: CancellationToken,
+  ): Promise<void> {
+    const abortController = new AbortController();
+    const timer = this.clock.setTimer(EXCHANGE_TIMEOUT_MILLISECONDS, () =>
+      abortController.abort(),
+    );
+    const cancellationListener = token.onDidCancel(() =>
+      abortController.abort(),
+    );
+    const requestedAt = momentOf(this.clock);
+    try {
+      const client = this.connections.client<GossipRouter>(peer.peerAddress);
+      const body = await client.news.exchange.mutate(this.composeMessage(), {
+        signal: abortController.signal,
+      });
+      const response = gossipMessageSchema.parse(body);
+      this.applyMessage(response);
+      this.recordRun(response, requestedAt.monotonic);
+      this.listExchange.applyResponse(response.list, requestedAt);
+    } catch {
+      // `InstanceTable` logs the first failure only.
+      this.dependencies.instances.markUnreachable(peer.name);
+    } finally {
+      timer.dispose();
+      cancellationListener.dispose();
+    }
+  }
+
+  /** Tracks the lease holder. When it reports that its lease was not renewed, the row is read again at once. */
+  private trackLeaseHolder({from, holdsLease}: GossipMessage): void {
+    if (holdsLease) {
+      this.holder = from;
+      this.holderReportedAt = this.clock.monotonicMilliseconds();
+    } else if (from === this.holder) {
+      this.holderReportedAt = -Infinity;
+    }
+  }
+
+  private recordRun(
+    {from, instances}: GossipMessage,
+    requestedAt: number,
+  ): void {
+    const senderHeartbeat = instances.find(({record}) => record.name === from);
+    if (senderHeartbeat !== undefined) {
+      this.dependencies.instances.recordResponse(
+        senderHeartbeat.record,
+        requestedAt,
+      );
+    }
+  }
+
+  private composeMessage(): GossipMessage {
+    const {instances, load, slowness, suspicions} = this.dependencies;
+    const loads = [...load.ownFigures].map(([upstream, figure]) => ({
+      upstream,
+      requests: figure.requests,
+      tokenLayers: Math.round(figure.tokenLayers),
+    }));
+    return {
+      from: this.own.name,
+      instances: instances.liveHeartbeats.slice(0, MESSAGE_LIST_LIMIT),
+      loads: loads.slice(0, MESSAGE_LIST_LIMIT),
+      list: this.listExchange.own,
+      slow: slowness.own.slice(0, MESSAGE_LIST_LIMIT),
+      holdsLease: this.dependencies.lease.isRenewed,
+      lost: suspicions.all.map(({upstream}) => upstream),
+    };
+  }
+
+  private applyMessage(message: GossipMessage): void {
+    const {instances, load, slowness} = this.dependencies;
+    this.trackLeaseHolder(message);
+    message.instances.forEach(heartbeat => instances.applyHeartbeat(heartbeat));
+    const figures = new Map(
+      message.loads.map(({upstream, ...figure}) => [upstream, figure]),
+    );
+    if (this.dependencies.mechanisms.peerLoads) {
+      load.setPeer(message.from, this.clock.monotonicMilliseconds(), figures);
+    }
+    message.slow.forEach(reading => slowness.hear(reading));
+    message.lost.forEach(upstream =>
+      this.verifySuspicion(upstream, message.from),
+    );
+  }
+
+  /** Checks a peer's suspicion by a trial call, since the peer itself may be partitioned from the upstream. */
+  private verifySuspicion(id: string, peer: string): void {
+    const {directory, suspicions, trials} = this.dependencies;
+    const upstream = directory.find(id);
+    const isKnown = suspicions.has(id) || trials.hasJustAnswered(id);
+    if (upstream !== undefined && !isKnown) {
+      void trials.try(upstream, 'toldByPeer', {peer});
+    }
+  }
+
+  override dispose(): void {
+    this.logger.info('gossip stopped');
+    super.dispose();
+  }
+}
--- a/src/features/instances/test/instances.test.ts
+++ b/src/features/instances/test/instances.test.ts
@@ -4,13 +4,13 @@
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {chooseAddresses} from '../common/chooseAddresses.js';
 import {
-  InstanceNews,
+  InstanceHeartbeat,
   InstanceRecord,
   InstanceState,
 } from '../common/instance.js';
 import {InstanceTable} from '../common/instanceTable.js';
 
-function record(
+function makeRecord(
   name: string,
   dataCentre = 'north',
   startedAt = 1,
@@ -25,117 +25,137 @@
   };
 }
 
-function news(
+function makeHeartbeat(
   name: string,
   beat: number,
   state: InstanceState = 'serving',
   startedAt = 1,
-): InstanceNews {
-  return {record: record(name, 'north', startedAt), state, beat};
+): InstanceHeartbeat {
+  return {record: makeRecord(name, 'north', startedAt), state, beat};
 }
 
 function makeTable() {
   const clock = new FakeClock();
   clock.advance(10_000);
-  const table = new InstanceTable(clock, new SilentLogger(), record('own'));
+  const table = new InstanceTable(clock, new SilentLogger(), makeRecord('own'));
   return {clock, table};
 }
 
-describe('a run of an instance', () => {
+describe('hasRunEnded', () => {
   const cases = [
     {name: 'own', start: 1, ended: false},
     {name: 'own', start: 7, ended: true},
     {name: 'peer', start: 1, ended: false},
-    {name: 'peer', answered: {start: 1, askedAt: 20}, start: 1, ended: false},
-    {name: 'peer', answered: {start: 2, askedAt: 20}, start: 1, ended: true},
-    // The wall clock was ahead when the run that ended had begun.
-    {name: 'peer', answered: {start: 2, askedAt: 20}, start: 9, ended: true},
-    // The question was older than the sign of life.
-    {name: 'peer', answered: {start: 2, askedAt: 5}, start: 3, ended: false},
+    {
+      name: 'peer',
+      response: {start: 1, requestedAt: 20},
+      start: 1,
+      ended: false,
+    },
+    {
+      name: 'peer',
+      response: {start: 2, requestedAt: 20},
+      start: 1,
+      ended: true,
+    },
+    // The wall clock was ahead at the start of the ended run.
+    {
+      name: 'peer',
+      response: {start: 2, requestedAt: 20},
+      start: 9,
+      ended: true,
+    },
+    // The request was sent before the run was last active.
+    {
+      name: 'peer',
+      response: {start: 2, requestedAt: 5},
+      start: 3,
+      ended: false,
+    },
   ];
 
   it.each(cases)(
-    '$name of $start after $answered has ended: $ended',
-    ({name, answered, start, ended}) => {
+    'is $ended for run $start of $name after response $response',
+    ({name, response, start, ended}) => {
       const {table} = makeTable();
-      if (answered !== undefined) {
-        const run = record(name, 'north', answered.start);
-        table.noteAnswer(run, answered.askedAt);
+      if (response !== undefined) {
+        const run = makeRecord(name, 'north', response.start);
+        table.recordResponse(run, response.requestedAt);
       }
-      expect(table.hasEnded(name, start, 10)).toBe(ended);
+      expect(table.hasRunEnded(name, start, 10)).toBe(ended);
     },
   );
 });
 
-describe('instances that serve', () => {
+describe('the serving instances', () => {
   const cases: ReadonlyArray<{
     name: string;
     act: (table: InstanceTable, clock: FakeClock) => void;
     serving: readonly string[];
   }> = [
     {
-      name: 'are those that say so',
-      act: table => table.hear(news('a', 1)),
+      name: 'include a peer whose state is serving',
+      act: table => table.applyHeartbeat(makeHeartbeat('a', 1)),
       serving: ['a'],
     },
     {
-      name: 'hold this one once it serves',
+      name: 'include this instance once it serves',
       act: table => {
         table.state = 'serving';
       },
       serving: ['own'],
     },
     {
-      name: 'leave out one that stops',
+      name: 'exclude a peer that is stopping',
       act: table => {
-        table.hear(news('a', 1));
-        table.hear(news('a', 2, 'stopping'));
+        table.applyHeartbeat(makeHeartbeat('a', 1));
+        table.applyHeartbeat(makeHeartbeat('a', 2, 'stopping'));
       },
       serving: [],
     },
     {
-      name: 'take no older news',
+      name: 'are not changed by an older heartbeat',
       act: table => {
-        table.hear(news('a', 2, 'stopping'));
-        table.hear(news('a', 1));
+        table.applyHeartbeat(makeHeartbeat('a', 2, 'stopping'));
+        table.applyHeartbeat(makeHeartbeat('a', 1));
       },
       serving: [],
     },
     {
-      name: 'take a new start for newer than any beat',
+      name: 'include a restarted peer whose heartbeat counter is lower',
       act: table => {
-        table.hear(news('a', 99, 'stopping'));
-        table.hear(news('a', 1, 'serving', 2));
+        table.applyHeartbeat(makeHeartbeat('a', 99, 'stopping'));
+        table.applyHeartbeat(makeHeartbeat('a', 1, 'serving', 2));
       },
       serving: ['a'],
     },
     {
-      name: 'leave out one that was not heard of',
+      name: 'exclude a peer whose heartbeats have stopped',
       act: (table, clock) => {
-        table.hear(news('a', 1));
+        table.applyHeartbeat(makeHeartbeat('a', 1));
         clock.advance(1700);
       },
       serving: [],
     },
     {
-      name: 'leave out one that could not be reached, until it is heard of again',
+      name: 'exclude an unreachable peer until its next heartbeat',
       act: table => {
-        table.hear(news('a', 1));
-        table.hear(news('b', 1));
-        table.noteUnreachable('a');
-        table.noteUnreachable('b');
-        table.hear(news('b', 2));
+        table.applyHeartbeat(makeHeartbeat('a', 1));
+        table.applyHeartbeat(makeHeartbeat('b', 1));
+        table.markUnreachable('a');
+        table.markUnreachable('b');
+        table.applyHeartbeat(makeHeartbeat('b', 2));
       },
       serving: ['b'],
     },
     {
-      name: 'are not told by a list alone',
-      act: table => table.learn(record('a')),
+      name: 'exclude a peer that is only known from the registry',
+      act: table => table.addRecord(makeRecord('a')),
       serving: [],
     },
     {
-      name: 'hold what others say of this one for nothing',
-      act: table => table.hear(news('own', 99)),
+      name: 'are not changed by heartbeats of this instance from others',
+      act: table => table.applyHeartbeat(makeHeartbeat('own', 99)),
       serving: [],
     },
   ];
@@ -147,8 +167,12 @@
   });
 });
 
-describe('addresses for a caller', () => {
-  const serving = [record('n1'), record('n2'), record('s1', 'south')];
+describe('the addresses for a caller', () => {
+  const serving = [
+    makeRecord('n1'),
+    makeRecord('n2'),
+    makeRecord('s1', 'south'),
+  ];
 
   it.each([
     {
@@ -175,16 +199,19 @@
       limit: 64,
       addresses: ['n1:1', 'n2:1', 's1:1'],
     },
-  ])('in $dataCentre are $addresses', ({limit, addresses, ...question}) => {
-    const chosen = chooseAddresses(question, serving, limit);
-    expect([...chosen].sort()).toEqual(addresses);
-  });
+  ])(
+    'in data centre $dataCentre are $addresses',
+    ({limit, addresses, ...query}) => {
+      const chosen = chooseAddresses(query, serving, limit);
+      expect([...chosen].sort()).toEqual(addresses);
+    },
+  );
 
-  it('keep within the limit, the same for all callers of a data centre', () => {
-    const many = [...Array(100).keys()].map(index => record(`i${index}`));
-    const question = {dataCentre: 'north', region: 'region'};
-    const chosen = chooseAddresses(question, many, 64);
+  it('are limited in number and equal for all callers of a data centre', () => {
+    const many = [...Array(100).keys()].map(index => makeRecord(`i${index}`));
+    const query = {dataCentre: 'north', region: 'region'};
+    const chosen = chooseAddresses(query, many, 64);
     expect(new Set(chosen).size).toBe(64);
-    expect(chooseAddresses(question, [...many].reverse(), 64)).toEqual(chosen);
+    expect(chooseAddresses(query, [...many].reverse(), 64)).toEqual(chosen);
   });
 });
--- a/src/features/traffic/common/chooseTarget.ts
+++ b/src/features/traffic/common/chooseTarget.ts
@@ -1,12 +1,15 @@
 import {Route} from './trafficConfiguration.js';
 
-/** Picks the service of a request by the weights of its route. `draw` lies in [0, 1). */
+/** Selects a service of the route at random, in proportion to the weights. `draw` is a random number in [0, 1). */
 export function chooseTarget(route: Route, draw: number): string | undefined {
-  const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-  let left = draw * total;
+  const totalWeight = route.targets.reduce(
+    (sum, target) => sum + target.weight,
+    0,
+  );
+  let remaining = draw * totalWeight;
   for (const target of route.targets) {
-    left -= target.weight;
-    if (left < 0) {
+    remaining -= target.weight;
+    if (remaining < 0) {
       return target.service;
     }
   }
--- a/src/features/traffic/common/configurationFollower.ts
+++ b/src/features/traffic/common/configurationFollower.ts
@@ -8,111 +8,112 @@
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 import {ConfigurationKeeper} from './configurationKeeper.js';
 import {
-  ConfigurationReading,
+  ConfigurationUpdate,
   ConfigurationSource,
-  SourceError,
+  ConfigurationSourceError,
 } from './configurationSource.js';
 
 /**
- * How long one call waits for a change at most: a connection that is dead without a sign shows only
- * when the answer is overdue. Longer calls would be cheaper.
+ * Longest time that one long poll waits for a change. A connection that was lost without a reset is only
+ * detected when the response is overdue, so longer polls, although cheaper, would detect it later.
  */
-const WAIT_LIMIT_MILLISECONDS = 2_000;
+const LONG_POLL_LIMIT_MILLISECONDS = 2_000;
 
 /**
- * Part of the time for which a confirmation counts that one call waits. Each answer confirms the
- * configuration as of its question, so two calls in a row must fit in.
+ * Longest wait of one long poll as a share of the confirmation limit. A response confirms the configuration
+ * as of the start of its request, so two consecutive polls must fit within the limit.
  */
-const WAIT_SHARE = 0.4;
+const LONG_POLL_SHARE = 0.4;
 
-/** Pause after a failed call, and the longest after many; a lost source is found again within it. */
-const RETRY_MILLISECONDS = 100;
+/** Linear back-off after failed calls: step and upper limit. The limit bounds the time to detect that the source is back. */
+const RETRY_STEP_MILLISECONDS = 100;
 const RETRY_LIMIT_MILLISECONDS = 400;
 
-/** Keeps the configuration in force the newest. */
+/** Keeps the active configuration up to date by long-polling its source. */
 export class ConfigurationFollower extends DisposableOwner {
   private readonly source = new CancellationSource();
   private position: number | undefined;
-  private failures = 0;
-  private hasReported = false;
+  private failureCount = 0;
+  private isFailureLogged = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
-    private readonly configurations: ConfigurationSource,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly configurationSource: ConfigurationSource,
+    private readonly activeConfiguration: ConfigurationKeeper,
   ) {
     super();
     this.register(toDisposable(() => this.source.cancel('stopped')));
   }
 
-  /** Follows until disposed. */
+  /** Resolves once the follower is disposed. */
   async run(): Promise<void> {
     const {token} = this.source;
     while (!token.isCancelled) {
-      const asOf = this.keeper.now();
-      const reading = await this.next(token);
+      const requestedAt = this.activeConfiguration.now();
+      const readResult = await this.readNext(token);
       if (token.isCancelled) {
         return;
       }
-      if (reading.ok) {
-        this.accept(reading.value);
-        this.keeper.confirm(asOf);
+      if (readResult.ok) {
+        this.applyUpdate(readResult.value);
+        this.activeConfiguration.confirm(requestedAt);
       } else {
-        this.onError(reading.error);
+        this.handleError(readResult.error);
         await this.pause();
       }
     }
   }
 
-  private get waitMilliseconds(): number {
-    const share = this.keeper.confirmationLimitMilliseconds * WAIT_SHARE;
-    return Math.min(WAIT_LIMIT_MILLISECONDS, Math.round(share));
+  private get longPollMilliseconds(): number {
+    const limit =
+      this.activeConfiguration.confirmationLimitMilliseconds * LONG_POLL_SHARE;
+    return Math.min(LONG_POLL_LIMIT_MILLISECONDS, Math.round(limit));
   }
 
-  private next(
+  private readNext(
     token: CancellationToken,
-  ): Promise<Result<ConfigurationReading, SourceError>> {
+  ): Promise<Result<ConfigurationUpdate, ConfigurationSourceError>> {
     return this.position === undefined
-      ? this.configurations.read(token)
-      : this.configurations.awaitChange(
+      ? this.configurationSource.read(token)
+      : this.configurationSource.awaitChange(
           this.position,
-          this.waitMilliseconds,
+          this.longPollMilliseconds,
           token,
         );
   }
 
-  private accept({configuration, position}: ConfigurationReading): void {
+  private applyUpdate({configuration, position}: ConfigurationUpdate): void {
     this.position = position;
-    this.failures = 0;
-    if (this.hasReported) {
-      this.hasReported = false;
-      this.logger.info('configuration source regained', {position});
+    this.failureCount = 0;
+    if (this.isFailureLogged) {
+      this.isFailureLogged = false;
+      this.logger.info('configuration updates resumed', {position});
     }
     if (configuration !== undefined) {
-      this.keeper.offer(configuration);
+      this.activeConfiguration.offer(configuration);
     }
   }
 
-  private onError(error: SourceError): void {
-    this.failures++;
+  private handleError(error: ConfigurationSourceError): void {
+    this.failureCount++;
     if (error.kind !== 'unavailable') {
       this.position = undefined;
     }
-    if (!this.hasReported || error.kind === 'malformed') {
-      this.hasReported = true;
-      const age = Math.round(this.keeper.age);
-      this.logger.warn('configuration source lost', {...error, age});
+    if (!this.isFailureLogged || error.kind === 'malformed') {
+      this.isFailureLogged = true;
+      const age = Math.round(this.activeConfiguration.age);
+      this.logger.warn('configuration update failed', {...error, age});
     }
   }
 
   private pause(): Promise<void> {
-    const wait = Math.min(
-      RETRY_MILLISECONDS * this.failures,
+    const delay = Math.min(
+      RETRY_STEP_MILLISECONDS * this.failureCount,
       RETRY_LIMIT_MILLISECONDS,
     );
     return new Promise(resolve => {
-      this.clock.setTimer(wait, resolve);
+      this.clock.setTimer(delay, resolve);
     });
   }
 }
--- a/src/features/traffic/common/configurationKeeper.ts
+++ b/src/features/traffic/common/configurationKeeper.ts
@@ -6,38 +6,38 @@
 import {RouteTable} from './routeTable.js';
 import {TrafficConfiguration} from './trafficConfiguration.js';
 
-/** Holds the configuration in force. Versions only grow; how long ago it was confirmed is known. */
+/** Holds the active configuration, whose version never decreases, and the time of its last confirmation. */
 export class ConfigurationKeeper extends DisposableOwner {
-  private readonly changed = this.register(new Emitter<RouteTable>());
-  private readonly confirmedAgain = this.register(new Emitter<void>());
+  private readonly changeEmitter = this.register(new Emitter<RouteTable>());
+  private readonly confirmationEmitter = this.register(new Emitter<void>());
   private current: RouteTable | undefined;
   private confirmed: Moment | undefined;
 
-  /** Fires when a newer version is in force. */
-  readonly onDidChange = this.changed.event;
-  /** Fires at each confirmation. */
-  readonly onDidConfirm = this.confirmedAgain.event;
+  /** Fires when a newer version becomes active. */
+  readonly onDidChange = this.changeEmitter.event;
+  /** Fires when a confirmation extends the validity of the configuration. */
+  readonly onDidConfirm = this.confirmationEmitter.event;
 
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
-    /** After this time without confirmation keys may have been revoked unnoticed. */
+    /** Age from which the configuration is too old to rely on, since keys may have been revoked since. */
     readonly confirmationLimitMilliseconds: number,
   ) {
     super();
   }
 
-  /** The configuration in force; undefined until the first was read. */
+  /** Routes and accounts of the active configuration; undefined until the first one is read. */
   get table(): RouteTable | undefined {
     return this.current;
   }
 
-  /** Now, to be taken before a read that may confirm the configuration. */
+  /** The current time, to be taken before a read and passed to `confirm` after it. */
   now(): Moment {
     return momentOf(this.clock);
   }
 
-  /** Takes a configuration; an older one changes nothing. */
+  /** Activates a configuration unless its version is the active one or older. */
   offer(configuration: TrafficConfiguration): void {
     const before = this.current?.configuration.version;
     if (before !== undefined && configuration.version <= before) {
@@ -51,18 +51,18 @@
       services: configuration.services.length,
       accounts: configuration.accounts?.length,
     });
-    this.changed.fire(this.current);
+    this.changeEmitter.fire(this.current);
   }
 
-  /** The configuration in force was the newest at some moment after `asOf`. */
+  /** Records that the active configuration was the newest one at some time after `asOf`. */
   confirm(asOf: Moment): void {
     if (asOf.monotonic > (this.confirmed?.monotonic ?? -Infinity)) {
       this.confirmed = asOf;
-      this.confirmedAgain.fire();
+      this.confirmationEmitter.fire();
     }
   }
 
-  /** Milliseconds since the configuration was surely the newest; Infinity when not known. */
+  /** Upper bound of the milliseconds since the configuration was the newest; Infinity before the first confirmation. */
   get age(): number {
     const {current, confirmed} = this;
     if (current === undefined || confirmed === undefined) {
@@ -71,7 +71,7 @@
     return elapsedSince(this.clock, confirmed);
   }
 
-  /** Whether decisions that depend on keys may be made. */
+  /** Whether the configuration is recent enough to decide whether a key is valid. */
   get isConfirmed(): boolean {
     return this.age < this.confirmationLimitMilliseconds;
   }
--- a/src/features/traffic/common/configurationSource.ts
+++ b/src/features/traffic/common/configurationSource.ts
@@ -2,34 +2,33 @@
 import {Result} from '../../../base/common/result.js';
 import {TrafficConfiguration} from './trafficConfiguration.js';
 
-/** Where the traffic configuration comes from, as a port. */
+/** Port through which the router reads the traffic configuration. */
 
-/** The configuration as it was read. */
-export interface ConfigurationReading {
-  /** Undefined when there is none, or none that has changed. */
+/** Result of a read or of a wait for changes. */
+export interface ConfigurationUpdate {
+  /** Undefined when no configuration exists or it has not changed. */
   readonly configuration: TrafficConfiguration | undefined;
-  /** Where to go on waiting for changes. */
+  /** Position in the change feed from which to wait for the next change. */
   readonly position: number;
 }
 
-/** Why a reading failed. */
-export type SourceError =
+/** Reason why a read or a wait failed. */
+export type ConfigurationSourceError =
   | {readonly kind: 'unavailable'; readonly detail: string}
-  /** The changes since the position are no longer known: read as a whole. */
+  /** The feed no longer holds all changes since the position; the configuration must be read anew. */
   | {readonly kind: 'historyLost'}
-  /** What was read is malformed; `detail` names the field. */
+  /** The configuration is malformed; `detail` names the field. */
   | {readonly kind: 'malformed'; readonly detail: string};
 
-/** Reads the configuration and waits for changes. */
 export abstract class ConfigurationSource {
   abstract read(
     token: CancellationToken,
-  ): Promise<Result<ConfigurationReading, SourceError>>;
+  ): Promise<Result<ConfigurationUpdate, ConfigurationSourceError>>;
 
-  /** Answers at a change, or without one after a time. */
+  /** Resolves on a change, or without a configuration once the wait is over. */
   abstract awaitChange(
     position: number,
     waitMilliseconds: number,
     token: CancellationToken,
-  ): Promise<Result<ConfigurationReading, SourceError>>;
+  ): Promise<Result<ConfigurationUpdate, ConfigurationSourceError>>;
 }
--- a/src/features/traffic/common/routeTable.ts
+++ b/src/features/traffic/common/routeTable.ts
@@ -4,16 +4,17 @@
   TrafficConfiguration,
 } from './trafficConfiguration.js';
 
-/** Finds the route of a request and the account of a key in one configuration. */
+/** Index of one configuration: looks up routes by host and path, and client accounts by key. */
 export class RouteTable {
-  private readonly hosts = new Map<string, Map<string, Route>>();
+  private readonly routesByHost = new Map<string, Map<string, Route>>();
   private readonly accounts = new Map<string, TrafficAccount>();
 
   constructor(readonly configuration: TrafficConfiguration) {
     for (const route of configuration.routes) {
       const host = route.host.toLowerCase();
-      const prefixes = this.hosts.get(host) ?? new Map<string, Route>();
-      this.hosts.set(host, prefixes.set(route.pathPrefix, route));
+      const routesByPrefix =
+        this.routesByHost.get(host) ?? new Map<string, Route>();
+      this.routesByHost.set(host, routesByPrefix.set(route.pathPrefix, route));
     }
     for (const account of configuration.accounts ?? []) {
       for (const key of account.keys) {
@@ -22,22 +23,22 @@
     }
   }
 
-  /** Whether requests on routes that are not public need a key. */
+  /** Whether requests need a key on routes that are not public. */
   get needsKeys(): boolean {
     return this.configuration.accounts !== undefined;
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** Finds the route of the host with the longest prefix of the path. */
   findRoute(hostHeader: string, target: string): Route | undefined {
-    const prefixes = this.hosts.get(hostName(hostHeader));
-    if (prefixes === undefined) {
+    const hostRoutes = this.routesByHost.get(hostName(hostHeader));
+    if (hostRoutes === undefined) {
       return undefined;
     }
     let prefix = pathOf(target);
     while (prefix !== '') {
-      // Prefixes end with a slash, so only the cuts behind slashes can match.
+      // Prefixes end with a slash, so only cuts after a slash can match.
       prefix = prefix.slice(0, prefix.lastIndexOf('/') + 1);
-      const route = prefixes.get(prefix);
+      const route = hostRoutes.get(prefix);
       if (route !== undefined) {
         return route;
       }
@@ -46,7 +47,6 @@
     return undefined;
   }
 
-  /** The account that holds a key. */
   findAccount(key: string): TrafficAccount | undefined {
     return this.accounts.get(key);
   }
--- a/src/features/traffic/common/trafficConfiguration.ts
+++ b/src/features/traffic/common/trafficConfiguration.ts
@@ -1,35 +1,35 @@
-/** What operators have configured for traffic: routes, services, client accounts and limits. */
+/** The traffic configuration of the operators: routes, services, client accounts and limits. */
 
-/** What may be done with a request whose first attempt did not end well. */
+/** How a request may be retried after its first attempt has failed. */
 export type RequestKind = 'safe' | 'unsafe' | 'stream';
 
-/** A service that a route may use, with its share of the route's requests. */
+/** A service of a route, with its share of the route's requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Relative share; the shares of a route need not add up to 100. */
+  /** Relative weight; the weights of a route need not add up to 100. */
   readonly weight: number;
 }
 
-/** Which requests go to which services, and how long they may take. */
+/** Maps requests of a host and path prefix to services, with their time limits and retry rules. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RequestKind;
-  /** Longest time that a caller may be kept waiting for the end of its answer. */
+  /** Longest time from the request to the end of the response. */
   readonly timeoutMilliseconds: number;
-  /** Time to the answer, or to the first event of a stream, that counts as on time. */
+  /** Service level target for the time to the response, or to the first event of a stream. */
   readonly latencyTargetMilliseconds: number;
-  /** Longest pause between two events of a stream that counts as on time. */
+  /** Service level target for the pause between two events of a stream. */
   readonly pauseTargetMilliseconds: number | undefined;
-  /** Upstreams that one request may be sent to at most. */
+  /** Maximum number of upstreams to which one request is sent. */
   readonly attemptLimit: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Whether requests need no key. */
+  /** Whether requests are accepted without a key. */
   readonly isPublic: boolean;
-  /** Whether a stream may go on at another upstream after the last event that was delivered. */
+  /** Whether a stream may be resumed at another upstream after the last delivered event. */
   readonly isResumable: boolean;
   readonly targets: readonly RouteTarget[];
 }
@@ -37,27 +37,27 @@
 /** A model that a service's engines can run. */
 export interface EngineModel {
   readonly name: string;
-  /** Seconds to load all of the model's weights. */
+  /** Seconds to load the weights of the whole model. */
   readonly loadSeconds: number;
 }
 
-/** A kind of accelerator, relative to the engine's own figures. */
+/** A kind of accelerator; its factors are relative to the figures of `EngineSettings`. */
 export interface AcceleratorKind {
   readonly name: string;
   readonly memoryMegabytes: number;
-  /** Factor on the time of a decoding step. */
+  /** Multiplies the duration of a decoding step. */
   readonly stepFactor: number;
-  /** Factor on the time of reading a prompt. */
+  /** Multiplies the duration of the prefill of a prompt. */
   readonly readFactor: number;
 }
 
-/** How a model is split over accelerators. */
+/** Sizes and links of a model whose layers are split over several accelerators. */
 export interface LayerModel {
   readonly layerCount: number;
   readonly layerMegabytes: number;
-  /** Bytes of activations that one token carries from one upstream to the next. */
+  /** Bytes of activations that are sent per token from one upstream to the next. */
   readonly activationBytes: number;
-  /** Megabits a second between data centres, shared by all transfers. */
+  /** Bandwidth between two data centres in Mbit/s, shared by all transfers. */
   readonly pipeMegabits: number;
   readonly kinds: readonly AcceleratorKind[];
 }
@@ -69,25 +69,25 @@
   readonly milliseconds: number;
 }
 
-/** What is known of a service's model engines. */
+/** Capacity and cost figures of a service's model engines. */
 export interface EngineSettings {
   readonly slots: number;
-  /** Tokens that the memory of a whole engine holds. */
+  /** KV cache capacity of an engine that holds the whole model, in tokens. */
   readonly kvTokens: number;
-  /** Bytes of KV cache that a token takes over all layers. */
+  /** Bytes of KV cache per token, summed over all layers. */
   readonly kvTokenBytes: number;
-  /** Tokens that one event of a stream holds; a shorter last one aside. */
+  /** Tokens per event of a stream; the last event may hold fewer. */
   readonly tokensPerEvent: number;
-  /** A decoding step over all layers. */
+  /** Duration of a decoding step over all layers. */
   readonly stepMilliseconds: number;
   readonly promptTokensPerSecond: number;
   readonly usualPromptTokens: number;
   readonly usualAnswerTokens: number;
-  /** Milliseconds by which load reports lag. */
+  /** Delay of the load figures in reports. */
   readonly reportLagMilliseconds: number;
   readonly models: readonly EngineModel[];
   readonly delays: readonly DataCentreDelay[];
-  /** Undefined where each engine holds the whole model. */
+  /** Undefined when each engine holds the whole model. */
   readonly layers: LayerModel | undefined;
 }
 
@@ -95,13 +95,13 @@
 export interface Service {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one upstream accepts from all callers together. */
+  /** Connections that one upstream accepts from all clients together. */
   readonly connectionLimit: number;
   /** Undefined for plain services. */
   readonly engine: EngineSettings | undefined;
 }
 
-/** Bounds on what callers may send. */
+/** Limits on requests and connections of callers. */
 export interface TrafficLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -109,20 +109,20 @@
   readonly idleMilliseconds: number;
 }
 
-/** A holder of keys. */
+/** A client account and its keys. */
 export interface TrafficAccount {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the priority of routes; undefined where the account has none. */
+  /** Overrides the priority of routes; undefined when the account has none. */
   readonly priority: number | undefined;
 }
 
-/** Everything that operators have configured for traffic, as one version. */
+/** One version of the traffic configuration. */
 export interface TrafficConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: TrafficLimits;
-  /** Undefined where no keys are asked for. */
+  /** Undefined when no route requires a key. */
   readonly accounts: readonly TrafficAccount[] | undefined;
 }
--- a/src/features/traffic/test/configurationFollower.test.ts
+++ b/src/features/traffic/test/configurationFollower.test.ts
@@ -6,97 +6,106 @@
 import {ConfigurationFollower} from '../common/configurationFollower.js';
 import {ConfigurationKeeper} from '../common/configurationKeeper.js';
 import {
-  ConfigurationReading,
+  ConfigurationUpdate,
   ConfigurationSource,
-  SourceError,
+  ConfigurationSourceError,
 } from '../common/configurationSource.js';
 import {makeConfiguration} from './trafficConfigurations.js';
 
-type Answer = Result<ConfigurationReading, SourceError>;
+type ReadResult = Result<ConfigurationUpdate, ConfigurationSourceError>;
 
-/** Answers calls from a list and then never again. */
-class ListedSource extends ConfigurationSource {
+/** Returns scripted results in order; calls after the last one never resolve. */
+class ScriptedSource extends ConfigurationSource {
   readonly calls: string[] = [];
 
-  constructor(private readonly answers: Answer[]) {
+  constructor(private readonly results: ReadResult[]) {
     super();
   }
 
-  override read(): Promise<Answer> {
+  override read(): Promise<ReadResult> {
     this.calls.push('read');
     return this.next();
   }
 
-  override awaitChange(position: number): Promise<Answer> {
+  override awaitChange(position: number): Promise<ReadResult> {
     this.calls.push(`await ${position}`);
     return this.next();
   }
 
-  private next(): Promise<Answer> {
-    const answer = this.answers.shift();
-    return answer === undefined
+  private next(): Promise<ReadResult> {
+    const result = this.results.shift();
+    return result === undefined
       ? new Promise(() => undefined)
-      : Promise.resolve(answer);
+      : Promise.resolve(result);
   }
 }
 
-const changed = (version: number, position: number): Answer =>
+const changedAt = (version: number, position: number): ReadResult =>
   success({configuration: makeConfiguration({version}), position});
-const unchanged = (position: number): Answer =>
+const unchangedAt = (position: number): ReadResult =>
   success({configuration: undefined, position});
-const away: Answer = failure({kind: 'unavailable', detail: 'away'});
+const unavailable: ReadResult = failure({kind: 'unavailable', detail: 'away'});
 
 const cases: ReadonlyArray<{
   name: string;
-  answers: Answer[];
+  results: ReadResult[];
   calls: string[];
   version: number;
 }> = [
   {
-    name: 'follows from where it read',
-    answers: [changed(1, 10), unchanged(11), changed(2, 12)],
+    name: 'waits for changes from the position of its read',
+    results: [changedAt(1, 10), unchangedAt(11), changedAt(2, 12)],
     calls: ['read', 'await 10', 'await 11', 'await 12'],
     version: 2,
   },
   {
-    name: 'goes on from its place after an outage',
-    answers: [changed(1, 10), away, away, changed(3, 15)],
+    name: 'resumes from its position after an outage',
+    results: [changedAt(1, 10), unavailable, unavailable, changedAt(3, 15)],
     calls: ['read', 'await 10', 'await 10', 'await 10', 'await 15'],
     version: 3,
   },
   {
-    name: 'reads all anew when the history is lost',
-    answers: [changed(1, 10), failure({kind: 'historyLost'}), changed(4, 40)],
+    name: 'reads the configuration anew when the feed has lost its history',
+    results: [
+      changedAt(1, 10),
+      failure({kind: 'historyLost'}),
+      changedAt(4, 40),
+    ],
     calls: ['read', 'await 10', 'read', 'await 40'],
     version: 4,
   },
   {
-    name: 'keeps the last good configuration when one is malformed',
-    answers: [
-      changed(1, 10),
+    name: 'keeps the last valid configuration when a newer one is malformed',
+    results: [
+      changedAt(1, 10),
       failure({kind: 'malformed', detail: '$.Routes.0.Host'}),
-      changed(1, 11),
+      changedAt(1, 11),
     ],
     calls: ['read', 'await 10', 'read', 'await 11'],
     version: 1,
   },
   {
-    name: 'never goes back',
-    answers: [changed(5, 10), changed(4, 11)],
+    name: 'ignores an older version',
+    results: [changedAt(5, 10), changedAt(4, 11)],
     calls: ['read', 'await 10', 'await 11'],
     version: 5,
   },
 ];
 
-it.each(cases)('$name', async ({answers, calls, version}) => {
+it.each(cases)('$name', async ({results, calls, version}) => {
   const clock = new FakeClock();
   const logger = new SilentLogger();
-  const keeper = new ConfigurationKeeper(clock, logger, 4000);
-  const source = new ListedSource([...answers]);
-  const follower = new ConfigurationFollower(clock, logger, source, keeper);
+  const activeConfiguration = new ConfigurationKeeper(clock, logger, 4000);
+  const source = new ScriptedSource([...results]);
+  const follower = new ConfigurationFollower(
+    clock,
+    logger,
+    source,
+    activeConfiguration,
+  );
   void follower.run();
   await clock.advanceAsync(5000);
   follower.dispose();
   expect(source.calls).toEqual(calls);
-  expect(keeper.table?.configuration.version).toBe(version);
+  expect(activeConfiguration.table?.configuration.version).toBe(version);
 });
--- a/src/features/traffic/test/configurationKeeper.test.ts
+++ b/src/features/traffic/test/configurationKeeper.test.ts
@@ -7,80 +7,88 @@
 
 const LIMIT_MILLISECONDS = 4000;
 
-function makeKeeper() {
+function makeActiveConfiguration() {
   const clock = new FakeClock();
-  const keeper = new ConfigurationKeeper(
+  const activeConfiguration = new ConfigurationKeeper(
     clock,
     new SilentLogger(),
     LIMIT_MILLISECONDS,
   );
-  return {clock, keeper};
+  return {clock, activeConfiguration};
 }
 
-describe('the configuration in force', () => {
+describe('the active configuration', () => {
   it.each([
     {offered: [3, 5, 4], inForce: 5},
     {offered: [3, 3], inForce: 3},
     {offered: [7, 1, 2], inForce: 7},
-  ])('after $offered is $inForce', ({offered, inForce}) => {
-    const {keeper} = makeKeeper();
-    for (const version of offered) {
-      keeper.offer(makeConfiguration({version}));
-    }
-    expect(keeper.table?.configuration.version).toBe(inForce);
-  });
+  ])(
+    'is version $inForce after versions $offered were offered',
+    ({offered, inForce}) => {
+      const {activeConfiguration} = makeActiveConfiguration();
+      for (const version of offered) {
+        activeConfiguration.offer(makeConfiguration({version}));
+      }
+      expect(activeConfiguration.table?.configuration.version).toBe(inForce);
+    },
+  );
 });
 
 describe('confirmation', () => {
   it.each([
-    {name: 'is valid at first', advance: 0, shift: 0, isConfirmed: true},
     {
-      name: 'is valid before the limit',
+      name: 'is valid immediately after it was given',
+      advance: 0,
+      shift: 0,
+      isConfirmed: true,
+    },
+    {
+      name: 'is valid until shortly before the limit',
       advance: 3900,
       shift: 0,
       isConfirmed: true,
     },
-    {name: 'ends at the limit', advance: 4000, shift: 0, isConfirmed: false},
+    {name: 'expires at the limit', advance: 4000, shift: 0, isConfirmed: false},
     {
-      name: 'ends when the instance was suspended for longer',
+      name: 'expires when the instance was suspended for longer than the limit',
       advance: 10,
       shift: 5000,
       isConfirmed: false,
     },
     {
-      name: 'outlasts a wall clock that was set back',
+      name: 'stays valid when the wall clock is set back',
       advance: 100,
       shift: -60_000,
       isConfirmed: true,
     },
     {
-      name: 'outlasts the drift of clocks',
+      name: 'stays valid when the wall clock drifts from the monotonic clock',
       advance: 3000,
       shift: 200,
       isConfirmed: true,
     },
   ])('$name', ({advance, shift, isConfirmed}) => {
-    const {clock, keeper} = makeKeeper();
-    keeper.offer(makeConfiguration());
-    keeper.confirm(keeper.now());
+    const {clock, activeConfiguration} = makeActiveConfiguration();
+    activeConfiguration.offer(makeConfiguration());
+    activeConfiguration.confirm(activeConfiguration.now());
     clock.advance(advance);
     clock.shiftWall(shift);
-    expect(keeper.isConfirmed).toBe(isConfirmed);
+    expect(activeConfiguration.isConfirmed).toBe(isConfirmed);
   });
 
-  it('counts from before the reading, not from its answer', () => {
-    const {clock, keeper} = makeKeeper();
-    keeper.offer(makeConfiguration());
-    const asOf = keeper.now();
+  it('is dated from the start of the read, not from its response', () => {
+    const {clock, activeConfiguration} = makeActiveConfiguration();
+    activeConfiguration.offer(makeConfiguration());
+    const requestedAt = activeConfiguration.now();
     clock.advance(3000);
-    keeper.confirm(asOf);
+    activeConfiguration.confirm(requestedAt);
     clock.advance(1500);
-    expect(keeper.isConfirmed).toBe(false);
+    expect(activeConfiguration.isConfirmed).toBe(false);
   });
 
-  it('is not there without a configuration', () => {
-    const {keeper} = makeKeeper();
-    keeper.confirm(keeper.now());
-    expect(keeper.isConfirmed).toBe(false);
+  it('has no effect before a configuration is active', () => {
+    const {activeConfiguration} = makeActiveConfiguration();
+    activeConfiguration.confirm(activeConfiguration.now());
+    expect(activeConfiguration.isConfirmed).toBe(false);
   });
 });
--- a/src/features/traffic/test/confirmationPace.test.ts
+++ b/src/features/traffic/test/confirmationPeriod.test.ts
@@ -6,26 +6,28 @@
 import {ConfigurationFollower} from '../common/configurationFollower.js';
 import {ConfigurationKeeper} from '../common/configurationKeeper.js';
 import {
-  ConfigurationReading,
+  ConfigurationUpdate,
   ConfigurationSource,
-  SourceError,
+  ConfigurationSourceError,
 } from '../common/configurationSource.js';
 import {makeConfiguration} from './trafficConfigurations.js';
 
-/** Answers each call for a change only when its wait is over. */
-class QuietSource extends ConfigurationSource {
+/** A source without changes: each long poll resolves once its wait is over. */
+class UnchangingSource extends ConfigurationSource {
   constructor(private readonly clock: FakeClock) {
     super();
   }
 
-  override async read(): Promise<Result<ConfigurationReading, SourceError>> {
+  override async read(): Promise<
+    Result<ConfigurationUpdate, ConfigurationSourceError>
+  > {
     return success({configuration: makeConfiguration(), position: 1});
   }
 
   override awaitChange(
     position: number,
     waitMilliseconds: number,
-  ): Promise<Result<ConfigurationReading, SourceError>> {
+  ): Promise<Result<ConfigurationUpdate, ConfigurationSourceError>> {
     return new Promise(resolve => {
       this.clock.setTimer(waitMilliseconds, () =>
         resolve(success({configuration: undefined, position})),
@@ -35,23 +37,23 @@
 }
 
 it.each([800, 2_300, 4_300, 60_000])(
-  'a source without changes keeps a configuration confirmed whose limit is %d ms',
+  'the configuration stays confirmed without changes when the limit is %d ms',
   async limit => {
     const clock = new FakeClock();
     const logger = new SilentLogger();
-    const keeper = new ConfigurationKeeper(clock, logger, limit);
+    const activeConfiguration = new ConfigurationKeeper(clock, logger, limit);
     const follower = new ConfigurationFollower(
       clock,
       logger,
-      new QuietSource(clock),
-      keeper,
+      new UnchangingSource(clock),
+      activeConfiguration,
     );
     void follower.run();
     await clock.advanceAsync(10);
     let oldest = 0;
     for (let step = 0; step < 400; step++) {
       await clock.advanceAsync(25);
-      oldest = Math.max(oldest, keeper.age);
+      oldest = Math.max(oldest, activeConfiguration.age);
     }
     follower.dispose();
     expect(oldest).toBeLessThan(limit);
--- a/src/features/traffic/test/routeTable.test.ts
+++ b/src/features/traffic/test/routeTable.test.ts
@@ -28,7 +28,7 @@
     ['unknown.example', '/a/', undefined],
     ['', '/a/', undefined],
     ['host.example', '*', undefined],
-  ])('%s %s is %s', (host, target, name) => {
+  ])('for host %s and target %s is %s', (host, target, name) => {
     expect(table.findRoute(host, target)?.name).toBe(name);
   });
 });
@@ -38,7 +38,7 @@
     ['key', 'account'],
     ['Key', undefined],
     ['', undefined],
-  ])('%s is %s', (key, name) => {
+  ])('%s is account %s', (key, name) => {
     expect(table.findAccount(key)?.name).toBe(name);
   });
 });
@@ -56,11 +56,11 @@
     [0.89, 'most'],
     [0.9, 'few'],
     [0.9999, 'few'],
-  ])('at %d is %s', (draw, service) => {
+  ])('for draw %d is %s', (draw, service) => {
     expect(chooseTarget(route, draw)).toBe(service);
   });
 
-  it('is undefined for a route without services', () => {
+  it('is undefined for a route without targets', () => {
     expect(chooseTarget(makeRoute({targets: []}), 0)).toBeUndefined();
   });
 });
--- a/src/features/traffic/test/trafficConfigurations.ts
+++ b/src/features/traffic/test/trafficConfigurations.ts
@@ -1,8 +1,8 @@
 import {Route, TrafficConfiguration} from '../common/trafficConfiguration.js';
 
-/** Builders of configurations for tests. */
+/** Builders of traffic configurations for tests. */
 
-/** A route on `host.example` with fields that a test leaves out filled in. */
+/** Creates a route on `host.example`; `fields` overrides the defaults. */
 export function makeRoute(fields: Partial<Route> = {}): Route {
   return {
     name: 'r',
@@ -21,7 +21,7 @@
   };
 }
 
-/** A configuration with one route. */
+/** Creates a configuration with one route; `fields` overrides the defaults. */
 export function makeConfiguration(
   fields: Partial<TrafficConfiguration> = {},
 ): TrafficConfiguration {
--- a/src/programs/router/callerListener.ts
+++ b/src/programs/router/callerListener.ts
@@ -9,17 +9,17 @@
 import {listen} from '../../infrastructure/http/node/textServer.js';
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 
-/** Longest headers that the parser takes; the configured limit, which may change, is checked after it. */
+/** Header size limit of the HTTP parser. The configured limit may change, so it is checked after parsing. */
 const PARSER_HEADER_BYTES = 64 * 1024;
 
-/** How often connections are checked for time limits. */
+/** Period at which the server checks connections for timeouts. */
 const CHECK_MILLISECONDS = 1_000;
 
-/** Time limits until the first configuration is known. */
+/** Timeouts until the first configuration is active. */
 const FIRST_IDLE_MILLISECONDS = 15_000;
 const FIRST_HEADER_MILLISECONDS = 10_000;
 
-/** The callers' HTTP server. */
+/** HTTP server for callers. */
 export class CallerListener {
   private readonly server: Server;
   private isClosing = false;
@@ -34,7 +34,7 @@
       maxHeaderSize: PARSER_HEADER_BYTES,
       keepAliveTimeout: FIRST_IDLE_MILLISECONDS,
       headersTimeout: FIRST_HEADER_MILLISECONDS,
-      // Bodies are bounded by the deadline of their request.
+      // The deadline of a request limits the time for its body.
       requestTimeout: 0,
       connectionsCheckingInterval: CHECK_MILLISECONDS,
       noDelay: true,
@@ -65,28 +65,28 @@
     return listen(this.server, address);
   }
 
-  /** Takes limits over from the configuration. */
+  /** Applies the timeouts of the configuration to the server. */
   setLimits(limits: TrafficLimits): void {
     this.server.keepAliveTimeout = limits.idleMilliseconds;
     this.server.headersTimeout = limits.headerMilliseconds;
   }
 
-  /** From now on connections are closed after their answer. */
+  /** Makes each connection close after its current or next response. */
   closeAfterAnswers(): void {
     this.isClosing = true;
   }
 
-  /** Closes connections on which nothing is in progress. */
+  /** Closes connections without a request in progress. */
   closeIdle(): void {
     this.server.closeIdleConnections();
   }
 
-  /** Takes no more connections. */
+  /** Stops accepting connections; open ones remain. */
   stopListening(): void {
     this.server.close();
   }
 
-  /** Closes everything. */
+  /** Closes the server and all connections, including those with requests in progress. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/src/programs/router/loopWatch.ts
+++ b/src/programs/router/loopWatch.ts
@@ -2,13 +2,13 @@
 import {Disposable, toDisposable} from '../../base/common/lifecycle.js';
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 
-/** How often the loop is looked at. */
+/** Period of the check. */
 const PERIOD_MILLISECONDS = 100;
 
-/** A delay that callers notice: a fair part of the pause that they allow between events. */
+/** Delay that is reported: a noticeable part of the pause that callers tolerate between events. */
 const STALL_MILLISECONDS = 60;
 
-/** Writes a line when the event loop was held up, by this process or by the machine. */
+/** Logs a warning when the event loop was delayed, either by this process or by contention on the machine. */
 export function watchLoop(clock: Clock, logger: Logger): Disposable {
   let last = clock.monotonicMilliseconds();
   let cpu = process.cpuUsage();
@@ -17,7 +17,7 @@
     const stall = now - last - PERIOD_MILLISECONDS;
     const used = process.cpuUsage(cpu);
     if (stall > STALL_MILLISECONDS) {
-      logger.warn('event loop held up', {
+      logger.warn('event loop delayed', {
         milliseconds: Math.round(stall),
         processorMilliseconds: Math.round((used.user + used.system) / 1000),
       });
--- a/src/programs/router/routerParts.ts
+++ b/src/programs/router/routerParts.ts
@@ -22,7 +22,7 @@
 import {InstanceRecord} from '../../features/instances/common/instance.js';
 import {InstanceRegistry} from '../../features/instances/common/instanceRegistry.js';
 import {InstanceTable} from '../../features/instances/common/instanceTable.js';
-import {PeerTalk} from '../../features/instances/node/peerTalk.js';
+import {PeerGossip} from '../../features/instances/node/peerGossip.js';
 import {
   LayerController,
   LEASE_STEP_MILLISECONDS,
@@ -36,27 +36,27 @@
 import {RouterPorts} from './routerPorts.js';
 import {RouterSettings} from './routerSettings.js';
 
-/** Constructs the parts of the router. */
+/** Constructs the components of the router. */
 
-/** Name of the lease for giving orders about layers. */
+/** Key of the lease whose holder orders upstreams to load layers. */
 const LEASE_KEY = 'leases/layers';
 
-/** Four steps of the lease, so that two lost answers do not lose it. */
+/** Duration of the lease: four renewal steps, so that it outlasts two lost responses. */
 const LEASE_MILLISECONDS = 4 * LEASE_STEP_MILLISECONDS;
 
-/** The lease is not used at its very end: clocks may run at slightly different speeds. */
+/** Time before expiry from which the lease is not used, since clocks may run at slightly different rates. */
 const LEASE_MARGIN_MILLISECONDS = 300;
 
-/** Longest call for the lease. */
+/** Timeout of a call that reads or writes the lease. */
 const LEASE_CALL_MILLISECONDS = 500;
 
-/** Part of the bound for revoked keys that is left for a request to reach its upstream. */
+/** Part of the revocation bound that is reserved for a request to reach its upstream. */
 const REVOCATION_MARGIN_MILLISECONDS = 700;
 
-/** A configuration that nobody confirms is used for this long where revoked keys have no bound. */
+/** Time for which an unconfirmed configuration is used when there is no revocation bound. */
 const UNBOUNDED_CONFIRMATION_MILLISECONDS = 60_000;
 
-/** The parts that the program starts and stops. */
+/** Components that the program starts, stops or serves. */
 export interface RouterParts {
   readonly keeper: ConfigurationKeeper;
   readonly follower: ConfigurationFollower;
@@ -64,13 +64,13 @@
   readonly lister: UpstreamLister;
   readonly instances: InstanceTable;
   readonly registry: InstanceRegistry;
-  readonly talk: PeerTalk;
+  readonly talk: PeerGossip;
   readonly layers: LayerController;
   readonly handler: RequestHandler;
   readonly metrics: Registry;
 }
 
-/** Builds all parts; they are released with the store. */
+/** Constructs all components; `owned` disposes of them. */
 export function createRouterParts(
   settings: RouterSettings,
   ports: RouterPorts,
@@ -109,7 +109,7 @@
   const outcomes = new OutcomeHistory(clock);
   const readingBacklog = new ReadingBacklog(
     clock,
-    () => instances.size,
+    () => instances.instanceCount,
     id => slowness.of(id),
   );
   owned.add(
@@ -137,10 +137,14 @@
     suspicions,
     trials,
     load,
-    linkLoad: new LinkLoad(clock, () => instances.size),
+    linkLoad: new LinkLoad(clock, () => instances.instanceCount),
     readingBacklog,
     slowness,
-    budget: new RetryBudget(clock, settings.retries, () => instances.size),
+    budget: new RetryBudget(
+      clock,
+      settings.retries,
+      () => instances.instanceCount,
+    ),
     outcomes,
   };
   const watch = owned.add(
@@ -164,13 +168,13 @@
       durationMilliseconds: LEASE_MILLISECONDS,
       marginMilliseconds: LEASE_MARGIN_MILLISECONDS,
       callMilliseconds: LEASE_CALL_MILLISECONDS,
-      // Upstreams are lost while the store is away, too, and check fencing numbers.
+      // Lost upstreams must be replaced during an outage of the store, too. Upstreams check fencing numbers.
       actsUnrenewed: true,
     },
     (holder, since) => hasHolderEnded(instances, holder, since),
   );
   const talk = owned.add(
-    new PeerTalk(clock, random, logger, own, settings.peerKey, {
+    new PeerGossip(clock, random, logger, own, settings.peerKey, {
       instances,
       registry,
       directory,
@@ -198,7 +202,7 @@
         logger,
         ports.upstreams,
         directory,
-        () => instances.listAgeLimit,
+        () => instances.listAgeLimitMilliseconds,
       ),
     ),
     talk,
@@ -214,14 +218,14 @@
         suspicions,
         slowness,
         mechanisms,
-        () => talk.isHolderHeard,
+        () => talk.isLeaseHolderLive,
       ),
     ),
     handler: new RequestHandler(services, watch),
   };
 }
 
-/** A run of an instance as the holder of a lease: the name, a space, the start. */
+/** Formats a run of an instance as a lease holder: the name, a space and the start time. */
 function formatHolder({name, startedAt}: InstanceRecord): string {
   return `${name} ${startedAt}`;
 }
@@ -236,7 +240,7 @@
   return (
     space > 0 &&
     Number.isFinite(startedAt) &&
-    instances.hasEnded(holder.slice(0, space), startedAt, writtenBefore)
+    instances.hasRunEnded(holder.slice(0, space), startedAt, writtenBefore)
   );
 }
 
--- a/src/programs/router/routerPorts.ts
+++ b/src/programs/router/routerPorts.ts
@@ -5,7 +5,7 @@
 import {ConfigurationSource} from '../../features/traffic/common/configurationSource.js';
 import {TableService} from '../../infrastructure/table/common/tableService.js';
 
-/** What the router needs of the platform that it runs on. */
+/** Ports to the platform that the router runs on. */
 export interface RouterPorts {
   readonly table: TableService;
   readonly configurations: ConfigurationSource;
--- a/src/programs/router/routerProgram.ts
+++ b/src/programs/router/routerProgram.ts
@@ -3,7 +3,7 @@
 import {DisposableStore, toDisposable} from '../../base/common/lifecycle.js';
 import {RandomSource} from '../../base/common/randomSource.js';
 import {chooseAddresses} from '../../features/instances/common/chooseAddresses.js';
-import {createNewsRouter} from '../../features/instances/node/newsRouter.js';
+import {createGossipRouter} from '../../features/instances/node/gossipRouter.js';
 import {
   jsonAnswer,
   serveText,
@@ -18,32 +18,32 @@
 import {RouterPorts} from './routerPorts.js';
 import {RouterSettings} from './routerSettings.js';
 
-/** Addresses in one answer at most; callers read no more. */
+/** Maximum addresses in one response; callers read no more. */
 const ADDRESS_LIMIT = 64;
 
-/** Seconds for which callers keep an answer: for so long they may try an instance that was lost; asking costs little. */
+/** Upper limit of the time to live of addresses. Callers may try a lost instance for this long; queries are cheap. */
 const ADDRESS_SECONDS = 1;
 
-/** How often the own state is looked at. */
+/** Period at which the state of this instance is updated. */
 const STATE_MILLISECONDS = 150;
 
-/** Descriptors kept free of callers' connections: upstreams, peers, the platform. */
+/** File descriptors reserved for connections to upstreams, peers and the platform. */
 const RESERVED_DESCRIPTORS = 1_200;
 const LEAST_CALLER_CONNECTIONS = 256;
 
-/** Callers that ask for addresses while none serves are told so, and ask another instance. */
+/** Response to address queries while no instance serves; callers then ask another instance. */
 const NONE_SERVING: TextAnswer = jsonAnswer({}, 503);
 
 const METRICS_PATH = '/metrics';
 const METRICS_TYPE = 'text/plain; version=0.0.4';
 
-/** Parts of the time that a stop may take, counted from its beginning. */
+/** Shares of the shutdown time after which idle connections are closed and new requests are refused. */
 const IDLE_CLOSE_SHARE = 0.4;
 const REFUSE_SHARE = 0.55;
-/** Kept free before the process is killed, to exit in order. */
+/** Time reserved for an orderly exit before the platform kills the process. */
 const EXIT_MARGIN_MILLISECONDS = 400;
 
-/** One instance of the router. */
+/** Runs one instance of the router. */
 export class RouterProgram {
   private readonly owned = new DisposableStore();
   private readonly parts: RouterParts;
@@ -76,7 +76,7 @@
     );
   }
 
-  /** Serves; resolves once all addresses are listened on. */
+  /** Resolves once the instance listens on all addresses. */
   async start(): Promise<void> {
     const {keeper, follower, lister, talk, layers} = this.parts;
     this.owned.add(
@@ -102,7 +102,7 @@
     });
   }
 
-  /** Finishes what is in progress and ends; takes no longer than the platform gives. */
+  /** Shuts down within the time that the platform allows, finishing requests in progress as far as possible. */
   async stop(): Promise<void> {
     const {stopMilliseconds} = this.settings;
     const begin = this.clock.monotonicMilliseconds();
@@ -141,7 +141,7 @@
   private async leave(): Promise<void> {
     const {layers, registry, talk} = this.parts;
     await Promise.all([
-      talk.tellAll(neverCancelled),
+      talk.exchangeWithAll(neverCancelled),
       layers.leave(neverCancelled),
     ]);
     await registry.withdraw(this.settings.instance.name, neverCancelled);
@@ -165,7 +165,7 @@
     const {listen, peerKey} = this.settings;
     const {directory} = this.ports;
     const {talk, metrics} = this.parts;
-    const news = createNewsRouter(input => talk.answer(input));
+    const news = createGossipRouter(input => talk.answer(input));
     this.owned.add(await serveRpc(news, listen.peers, peerKey));
     this.owned.add(
       await serveText(listen.readiness, {
@@ -198,13 +198,13 @@
 
   private addresses(query: URLSearchParams): TextAnswer {
     const {directory} = this.ports;
-    const question = directory.readQuestion(query);
+    const question = directory.parseAddressQuery(query);
     const {serving} = this.parts.instances;
     if (serving.length === 0) {
       return NONE_SERVING;
     }
     const addresses = chooseAddresses(question, serving, ADDRESS_LIMIT);
     const seconds = Math.min(ADDRESS_SECONDS, this.settings.addressSeconds);
-    return jsonAnswer(directory.writeAnswer(addresses, seconds));
+    return jsonAnswer(directory.formatAddresses(addresses, seconds));
   }
 }
--- a/src/programs/router/routerSettings.ts
+++ b/src/programs/router/routerSettings.ts
@@ -9,26 +9,26 @@
     readonly region: string;
   };
   readonly listen: {
-    /** Where callers send their requests. */
+    /** Address for requests of callers. */
     readonly callers: string;
-    /** Where the platform asks whether the instance is ready. */
+    /** Address for readiness checks of the platform. */
     readonly readiness: string;
-    /** Where callers ask which instances to use; undefined where it is not served. */
+    /** Address for queries of callers for instance addresses; undefined when the instance doesn't serve them. */
     readonly directory: string | undefined;
     readonly peers: string;
     readonly metrics: string;
   };
-  /** Time after which a revoked key must be refused; undefined where that has no bound. */
+  /** Time after its revocation from which a key must be refused; undefined when there is no bound. */
   readonly revocationMilliseconds: number | undefined;
-  /** Time from the signal to stop until the process is killed. */
+  /** Time from the stop signal until the platform kills the process. */
   readonly stopMilliseconds: number;
-  /** Longest time for which callers keep a list of addresses. */
+  /** Longest time to live that the platform permits for addresses. */
   readonly addressSeconds: number;
   readonly retries: RetryBudgetSettings;
-  /** Which mechanisms of the decisions are on. */
+  /** Routing mechanisms that are switched on. */
   readonly mechanisms: Mechanisms;
-  /** Secret that instances present to each other. */
+  /** Shared secret by which instances authenticate to each other. */
   readonly peerKey: string;
-  /** Descriptors that the process may have open. */
+  /** Maximum open file descriptors of the process. */
   readonly descriptorLimit: number;
 }
