--- a/deploy/absentModule.cjs
+++ b/deploy/absentModule.cjs
@@ -1,2 +1,2 @@
-// Optional parts of libraries that the router does not use: loading them took a tenth of its start.
-throw new Error('left out of the bundle');
+// Replaces optional dependencies of libraries that the router doesn't use; loading them took a tenth of its start-up time.
+throw new Error('optional dependency excluded from the bundle');
--- a/deploy/bundle.js
+++ b/deploy/bundle.js
@@ -7,14 +7,14 @@
 
 /**
  * Bundles the router for the platform into `target`: `router.bundle`, a function of `exports`, `require` and
- * `module`; `router.compiled`, its compiled form; `redwing-router.cjs`, which starts it. Node takes a compiled form only with
- * the options under which it was made, so this runs with those of `deploy/system.toml`.
+ * `module`; `router.compiled`, its V8 code cache; `redwing-router.cjs`, which starts it. Node.js accepts a code cache
+ * only under the options with which it was created, so this script must run with those of `deploy/system.toml`.
  */
 
 const BUNDLE = resolve('target/router.bundle');
 const ABSENT = resolve('deploy/absentModule.cjs');
 
-/** Compiles the bundle after it was loaded once, so that the functions which that runs are included. */
+/** Creates the code cache after loading the bundle once, so that it includes the functions that run on load. */
 function compile() {
   const script = new Script(readFileSync(BUNDLE, 'utf8'), {filename: BUNDLE});
   const bundle = {exports: {}};
@@ -27,7 +27,7 @@
   outfile: BUNDLE,
   bundle: true,
   minify: true,
-  // Names stand in log lines of unexpected errors.
+  // Stack traces of unexpected errors in the log need function names.
   keepNames: true,
   platform: 'node',
   target: 'node20',
--- a/deploy/launch.cjs
+++ b/deploy/launch.cjs
@@ -3,9 +3,9 @@
 const {Script} = require('node:vm');
 
 /**
- * Starts the bundled router from its compiled form: `redwing-router.cjs [settings file] [--own file]`. After all instances
- * were killed nobody serves until the first has started, and compiling took a third of that time. A
- * compiled form that does not fit this Node is left aside by it; the source decides.
+ * Starts the bundled router with its V8 code cache: `redwing-router.cjs [settings file] [--own file]`. After all
+ * instances were killed, no requests are served until the first one has started, and compiling took a third of that
+ * time. Node.js rejects a code cache that doesn't match it and compiles the source instead.
  */
 
 const SOURCE = join(__dirname, 'router.bundle');
@@ -15,7 +15,9 @@
   try {
     return readFileSync(COMPILED);
   } catch (error) {
-    process.stderr.write(`compiling anew: ${error.message}\n`);
+    process.stderr.write(
+      `code cache not readable, compiling the source: ${error.message}\n`,
+    );
     return undefined;
   }
 }
@@ -25,7 +27,9 @@
   cachedData: readCompiled(),
 });
 if (script.cachedDataRejected) {
-  process.stderr.write('the compiled form does not fit; compiling anew\n');
+  process.stderr.write(
+    'code cache rejected by Node.js, compiling the source\n',
+  );
 }
 const bundle = {exports: {}};
 script.runInThisContext()(bundle.exports, require, bundle);
--- a/src/features/instances/test/instances.test.ts
+++ b/src/features/instances/test/instances.test.ts
@@ -48,39 +48,39 @@
     {name: 'peer', start: 1, ended: false},
     {
       name: 'peer',
-      response: {start: 1, requestedAt: 20},
+      answered: {start: 1, requestedAt: 20},
       start: 1,
       ended: false,
     },
     {
       name: 'peer',
-      response: {start: 2, requestedAt: 20},
+      answered: {start: 2, requestedAt: 20},
       start: 1,
       ended: true,
     },
     // The wall clock was ahead at the start of the ended run.
     {
       name: 'peer',
-      response: {start: 2, requestedAt: 20},
+      answered: {start: 2, requestedAt: 20},
       start: 9,
       ended: true,
     },
     // The request was sent before the run was last active.
     {
       name: 'peer',
-      response: {start: 2, requestedAt: 5},
+      answered: {start: 2, requestedAt: 5},
       start: 3,
       ended: false,
     },
   ];
 
   it.each(cases)(
-    'is $ended for run $start of $name after response $response',
-    ({name, response, start, ended}) => {
+    'is $ended for run $start of $name after response $answered',
+    ({name, answered, start, ended}) => {
       const {table} = makeTable();
-      if (response !== undefined) {
-        const run = makeRecord(name, 'north', response.start);
-        table.recordResponse(run, response.requestedAt);
+      if (answered !== undefined) {
+        const run = makeRecord(name, 'north', answered.start);
+        table.recordResponse(run, answered.requestedAt);
       }
       expect(table.hasRunEnded(name, start, 10)).toBe(ended);
     },
--- a/src/programs/router/callerListener.ts
+++ b/src/programs/router/callerListener.ts
@@ -10,14 +10,14 @@
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 
 /** Header size limit of the HTTP parser. The configured limit may change, so it is checked after parsing. */
-const PARSER_HEADER_BYTES = 64 * 1024;
+const PARSER_HEADER_LIMIT_BYTES = 64 * 1024;
 
 /** Period at which the server checks connections for timeouts. */
-const CHECK_MILLISECONDS = 1_000;
+const CONNECTION_CHECK_MILLISECONDS = 1_000;
 
 /** Timeouts until the first configuration is active. */
-const FIRST_IDLE_MILLISECONDS = 15_000;
-const FIRST_HEADER_MILLISECONDS = 10_000;
+const INITIAL_IDLE_TIMEOUT_MILLISECONDS = 15_000;
+const INITIAL_HEADER_TIMEOUT_MILLISECONDS = 10_000;
 
 /** HTTP server for callers. */
 export class CallerListener {
@@ -31,12 +31,12 @@
     connectionLimit: number,
   ) {
     this.server = createServer({
-      maxHeaderSize: PARSER_HEADER_BYTES,
-      keepAliveTimeout: FIRST_IDLE_MILLISECONDS,
-      headersTimeout: FIRST_HEADER_MILLISECONDS,
+      maxHeaderSize: PARSER_HEADER_LIMIT_BYTES,
+      keepAliveTimeout: INITIAL_IDLE_TIMEOUT_MILLISECONDS,
+      headersTimeout: INITIAL_HEADER_TIMEOUT_MILLISECONDS,
       // The deadline of a request limits the time for its body.
       requestTimeout: 0,
-      connectionsCheckingInterval: CHECK_MILLISECONDS,
+      connectionsCheckingInterval: CONNECTION_CHECK_MILLISECONDS,
       noDelay: true,
     });
     this.server.maxConnections = connectionLimit;
@@ -72,7 +72,7 @@
   }
 
   /** Makes each connection close after its current or next response. */
-  closeAfterAnswers(): void {
+  closeAfterResponses(): void {
     this.isClosing = true;
   }
 
--- a/src/programs/router/routerParts.ts
+++ b/src/programs/router/routerComponents.ts
@@ -42,63 +42,63 @@
 const LEASE_KEY = 'leases/layers';
 
 /** Duration of the lease: four renewal steps, so that it outlasts two lost responses. */
-const LEASE_MILLISECONDS = 4 * LEASE_STEP_MILLISECONDS;
+const LEASE_DURATION_MILLISECONDS = 4 * LEASE_STEP_MILLISECONDS;
 
 /** Time before expiry from which the lease is not used, since clocks may run at slightly different rates. */
 const LEASE_MARGIN_MILLISECONDS = 300;
 
 /** Timeout of a call that reads or writes the lease. */
-const LEASE_CALL_MILLISECONDS = 500;
+const LEASE_CALL_TIMEOUT_MILLISECONDS = 500;
 
 /** Part of the revocation bound that is reserved for a request to reach its upstream. */
 const REVOCATION_MARGIN_MILLISECONDS = 700;
 
 /** Time for which an unconfirmed configuration is used when there is no revocation bound. */
-const UNBOUNDED_CONFIRMATION_MILLISECONDS = 60_000;
+const DEFAULT_CONFIRMATION_LIMIT_MILLISECONDS = 60_000;
 
 /** Components that the program starts, stops or serves. */
-export interface RouterParts {
-  readonly keeper: ConfigurationKeeper;
-  readonly follower: ConfigurationFollower;
+export interface RouterComponents {
+  readonly activeConfiguration: ConfigurationKeeper;
+  readonly configurationFollower: ConfigurationFollower;
   readonly directory: UpstreamDirectory;
-  readonly lister: UpstreamLister;
+  readonly upstreamLister: UpstreamLister;
   readonly instances: InstanceTable;
   readonly registry: InstanceRegistry;
-  readonly talk: PeerGossip;
+  readonly gossip: PeerGossip;
   readonly layers: LayerController;
   readonly handler: RequestHandler;
   readonly metrics: Registry;
 }
 
 /** Constructs all components; `owned` disposes of them. */
-export function createRouterParts(
+export function createRouterComponents(
   settings: RouterSettings,
   ports: RouterPorts,
   clock: Clock,
   random: RandomSource,
   logger: Logger,
   owned: DisposableStore,
-): RouterParts {
+): RouterComponents {
   const {mechanisms} = settings;
-  const own: InstanceRecord = {
+  const ownRecord: InstanceRecord = {
     ...settings.instance,
     startedAt: clock.wallMilliseconds(),
     callerAddress: settings.listen.callers,
     peerAddress: settings.listen.peers,
   };
-  const keeper = owned.add(
+  const activeConfiguration = owned.add(
     new ConfigurationKeeper(clock, logger, confirmationLimit(settings)),
   );
   const directory = owned.add(new UpstreamDirectory(clock, logger));
   const suspicions = owned.add(new Suspicions(clock, logger));
-  const instances = new InstanceTable(clock, logger, own);
+  const instances = new InstanceTable(clock, logger, ownRecord);
   const registry = new InstanceRegistry(ports.table, logger);
   const load = new UpstreamLoad();
   const slowness = owned.add(new Slowness(clock, logger));
   const trials = owned.add(
     new UpstreamTrials(
       clock,
-      ports.control,
+      ports.upstreamControl,
       directory,
       suspicions,
       slowness,
@@ -131,8 +131,8 @@
     metrics: new RequestMetrics(metrics),
     wire: ports.wire,
     connector,
-    control: ports.control,
-    configuration: keeper,
+    control: ports.upstreamControl,
+    configuration: activeConfiguration,
     directory,
     suspicions,
     trials,
@@ -147,7 +147,7 @@
     ),
     outcomes,
   };
-  const watch = owned.add(
+  const streamWatch = owned.add(
     new StreamWatch(
       clock,
       directory,
@@ -160,21 +160,21 @@
   );
   const lease = new TableLease(
     LEASE_KEY,
-    formatHolder(own),
+    formatHolder(ownRecord),
     ports.table,
     clock,
     randomUUID,
     {
-      durationMilliseconds: LEASE_MILLISECONDS,
+      durationMilliseconds: LEASE_DURATION_MILLISECONDS,
       marginMilliseconds: LEASE_MARGIN_MILLISECONDS,
-      callMilliseconds: LEASE_CALL_MILLISECONDS,
+      callMilliseconds: LEASE_CALL_TIMEOUT_MILLISECONDS,
       // Lost upstreams must be replaced during an outage of the store, too. Upstreams check fencing numbers.
       actsUnrenewed: true,
     },
     (holder, since) => hasHolderEnded(instances, holder, since),
   );
-  const talk = owned.add(
-    new PeerGossip(clock, random, logger, own, settings.peerKey, {
+  const gossip = owned.add(
+    new PeerGossip(clock, random, logger, ownRecord, settings.peerKey, {
       instances,
       registry,
       directory,
@@ -187,15 +187,20 @@
     }),
   );
   return {
-    keeper,
+    activeConfiguration,
     directory,
     instances,
     registry,
     metrics,
-    follower: owned.add(
-      new ConfigurationFollower(clock, logger, ports.configurations, keeper),
+    configurationFollower: owned.add(
+      new ConfigurationFollower(
+        clock,
+        logger,
+        ports.configurationSource,
+        activeConfiguration,
+      ),
     ),
-    lister: owned.add(
+    upstreamLister: owned.add(
       new UpstreamLister(
         clock,
         random,
@@ -205,23 +210,23 @@
         () => instances.listAgeLimitMilliseconds,
       ),
     ),
-    talk,
+    gossip,
     layers: owned.add(
       new LayerController(
         clock,
         random,
         logger,
         lease,
-        ports.control,
-        keeper,
+        ports.upstreamControl,
+        activeConfiguration,
         directory,
         suspicions,
         slowness,
         mechanisms,
-        () => talk.isLeaseHolderLive,
+        () => gossip.isLeaseHolderLive,
       ),
     ),
-    handler: new RequestHandler(services, watch),
+    handler: new RequestHandler(services, streamWatch),
   };
 }
 
@@ -235,18 +240,18 @@
   holder: string,
   writtenBefore: number,
 ): boolean {
-  const space = holder.lastIndexOf(' ');
-  const startedAt = Number(holder.slice(space + 1));
+  const separator = holder.lastIndexOf(' ');
+  const startedAt = Number(holder.slice(separator + 1));
   return (
-    space > 0 &&
+    separator > 0 &&
     Number.isFinite(startedAt) &&
-    instances.hasRunEnded(holder.slice(0, space), startedAt, writtenBefore)
+    instances.hasRunEnded(holder.slice(0, separator), startedAt, writtenBefore)
   );
 }
 
 function confirmationLimit({revocationMilliseconds}: RouterSettings): number {
   return revocationMilliseconds === undefined
-    ? UNBOUNDED_CONFIRMATION_MILLISECONDS
+    ? DEFAULT_CONFIRMATION_LIMIT_MILLISECONDS
     : Math.max(
         revocationMilliseconds / 2,
         revocationMilliseconds - REVOCATION_MARGIN_MILLISECONDS,
--- a/src/programs/router/routerPorts.ts
+++ b/src/programs/router/routerPorts.ts
@@ -8,9 +8,9 @@
 /** Ports to the platform that the router runs on. */
 export interface RouterPorts {
   readonly table: TableService;
-  readonly configurations: ConfigurationSource;
+  readonly configurationSource: ConfigurationSource;
   readonly upstreams: UpstreamSource;
-  readonly control: UpstreamControl;
+  readonly upstreamControl: UpstreamControl;
   readonly wire: Wire;
   readonly directory: DirectoryProtocol;
 }
--- a/src/programs/router/routerProgram.ts
+++ b/src/programs/router/routerProgram.ts
@@ -12,8 +12,8 @@
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 import {serveRpc} from '../../infrastructure/rpc/node/rpc.js';
 import {CallerListener} from './callerListener.js';
-import {watchLoop} from './loopWatch.js';
-import {createRouterParts, RouterParts} from './routerParts.js';
+import {monitorEventLoop} from './eventLoopMonitor.js';
+import {createRouterComponents, RouterComponents} from './routerComponents.js';
 import {switchedOff} from '../../features/mechanisms/common/mechanisms.js';
 import {RouterPorts} from './routerPorts.js';
 import {RouterSettings} from './routerSettings.js';
@@ -22,31 +22,31 @@
 const ADDRESS_LIMIT = 64;
 
 /** Upper limit of the time to live of addresses. Callers may try a lost instance for this long; queries are cheap. */
-const ADDRESS_SECONDS = 1;
+const ADDRESS_LIFETIME_SECONDS = 1;
 
 /** Period at which the state of this instance is updated. */
-const STATE_MILLISECONDS = 150;
+const STATE_PERIOD_MILLISECONDS = 150;
 
 /** File descriptors reserved for connections to upstreams, peers and the platform. */
 const RESERVED_DESCRIPTORS = 1_200;
-const LEAST_CALLER_CONNECTIONS = 256;
+const MINIMUM_CALLER_CONNECTIONS = 256;
 
 /** Response to address queries while no instance serves; callers then ask another instance. */
-const NONE_SERVING: TextAnswer = jsonAnswer({}, 503);
+const NOT_SERVING_RESPONSE: TextAnswer = jsonAnswer({}, 503);
 
 const METRICS_PATH = '/metrics';
-const METRICS_TYPE = 'text/plain; version=0.0.4';
+const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4';
 
 /** Shares of the shutdown time after which idle connections are closed and new requests are refused. */
-const IDLE_CLOSE_SHARE = 0.4;
-const REFUSE_SHARE = 0.55;
+const CLOSE_IDLE_SHARE = 0.4;
+const REFUSE_NEW_SHARE = 0.55;
 /** Time reserved for an orderly exit before the platform kills the process. */
 const EXIT_MARGIN_MILLISECONDS = 400;
 
 /** Runs one instance of the router. */
 export class RouterProgram {
   private readonly owned = new DisposableStore();
-  private readonly parts: RouterParts;
+  private readonly components: RouterComponents;
   private readonly callers: CallerListener;
   private isStopping = false;
 
@@ -57,7 +57,7 @@
     random: RandomSource,
     private readonly logger: Logger,
   ) {
-    this.parts = createRouterParts(
+    this.components = createRouterComponents(
       settings,
       ports,
       clock,
@@ -68,9 +68,9 @@
     this.callers = new CallerListener(
       clock,
       logger,
-      this.parts.handler,
+      this.components.handler,
       Math.max(
-        LEAST_CALLER_CONNECTIONS,
+        MINIMUM_CALLER_CONNECTIONS,
         settings.descriptorLimit - RESERVED_DESCRIPTORS,
       ),
     );
@@ -78,21 +78,30 @@
 
   /** Resolves once the instance listens on all addresses. */
   async start(): Promise<void> {
-    const {keeper, follower, lister, talk, layers} = this.parts;
+    const {
+      activeConfiguration,
+      configurationFollower,
+      upstreamLister,
+      gossip,
+      layers,
+    } = this.components;
     this.owned.add(
-      keeper.onDidChange(({configuration}) =>
+      activeConfiguration.onDidChange(({configuration}) =>
         this.callers.setLimits(configuration.limits),
       ),
     );
-    void follower.run();
-    lister.start();
+    void configurationFollower.run();
+    upstreamLister.start();
     await this.listen();
-    talk.start();
+    gossip.start();
     layers.start();
-    const timer = setInterval(() => this.updateState(), STATE_MILLISECONDS);
+    const timer = setInterval(
+      () => this.updateState(),
+      STATE_PERIOD_MILLISECONDS,
+    );
     this.owned.add(toDisposable(() => clearInterval(timer)));
-    this.owned.add(watchLoop(this.clock, this.logger));
-    this.owned.add(keeper.onDidConfirm(() => this.updateState()));
+    this.owned.add(monitorEventLoop(this.clock, this.logger));
+    this.owned.add(activeConfiguration.onDidConfirm(() => this.updateState()));
     const {instance, listen} = this.settings;
     this.logger.info('started', {
       switchedOff: switchedOff(this.settings.mechanisms),
@@ -105,30 +114,34 @@
   /** Shuts down within the time that the platform allows, finishing requests in progress as far as possible. */
   async stop(): Promise<void> {
     const {stopMilliseconds} = this.settings;
-    const begin = this.clock.monotonicMilliseconds();
-    const {handler, instances} = this.parts;
+    const stopStartedAt = this.clock.monotonicMilliseconds();
+    const {handler, instances} = this.components;
     this.isStopping = true;
     instances.state = 'stopping';
     this.logger.info('stopping', {inProgress: handler.count});
-    this.callers.closeAfterAnswers();
+    this.callers.closeAfterResponses();
     void this.leave();
-    const until = (milliseconds: number): Promise<void> =>
-      this.sleep(begin + milliseconds - this.clock.monotonicMilliseconds());
-    await until(stopMilliseconds * IDLE_CLOSE_SHARE);
+    const sleepUntil = (milliseconds: number): Promise<void> =>
+      this.sleep(
+        stopStartedAt + milliseconds - this.clock.monotonicMilliseconds(),
+      );
+    await sleepUntil(stopMilliseconds * CLOSE_IDLE_SHARE);
     this.callers.closeIdle();
     await Promise.race([
       handler.idle(),
-      until(stopMilliseconds * REFUSE_SHARE),
+      sleepUntil(stopMilliseconds * REFUSE_NEW_SHARE),
     ]);
     handler.refuseNew();
     this.callers.stopListening();
     await Promise.race([
       handler.idle(),
-      until(stopMilliseconds - EXIT_MARGIN_MILLISECONDS),
+      sleepUntil(stopMilliseconds - EXIT_MARGIN_MILLISECONDS),
     ]);
     this.logger.info('stopped', {
       unfinished: handler.count,
-      milliseconds: Math.round(this.clock.monotonicMilliseconds() - begin),
+      milliseconds: Math.round(
+        this.clock.monotonicMilliseconds() - stopStartedAt,
+      ),
     });
     this.dispose();
   }
@@ -139,9 +152,9 @@
   }
 
   private async leave(): Promise<void> {
-    const {layers, registry, talk} = this.parts;
+    const {layers, registry, gossip} = this.components;
     await Promise.all([
-      talk.exchangeWithAll(neverCancelled),
+      gossip.exchangeWithAll(neverCancelled),
       layers.leave(neverCancelled),
     ]);
     await registry.withdraw(this.settings.instance.name, neverCancelled);
@@ -157,16 +170,16 @@
     if (this.isStopping) {
       return;
     }
-    const {instances, keeper} = this.parts;
-    instances.state = keeper.isConfirmed ? 'serving' : 'unready';
+    const {instances, activeConfiguration} = this.components;
+    instances.state = activeConfiguration.isConfirmed ? 'serving' : 'unready';
   }
 
   private async listen(): Promise<void> {
     const {listen, peerKey} = this.settings;
     const {directory} = this.ports;
-    const {talk, metrics} = this.parts;
-    const news = createGossipRouter(input => talk.answer(input));
-    this.owned.add(await serveRpc(news, listen.peers, peerKey));
+    const {gossip, metrics} = this.components;
+    const gossipRouter = createGossipRouter(input => gossip.answer(input));
+    this.owned.add(await serveRpc(gossipRouter, listen.peers, peerKey));
     this.owned.add(
       await serveText(listen.readiness, {
         [directory.readinessPath]: () => this.readiness(),
@@ -183,7 +196,7 @@
       await serveText(listen.metrics, {
         [METRICS_PATH]: async () => ({
           status: 200,
-          contentType: METRICS_TYPE,
+          contentType: METRICS_CONTENT_TYPE,
           body: await metrics.metrics(),
         }),
       }),
@@ -192,19 +205,22 @@
   }
 
   private readiness(): TextAnswer {
-    const {state} = this.parts.instances;
+    const {state} = this.components.instances;
     return jsonAnswer({state}, state === 'serving' ? 200 : 503);
   }
 
   private addresses(query: URLSearchParams): TextAnswer {
     const {directory} = this.ports;
-    const question = directory.parseAddressQuery(query);
-    const {serving} = this.parts.instances;
+    const addressQuery = directory.parseAddressQuery(query);
+    const {serving} = this.components.instances;
     if (serving.length === 0) {
-      return NONE_SERVING;
+      return NOT_SERVING_RESPONSE;
     }
-    const addresses = chooseAddresses(question, serving, ADDRESS_LIMIT);
-    const seconds = Math.min(ADDRESS_SECONDS, this.settings.addressSeconds);
+    const addresses = chooseAddresses(addressQuery, serving, ADDRESS_LIMIT);
+    const seconds = Math.min(
+      ADDRESS_LIFETIME_SECONDS,
+      this.settings.addressSeconds,
+    );
     return jsonAnswer(directory.formatAddresses(addresses, seconds));
   }
 }
