--- a/src/features/instances/test/upstreamListExchange.test.ts
+++ b/src/features/instances/test/upstreamListExchange.test.ts
@@ -27,42 +27,42 @@
 describe('the list of upstreams in a response', () => {
   const cases: ReadonlyArray<{
     name: string;
-    ownList: readonly Upstream[];
-    ownListAge: number;
+    known: readonly Upstream[];
+    knownAge: number;
     peerList: readonly Upstream[];
     peerListAge: number;
     expectedList: readonly Upstream[];
-    expectedAge: number;
+    age: number;
     hasEntries: boolean;
   }> = [
     {
       name: 'has entries when it differs from the list of the requester',
-      ownList: [one, two],
-      ownListAge: 500,
+      known: [one, two],
+      knownAge: 500,
       peerList: [leaving, two],
       peerListAge: 100,
       expectedList: [leaving, two],
-      expectedAge: 100,
+      age: 100,
       hasEntries: true,
     },
     {
       name: 'only renews the age when the lists are equal',
-      ownList: [one, two],
-      ownListAge: 500,
+      known: [one, two],
+      knownAge: 500,
       peerList: [two, one],
       peerListAge: 100,
       expectedList: [one, two],
-      expectedAge: 100,
+      age: 100,
       hasEntries: false,
     },
     {
       name: 'has no effect when it is older',
-      ownList: [leaving, two],
-      ownListAge: 100,
+      known: [leaving, two],
+      knownAge: 100,
       peerList: [one, two],
       peerListAge: 500,
       expectedList: [leaving, two],
-      expectedAge: 100,
+      age: 100,
       hasEntries: false,
     },
   ];
@@ -72,10 +72,7 @@
     clock.advance(10_000);
     const requester = new UpstreamDirectory(clock, new SilentLogger());
     const peer = new UpstreamDirectory(clock, new SilentLogger());
-    requester.replace(
-      row.ownList,
-      momentBefore(momentOf(clock), row.ownListAge),
-    );
+    requester.replace(row.known, momentBefore(momentOf(clock), row.knownAge));
     peer.replace(row.peerList, momentBefore(momentOf(clock), row.peerListAge));
     const exchange = new UpstreamListExchange(requester);
     const response = new UpstreamListExchange(peer).createResponse(
@@ -84,7 +81,7 @@
     expect(response?.upstreams !== undefined).toBe(row.hasEntries);
     exchange.applyResponse(response, momentOf(clock));
     expect(requester.list).toEqual(row.expectedList);
-    expect(requester.age).toBe(row.expectedAge);
+    expect(requester.age).toBe(row.age);
   });
 
   it('is dated from the request when the response is late', () => {
@@ -188,7 +185,7 @@
     readonly source = new SharedSource([one, two]);
     readonly directories: UpstreamDirectory[] = [];
     private readonly listers: UpstreamLister[] = [];
-    private readonly stopped = new Set<number>();
+    private readonly lost = new Set<number>();
     private readonly exchanges: UpstreamListExchange[] = [];
     private readonly random = new SeededRandomSource(5);
 
@@ -215,7 +212,7 @@
 
     /** Stops an instance. */
     stop(index: number): void {
-      this.stopped.add(index);
+      this.lost.add(index);
       this.listers[index]!.dispose();
     }
 
@@ -225,7 +222,7 @@
         await this.clock.advanceAsync(STEP_MILLISECONDS);
         this.exchanges.forEach((_, index) => this.runRound(index));
         const ages = this.directories
-          .filter((_, index) => !this.stopped.has(index))
+          .filter((_, index) => !this.lost.has(index))
           .map(({age}) => age);
         oldest = Math.max(oldest, ...ages);
       }
@@ -237,13 +234,13 @@
       const now = moment.monotonic;
       const phase = (index * ROUND_MILLISECONDS) / INSTANCE_COUNT;
       const isDue = (now - phase) % ROUND_MILLISECONDS < STEP_MILLISECONDS;
-      if (!this.isShared || this.stopped.has(index) || now < phase || !isDue) {
+      if (!this.isShared || this.lost.has(index) || now < phase || !isDue) {
         return;
       }
       const requester = this.exchanges[index]!;
       for (let count = 0; count < PEERS_PER_ROUND; count++) {
         const peer = count === 0 ? 0 : this.random.nextInteger(INSTANCE_COUNT);
-        if (!this.stopped.has(peer)) {
+        if (!this.lost.has(peer)) {
           requester.applyResponse(
             this.exchanges[peer]!.createResponse(requester.own),
             moment,
