--- a/deploy/bundle.js
+++ b/deploy/bundle.js
@@ -15,7 +15,7 @@
 const ABSENT = resolve('deploy/absentModule.cjs');
 
 /** Creates the code cache after loading the bundle once, so that it includes the functions that run on load. */
-function compile() {
+function createCodeCache() {
   const script = new Script(readFileSync(BUNDLE, 'utf8'), {filename: BUNDLE});
   const bundle = {exports: {}};
   script.runInThisContext()(bundle.exports, createRequire(BUNDLE), bundle);
@@ -27,7 +27,7 @@
   outfile: BUNDLE,
   bundle: true,
   minify: true,
-  // Stack traces of unexpected errors in the log need function names.
+  // Log lines of unexpected errors contain names of functions and classes.
   keepNames: true,
   platform: 'node',
   target: 'node20',
@@ -43,5 +43,5 @@
     'source-map-support': ABSENT,
   },
 });
-writeFileSync('target/router.compiled', compile());
+writeFileSync('target/router.compiled', createCodeCache());
 copyFileSync('deploy/launch.cjs', 'target/redwing-router.cjs');
--- a/deploy/launch.cjs
+++ b/deploy/launch.cjs
@@ -8,12 +8,12 @@
  * time. Node.js rejects a code cache that doesn't match it and compiles the source instead.
  */
 
-const SOURCE = join(__dirname, 'router.bundle');
-const COMPILED = join(__dirname, 'router.compiled');
+const SOURCE_FILE = join(__dirname, 'router.bundle');
+const CODE_CACHE_FILE = join(__dirname, 'router.compiled');
 
-function readCompiled() {
+function readCodeCache() {
   try {
-    return readFileSync(COMPILED);
+    return readFileSync(CODE_CACHE_FILE);
   } catch (error) {
     process.stderr.write(
       `code cache not readable, compiling the source: ${error.message}\n`,
@@ -22,9 +22,9 @@
   }
 }
 
-const script = new Script(readFileSync(SOURCE, 'utf8'), {
-  filename: SOURCE,
-  cachedData: readCompiled(),
+const script = new Script(readFileSync(SOURCE_FILE, 'utf8'), {
+  filename: SOURCE_FILE,
+  cachedData: readCodeCache(),
 });
 if (script.cachedDataRejected) {
   process.stderr.write(
--- a/src/features/instances/common/gossipMessage.ts
+++ b/src/features/instances/common/gossipMessage.ts
@@ -36,7 +36,7 @@
   readonly lost: readonly string[];
 }
 
-/** Maximum entries of each list in a message. Senders truncate longer lists and leave out a longer list of upstreams. */
+/** Maximum entries of each list in a message. Senders truncate longer lists, but omit a longer list of upstreams. */
 export const MESSAGE_LIST_LIMIT = 4_096;
 
 const text = zod.string().max(200);
--- a/src/features/instances/common/instanceRegistry.ts
+++ b/src/features/instances/common/instanceRegistry.ts
@@ -71,7 +71,7 @@
       token,
     );
     if (!written.ok) {
-      this.logger.warn('instance row not confirmed as written', {
+      this.logger.warn('instance row write not confirmed', {
         key,
         ...written.error,
       });
--- a/src/features/instances/common/instanceTable.ts
+++ b/src/features/instances/common/instanceTable.ts
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Records that this run of a peer responded to a request that was sent at a monotonic time, and so was alive then. */
+  /** Records that a run of a peer responded to a request sent at a monotonic time, so that it was alive then. */
   recordResponse({name, startedAt}: InstanceRecord, requestedAt: number): void {
     this.lastResponses.set(name, {startedAt, requestedAt});
   }
--- a/src/features/instances/node/peerGossip.ts
+++ b/src/features/instances/node/peerGossip.ts
@@ -36,7 +36,10 @@
 /** Rounds between two reads of the instance registry; gossip usually announces new instances sooner. */
 const ROUNDS_PER_REGISTRY_READ = 40;
 
-/** Time without a message of the lease holder after which its row is read again; it contacts each peer about twice a second. */
+/**
+ * Time without a message of the lease holder after which the lease row is read again. The holder contacts each
+ * peer about twice a second.
+ */
 const LEASE_HOLDER_TIMEOUT_MILLISECONDS = 1_000;
 
 /** State that is sent to peers or updated from their messages. */
--- a/src/features/traffic/common/configurationFollower.ts
+++ b/src/features/traffic/common/configurationFollower.ts
@@ -25,7 +25,7 @@
  */
 const LONG_POLL_SHARE = 0.4;
 
-/** Linear back-off after failed calls: step and upper limit. The limit bounds the time to detect that the source is back. */
+/** Step and limit of the linear back-off after failed calls. The limit bounds the delay in detecting recovery. */
 const RETRY_STEP_MILLISECONDS = 100;
 const RETRY_LIMIT_MILLISECONDS = 400;
 
