--- a/src/programs/router/routerParts.ts
+++ b/src/programs/router/routerComponents.ts
@@ -22,7 +22,7 @@
 import {InstanceRecord} from '../../features/instances/common/instance.js';
 import {InstanceRegistry} from '../../features/instances/common/instanceRegistry.js';
 import {InstanceTable} from '../../features/instances/common/instanceTable.js';
-import {PeerTalk} from '../../features/instances/node/peerTalk.js';
+import {PeerGossip} from '../../features/instances/node/peerGossip.js';
 import {
   LayerController,
   LEASE_STEP_MILLISECONDS,
@@ -36,69 +36,69 @@
 import {RouterPorts} from './routerPorts.js';
 import {RouterSettings} from './routerSettings.js';
 
-/** Constructs the parts of the router. */
+/** Constructs the components of the router. */
 
-/** Name of the lease for giving orders about layers. */
+/** Key of the lease whose holder orders upstreams to load layers. */
 const LEASE_KEY = 'leases/layers';
 
-/** Four steps of the lease, so that two lost answers do not lose it. */
-const LEASE_MILLISECONDS = 4 * LEASE_STEP_MILLISECONDS;
+/** Duration of the lease: four renewal steps, so that it outlasts two lost responses. */
+const LEASE_DURATION_MILLISECONDS = 4 * LEASE_STEP_MILLISECONDS;
 
-/** The lease is not used at its very end: clocks may run at slightly different speeds. */
+/** Time before expiry from which the lease is not used, since clocks may run at slightly different rates. */
 const LEASE_MARGIN_MILLISECONDS = 300;
 
-/** Longest call for the lease. */
-const LEASE_CALL_MILLISECONDS = 500;
+/** Timeout of a call that reads or writes the lease. */
+const LEASE_CALL_TIMEOUT_MILLISECONDS = 500;
 
-/** Part of the bound for revoked keys that is left for a request to reach its upstream. */
+/** Part of the revocation bound that is reserved for a request to reach its upstream. */
 const REVOCATION_MARGIN_MILLISECONDS = 700;
 
-/** A configuration that nobody confirms is used for this long where revoked keys have no bound. */
-const UNBOUNDED_CONFIRMATION_MILLISECONDS = 60_000;
+/** Time for which an unconfirmed configuration is used when there is no revocation bound. */
+const DEFAULT_CONFIRMATION_LIMIT_MILLISECONDS = 60_000;
 
-/** The parts that the program starts and stops. */
-export interface RouterParts {
-  readonly keeper: ConfigurationKeeper;
-  readonly follower: ConfigurationFollower;
+/** Components that the program starts, stops or serves. */
+export interface RouterComponents {
+  readonly activeConfiguration: ConfigurationKeeper;
+  readonly configurationFollower: ConfigurationFollower;
   readonly directory: UpstreamDirectory;
-  readonly lister: UpstreamLister;
+  readonly upstreamLister: UpstreamLister;
   readonly instances: InstanceTable;
   readonly registry: InstanceRegistry;
-  readonly talk: PeerTalk;
+  readonly gossip: PeerGossip;
   readonly layers: LayerController;
   readonly handler: RequestHandler;
   readonly metrics: Registry;
 }
 
-/** Builds all parts; they are released with the store. */
-export function createRouterParts(
+/** Constructs all components; `owned` disposes of them. */
+export function createRouterComponents(
   settings: RouterSettings,
   ports: RouterPorts,
   clock: Clock,
   random: RandomSource,
   logger: Logger,
   owned: DisposableStore,
-): RouterParts {
+): RouterComponents {
   const {mechanisms} = settings;
-  const own: InstanceRecord = {
+  const ownRecord: InstanceRecord = {
     ...settings.instance,
     startedAt: clock.wallMilliseconds(),
     callerAddress: settings.listen.callers,
     peerAddress: settings.listen.peers,
   };
-  const keeper = owned.add(
+  const activeConfiguration = owned.add(
     new ConfigurationKeeper(clock, logger, confirmationLimit(settings)),
   );
   const directory = owned.add(new UpstreamDirectory(clock, logger));
   const suspicions = owned.add(new Suspicions(clock, logger));
-  const instances = new InstanceTable(clock, logger, own);
+  const instances = new InstanceTable(clock, logger, ownRecord);
   const registry = new InstanceRegistry(ports.table, logger);
   const load = new UpstreamLoad();
   const slowness = owned.add(new Slowness(clock, logger));
   const trials = owned.add(
     new UpstreamTrials(
       clock,
-      ports.control,
+      ports.upstreamControl,
       directory,
       suspicions,
       slowness,
@@ -109,7 +109,7 @@
   const outcomes = new OutcomeHistory(clock);
   const readingBacklog = new ReadingBacklog(
     clock,
-    () => instances.size,
+    () => instances.instanceCount,
     id => slowness.of(id),
   );
   owned.add(
@@ -131,19 +131,23 @@
     metrics: new RequestMetrics(metrics),
     wire: ports.wire,
     connector,
-    control: ports.control,
-    configuration: keeper,
+    control: ports.upstreamControl,
+    configuration: activeConfiguration,
     directory,
     suspicions,
     trials,
     load,
-    linkLoad: new LinkLoad(clock, () => instances.size),
+    linkLoad: new LinkLoad(clock, () => instances.instanceCount),
     readingBacklog,
     slowness,
-    budget: new RetryBudget(clock, settings.retries, () => instances.size),
+    budget: new RetryBudget(
+      clock,
+      settings.retries,
+      () => instances.instanceCount,
+    ),
     outcomes,
   };
-  const watch = owned.add(
+  const streamWatch = owned.add(
     new StreamWatch(
       clock,
       directory,
@@ -156,21 +160,21 @@
   );
   const lease = new TableLease(
     LEASE_KEY,
-    formatHolder(own),
+    formatHolder(ownRecord),
     ports.table,
     clock,
     randomUUID,
     {
-      durationMilliseconds: LEASE_MILLISECONDS,
+      durationMilliseconds: LEASE_DURATION_MILLISECONDS,
       marginMilliseconds: LEASE_MARGIN_MILLISECONDS,
-      callMilliseconds: LEASE_CALL_MILLISECONDS,
-      // Upstreams are lost while the store is away, too, and check fencing numbers.
+      callMilliseconds: LEASE_CALL_TIMEOUT_MILLISECONDS,
+      // Lost upstreams must be replaced during an outage of the store, too. Upstreams check fencing numbers.
       actsUnrenewed: true,
     },
     (holder, since) => hasHolderEnded(instances, holder, since),
   );
-  const talk = owned.add(
-    new PeerTalk(clock, random, logger, own, settings.peerKey, {
+  const gossip = owned.add(
+    new PeerGossip(clock, random, logger, ownRecord, settings.peerKey, {
       instances,
       registry,
       directory,
@@ -183,45 +187,50 @@
     }),
   );
   return {
-    keeper,
+    activeConfiguration,
     directory,
     instances,
     registry,
     metrics,
-    follower: owned.add(
-      new ConfigurationFollower(clock, logger, ports.configurations, keeper),
+    configurationFollower: owned.add(
+      new ConfigurationFollower(
+        clock,
+        logger,
+        ports.configurationSource,
+        activeConfiguration,
+      ),
     ),
-    lister: owned.add(
+    upstreamLister: owned.add(
       new UpstreamLister(
         clock,
         random,
         logger,
         ports.upstreams,
         directory,
-        () => instances.listAgeLimit,
+        () => instances.listAgeLimitMilliseconds,
       ),
     ),
-    talk,
+    gossip,
     layers: owned.add(
       new LayerController(
         clock,
         random,
         logger,
         lease,
-        ports.control,
-        keeper,
+        ports.upstreamControl,
+        activeConfiguration,
         directory,
         suspicions,
         slowness,
         mechanisms,
-        () => talk.isHolderHeard,
+        () => gossip.isLeaseHolderLive,
       ),
     ),
-    handler: new RequestHandler(services, watch),
+    handler: new RequestHandler(services, streamWatch),
   };
 }
 
-/** A run of an instance as the holder of a lease: the name, a space, the start. */
+/** Formats a run of an instance as a lease holder: the name, a space and the start time. */
 function formatHolder({name, startedAt}: InstanceRecord): string {
   return `${name} ${startedAt}`;
 }
@@ -231,18 +240,18 @@
   holder: string,
   writtenBefore: number,
 ): boolean {
-  const space = holder.lastIndexOf(' ');
-  const startedAt = Number(holder.slice(space + 1));
+  const separator = holder.lastIndexOf(' ');
+  const startedAt = Number(holder.slice(separator + 1));
   return (
-    space > 0 &&
+    separator > 0 &&
     Number.isFinite(startedAt) &&
-    instances.hasEnded(holder.slice(0, space), startedAt, writtenBefore)
+    instances.hasRunEnded(holder.slice(0, separator), startedAt, writtenBefore)
   );
 }
 
 function confirmationLimit({revocationMilliseconds}: RouterSettings): number {
   return revocationMilliseconds === undefined
-    ? UNBOUNDED_CONFIRMATION_MILLISECONDS
+    ? DEFAULT_CONFIRMATION_LIMIT_MILLISECONDS
     : Math.max(
         revocationMilliseconds / 2,
         revocationMilliseconds - REVOCATION_MARGIN_MILLISECONDS,
--- a/src/programs/router/routerPorts.ts
+++ b/src/programs/router/routerPorts.ts
@@ -5,12 +5,12 @@
 import {ConfigurationSource} from '../../features/traffic/common/configurationSource.js';
 import {TableService} from '../../infrastructure/table/common/tableService.js';
 
-/** What the router needs of the platform that it runs on. */
+/** Ports to the platform that the router runs on. */
 export interface RouterPorts {
   readonly table: TableService;
-  readonly configurations: ConfigurationSource;
+  readonly configurationSource: ConfigurationSource;
   readonly upstreams: UpstreamSource;
-  readonly control: UpstreamControl;
+  readonly upstreamControl: UpstreamControl;
   readonly wire: Wire;
   readonly directory: DirectoryProtocol;
 }
