--- a/src/features/fleet/common/slowness.ts
+++ b/src/features/fleet/common/slownessTracker.ts
@@ -30,12 +30,12 @@
  * Tracks the factor by which each upstream is slower than its kind, as reported. Peers receive only readings of this
  * instance, with their age: readings relayed from peer to peer would outlast the slowdown.
  */
-export class Slowness extends DisposableOwner {
+export class SlownessTracker extends DisposableOwner {
   private readonly becameSlow = this.register(new Emitter<string>());
   private readonly readings = new Map<string, StoredReading>();
 
   /** Fires with the identifier of an upstream that becomes slow. */
-  readonly onDidSlow = this.becameSlow.event;
+  readonly onDidBecomeSlow = this.becameSlow.event;
 
   constructor(
     private readonly clock: Clock,
@@ -45,18 +45,18 @@
   }
 
   /** Records a factor that an upstream reported to this instance just now. */
-  note(upstream: string, factor: number): void {
+  recordOwn(upstream: string, factor: number): void {
     this.update(upstream, {factor, at: this.now(), isOwn: true});
   }
 
   /** Records a factor that an upstream reported to a peer. */
-  hear({upstream, factor, ageMilliseconds}: SlownessReading): void {
+  recordFromPeer({upstream, factor, ageMilliseconds}: SlownessReading): void {
     const at = this.now() - ageMilliseconds;
     this.update(upstream, {factor, at, isOwn: false});
   }
 
   /** The current factor of an upstream; 1 if it is healthy or has no valid reading. */
-  of(upstream: string): number {
+  factorOf(upstream: string): number {
     const known = this.readings.get(upstream);
     const isEffective =
       known !== undefined &&
@@ -67,7 +67,7 @@
 
   /** Whether an upstream is so slow that its requests should run elsewhere. */
   isSlow(upstream: string): boolean {
-    return this.of(upstream) >= SLOW_FACTOR;
+    return this.factorOf(upstream) >= SLOW_FACTOR;
   }
 
   /** Readings of slow upstreams by this instance itself, to be sent to peers. */
@@ -92,9 +92,9 @@
     if (!isNewer) {
       return;
     }
-    const before = this.of(upstream);
+    const before = this.factorOf(upstream);
     this.readings.set(upstream, reading);
-    const factor = this.of(upstream);
+    const factor = this.factorOf(upstream);
     if (factor >= SLOW_FACTOR && before < SLOW_FACTOR) {
       const age = Math.round(this.now() - reading.at);
       this.logger.decision('upstreamSlow', {upstream, factor, before, age});
--- a/src/features/fleet/common/suspicions.ts
+++ b/src/features/fleet/common/suspicionTracker.ts
@@ -40,10 +40,10 @@
 }
 
 /** Interval between probes of a suspected upstream. */
-export const TRIAL_PERIOD_MILLISECONDS = 500;
+export const PROBE_PERIOD_MILLISECONDS = 500;
 
 /** Upstreams that are suspected of a failure. They get no new work until they answer a probe. */
-export class Suspicions extends DisposableOwner {
+export class SuspicionTracker extends DisposableOwner {
   private readonly begun = this.register(new Emitter<Suspicion>());
   private readonly suspected = new Map<string, Suspicion>();
   private readonly refusals = new Map<string, RefusalStreak>();
@@ -111,7 +111,7 @@
   }
 
   /** Whether an upstream is suspected for any reason. */
-  has(upstream: string): boolean {
+  isSuspect(upstream: string): boolean {
     return this.suspected.has(upstream);
   }
 
@@ -136,7 +136,7 @@
 
   /** Whether an upstream has been lost for so long that it left at least one further probe unanswered. */
   isLongLost(upstream: string): boolean {
-    return this.isLostFor(upstream, 1.5 * TRIAL_PERIOD_MILLISECONDS);
+    return this.isLostFor(upstream, 1.5 * PROBE_PERIOD_MILLISECONDS);
   }
 
   get all(): readonly Suspicion[] {
--- a/src/features/fleet/common/upstreamControl.ts
+++ b/src/features/fleet/common/upstreamControl.ts
@@ -41,7 +41,7 @@
   /** Number of orders that the upstream must have accepted before, so that a delayed duplicate has no effect. */
   readonly expectedOrders: number;
   /** Whether running requests on released layers are aborted; otherwise the upstream waits for their end. */
-  readonly cutsOff: boolean;
+  readonly abortsRequests: boolean;
 }
 
 /** Reads reports of upstreams and sends them orders. All time limits are in milliseconds. */
--- a/src/features/fleet/common/upstreamLister.ts
+++ b/src/features/fleet/common/upstreamListRefresher.ts
@@ -19,7 +19,7 @@
 const MAX_LOGGED_FINDINGS = 8;
 
 /** Refreshes the upstream directory from the platform when its list is too old. */
-export class UpstreamLister extends DisposableOwner {
+export class UpstreamListRefresher extends DisposableOwner {
   private readonly task: RepeatingTask;
   private isUnreadable = false;
   private lastFindings = '';
--- a/src/features/fleet/common/upstreamLoad.ts
+++ b/src/features/fleet/common/upstreamLoadTracker.ts
@@ -1,5 +1,5 @@
 /** Load of the requests in progress on an upstream. */
-export interface LoadFigure {
+export interface RequestLoad {
   readonly requests: number;
   /**
    * KV-cache use: the sum of tokens of prompt and expected output, times the layers that the request uses here. A path
@@ -8,7 +8,7 @@
   readonly tokenLayers: number;
 }
 
-const NO_LOAD: LoadFigure = {requests: 0, tokenLayers: 0};
+const NO_LOAD: RequestLoad = {requests: 0, tokenLayers: 0};
 
 /** Time after which the load from a peer is dropped; peers send it about every half second. */
 const PEER_LOAD_LIFETIME_MILLISECONDS = 3_000;
@@ -16,17 +16,17 @@
 /** The load that a peer has put on upstreams. */
 interface PeerLoad {
   readonly receivedAt: number;
-  readonly loadByUpstream: ReadonlyMap<string, LoadFigure>;
+  readonly loadByUpstream: ReadonlyMap<string, RequestLoad>;
 }
 
 /**
  * Tracks the load on each upstream as the sum of the loads that this instance and its peers have put on it. Reports
  * of upstreams arrive late and are charged; here only the share of the peers is delayed.
  */
-export class UpstreamLoad {
-  private readonly own = new Map<string, LoadFigure>();
+export class UpstreamLoadTracker {
+  private readonly own = new Map<string, RequestLoad>();
   private readonly peers = new Map<string, PeerLoad>();
-  private readonly peerTotals = new Map<string, LoadFigure>();
+  private readonly peerTotals = new Map<string, RequestLoad>();
 
   /** Adds a request on an upstream. */
   add(upstream: string, tokenLayers: number): void {
@@ -39,22 +39,22 @@
   }
 
   /** The load from this instance alone, to be sent to peers. */
-  get ownFigures(): ReadonlyMap<string, LoadFigure> {
+  get ownLoads(): ReadonlyMap<string, RequestLoad> {
     return this.own;
   }
 
   /** Replaces the load from a peer, received at a time in monotonic milliseconds. */
-  setPeer(
+  setPeerLoad(
     peer: string,
     receivedAt: number,
-    loadByUpstream: ReadonlyMap<string, LoadFigure>,
+    loadByUpstream: ReadonlyMap<string, RequestLoad>,
   ): void {
     this.peers.set(peer, {receivedAt, loadByUpstream});
     this.updatePeerTotals(receivedAt);
   }
 
   /** The load on an upstream from this instance and the peers heard of recently. */
-  of(upstream: string): LoadFigure {
+  totalOf(upstream: string): RequestLoad {
     const own = this.own.get(upstream) ?? NO_LOAD;
     const others = this.peerTotals.get(upstream) ?? NO_LOAD;
     return {
@@ -93,7 +93,10 @@
   }
 }
 
-function addLoads(left: LoadFigure | undefined, right: LoadFigure): LoadFigure {
+function addLoads(
+  left: RequestLoad | undefined,
+  right: RequestLoad,
+): RequestLoad {
   return {
     requests: (left?.requests ?? 0) + right.requests,
     tokenLayers: (left?.tokenLayers ?? 0) + right.tokenLayers,
--- a/src/features/fleet/test/fleet.test.ts
+++ b/src/features/fleet/test/fleet.test.ts
@@ -2,10 +2,10 @@
 
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {FakeClock} from '../../../../test/support/fakeClock.js';
-import {Slowness} from '../common/slowness.js';
-import {Suspicions} from '../common/suspicions.js';
+import {SlownessTracker} from '../common/slownessTracker.js';
+import {SuspicionTracker} from '../common/suspicionTracker.js';
 import {UpstreamDirectory} from '../common/upstreamDirectory.js';
-import {UpstreamLoad} from '../common/upstreamLoad.js';
+import {UpstreamLoadTracker} from '../common/upstreamLoadTracker.js';
 import {makeUpstream} from './upstreams.js';
 
 const one = makeUpstream({id: 'one', address: '10.0.0.1:1'});
@@ -92,11 +92,14 @@
 
 describe('suspicions', () => {
   it('end with an answered probe', () => {
-    const suspicions = new Suspicions(new FakeClock(), new SilentLogger());
+    const suspicions = new SuspicionTracker(
+      new FakeClock(),
+      new SilentLogger(),
+    );
     suspicions.suspect('one', 'silent', {});
-    expect(suspicions.has('one')).toBe(true);
+    expect(suspicions.isSuspect('one')).toBe(true);
     suspicions.clear('one', 'answered');
-    expect(suspicions.has('one')).toBe(false);
+    expect(suspicions.isSuspect('one')).toBe(false);
   });
 
   it.each([
@@ -108,7 +111,7 @@
     'exclude an upstream that refused $refusals times for $ends ms despite answered probes',
     ({refusals, holds, ends}) => {
       const clock = new FakeClock();
-      const suspicions = new Suspicions(clock, new SilentLogger());
+      const suspicions = new SuspicionTracker(clock, new SilentLogger());
       for (let count = 1; count < refusals; count++) {
         suspicions.suspect('one', 'refusing', {});
         clock.advance(5000);
@@ -117,10 +120,10 @@
       suspicions.suspect('one', 'refusing', {});
       clock.advance(holds);
       suspicions.clear('one', 'answered');
-      expect(suspicions.has('one')).toBe(true);
+      expect(suspicions.isSuspect('one')).toBe(true);
       clock.advance(ends - holds);
       suspicions.clear('one', 'answered');
-      expect(suspicions.has('one')).toBe(false);
+      expect(suspicions.isSuspect('one')).toBe(false);
     },
   );
 
@@ -133,7 +136,10 @@
   ] as const)(
     'raised for $reasons in a row fire events for $told',
     async ({reasons, told, lost}) => {
-      const suspicions = new Suspicions(new FakeClock(), new SilentLogger());
+      const suspicions = new SuspicionTracker(
+        new FakeClock(),
+        new SilentLogger(),
+      );
       const heard: string[] = [];
       suspicions.onDidSuspect(({reason}) => heard.push(reason));
       reasons.forEach(reason => suspicions.suspect('one', reason, {}));
@@ -144,42 +150,59 @@
   );
 
   it('end at once when the upstream leaves the list', () => {
-    const suspicions = new Suspicions(new FakeClock(), new SilentLogger());
+    const suspicions = new SuspicionTracker(
+      new FakeClock(),
+      new SilentLogger(),
+    );
     suspicions.suspect('one', 'refusing', {});
     suspicions.clear('one', 'gone');
-    expect(suspicions.has('one')).toBe(false);
+    expect(suspicions.isSuspect('one')).toBe(false);
   });
 });
 
 describe('the load of an upstream', () => {
   it('is the sum of what this instance and its peers have on it', () => {
-    const load = new UpstreamLoad();
+    const load = new UpstreamLoadTracker();
     load.add('one', 100);
     load.add('one', 50);
     load.remove('one', 100);
-    load.setPeer('a', 0, new Map([['one', {requests: 2, tokenLayers: 20}]]));
-    load.setPeer('b', 0, new Map([['one', {requests: 1, tokenLayers: 5}]]));
-    load.setPeer('a', 500, new Map([['one', {requests: 1, tokenLayers: 10}]]));
-    expect(load.of('one')).toEqual({requests: 3, tokenLayers: 65});
+    load.setPeerLoad(
+      'a',
+      0,
+      new Map([['one', {requests: 2, tokenLayers: 20}]]),
+    );
+    load.setPeerLoad('b', 0, new Map([['one', {requests: 1, tokenLayers: 5}]]));
+    load.setPeerLoad(
+      'a',
+      500,
+      new Map([['one', {requests: 1, tokenLayers: 10}]]),
+    );
+    expect(load.totalOf('one')).toEqual({requests: 3, tokenLayers: 65});
   });
 
   it('excludes peers that were not heard of recently', () => {
-    const load = new UpstreamLoad();
-    load.setPeer('a', 0, new Map([['one', {requests: 2, tokenLayers: 20}]]));
-    load.setPeer('b', 4000, new Map());
-    expect(load.of('one')).toEqual({requests: 0, tokenLayers: 0});
+    const load = new UpstreamLoadTracker();
+    load.setPeerLoad(
+      'a',
+      0,
+      new Map([['one', {requests: 2, tokenLayers: 20}]]),
+    );
+    load.setPeerLoad('b', 4000, new Map());
+    expect(load.totalOf('one')).toEqual({requests: 0, tokenLayers: 0});
   });
 });
 
 it('a slowness factor exchanged among peers expires when its upstream reports no more', () => {
   const clock = new FakeClock();
   const peers = [...Array(3)].map(
-    () => new Slowness(clock, new SilentLogger()),
+    () => new SlownessTracker(clock, new SilentLogger()),
   );
-  peers[0]!.note('one', 12);
+  peers[0]!.recordOwn('one', 12);
   const talk = (): void => {
     for (const teller of peers) {
-      peers.forEach(peer => teller.own.forEach(news => peer.hear(news)));
+      peers.forEach(peer =>
+        teller.own.forEach(news => peer.recordFromPeer(news)),
+      );
     }
   };
   talk();
@@ -188,27 +211,27 @@
     clock.advance(500);
     talk();
   }
-  expect(peers.map(peer => peer.of('one'))).toEqual([1, 1, 1]);
+  expect(peers.map(peer => peer.factorOf('one'))).toEqual([1, 1, 1]);
 });
 
 it('the latest slowness reading applies, whether from this instance or a peer', () => {
   const clock = new FakeClock();
-  const slowness = new Slowness(clock, new SilentLogger());
+  const slowness = new SlownessTracker(clock, new SilentLogger());
   clock.advance(1000);
-  slowness.note('one', 1);
-  slowness.hear({upstream: 'one', factor: 12, ageMilliseconds: 500});
-  expect(slowness.of('one')).toBe(1);
+  slowness.recordOwn('one', 1);
+  slowness.recordFromPeer({upstream: 'one', factor: 12, ageMilliseconds: 500});
+  expect(slowness.factorOf('one')).toBe(1);
   clock.advance(1000);
-  slowness.hear({upstream: 'one', factor: 12, ageMilliseconds: 500});
-  expect(slowness.of('one')).toBe(12);
+  slowness.recordFromPeer({upstream: 'one', factor: 12, ageMilliseconds: 500});
+  expect(slowness.factorOf('one')).toBe(12);
 });
 
 it('a reported slowness factor expires', () => {
   const clock = new FakeClock();
-  const slowness = new Slowness(clock, new SilentLogger());
-  slowness.note('one', 5);
-  slowness.note('two', 1.05);
-  expect([slowness.of('one'), slowness.of('two')]).toEqual([5, 1]);
+  const slowness = new SlownessTracker(clock, new SilentLogger());
+  slowness.recordOwn('one', 5);
+  slowness.recordOwn('two', 1.05);
+  expect([slowness.factorOf('one'), slowness.factorOf('two')]).toEqual([5, 1]);
   clock.advance(5001);
-  expect(slowness.of('one')).toBe(1);
+  expect(slowness.factorOf('one')).toBe(1);
 });
--- a/src/features/fleet/test/upstreamLister.test.ts
+++ b/src/features/fleet/test/upstreamLister.test.ts
@@ -7,9 +7,9 @@
   Logger,
   SilentLogger,
 } from '../../../infrastructure/logging/common/logger.js';
-import {Suspicions} from '../common/suspicions.js';
+import {SuspicionTracker} from '../common/suspicionTracker.js';
 import {UpstreamDirectory} from '../common/upstreamDirectory.js';
-import {UpstreamLister} from '../common/upstreamLister.js';
+import {UpstreamListRefresher} from '../common/upstreamListRefresher.js';
 import {UpstreamListing, UpstreamSource} from '../common/upstreamSource.js';
 import {makeUpstream} from './upstreams.js';
 
@@ -56,7 +56,7 @@
   const logger = new WarningLogger();
   const directory = new UpstreamDirectory(clock, logger);
   const source = new FakeUpstreamSource();
-  const lister = new UpstreamLister(
+  const lister = new UpstreamListRefresher(
     clock,
     new SeededRandomSource(1),
     logger,
@@ -157,8 +157,8 @@
 describe('the state kept for an upstream', () => {
   it('does not apply to its next run under the same name', async () => {
     const {clock} = await read([{upstreams: [one, two], findings: []}]);
-    const suspicions = new Suspicions(clock, new SilentLogger());
+    const suspicions = new SuspicionTracker(clock, new SilentLogger());
     suspicions.suspect(two.id, 'silent', {});
-    expect(suspicions.has(nextRun.id)).toBe(false);
+    expect(suspicions.isSuspect(nextRun.id)).toBe(false);
   });
 });
--- a/src/features/forwarding/common/callerExchange.ts
+++ b/src/features/forwarding/common/callerExchange.ts
@@ -1,5 +1,5 @@
 import {Event} from '../../../base/common/event.js';
-import {RawHeaders} from './wire.js';
+import {RawHeaders} from './headerCodec.js';
 
 /** Port: one caller's request and the response to it. */
 
@@ -58,7 +58,7 @@
   /** Sends a complete upstream response. */
   abstract sendResponse(head: ResponseHead, body: Uint8Array): void;
   /** Sends a response that the router generated. */
-  abstract sendOwn(response: RouterResponse): void;
+  abstract sendRouterResponse(response: RouterResponse): void;
   /** Sends the head of a response whose body follows in chunks. */
   abstract sendHead(head: ResponseHead): void;
   /** Sends a chunk of the body; returns false if the caller reads too slowly and the write buffer is full. */
--- a/src/features/forwarding/common/choosePlainUpstream.ts
+++ b/src/features/forwarding/common/choosePlainUpstream.ts
@@ -1,5 +1,5 @@
 import {Upstream} from '../../fleet/common/upstream.js';
-import {LoadFigure} from '../../fleet/common/upstreamLoad.js';
+import {RequestLoad} from '../../fleet/common/upstreamLoadTracker.js';
 
 /** Selects an upstream of a plain service for one request. */
 
@@ -18,7 +18,7 @@
 /** The candidates and the figures that their scores depend on. */
 export interface PlainUpstreamQuery {
   readonly upstreams: readonly Upstream[];
-  readonly loadOf: (upstream: string) => LoadFigure;
+  readonly loadOf: (upstream: string) => RequestLoad;
   readonly failureRateOf: (upstream: string) => number;
   readonly isUsable: (upstream: Upstream) => boolean;
   /** Returns a number in [0, 1). */
--- a/src/features/forwarding/common/wire.ts
+++ b/src/features/forwarding/common/headerCodec.ts
@@ -7,7 +7,7 @@
 export type RawHeaders = readonly string[];
 
 /** Metadata in the headers of a request. */
-export interface RequestFacts {
+export interface RequestMetadata {
   /** Identifies one attempt of a caller; undefined if the request has no identifier. */
   readonly id: string | undefined;
   readonly host: string | undefined;
@@ -24,7 +24,7 @@
 }
 
 /** Values that the router adds to the headers of a request to an upstream. */
-export interface UpstreamAdditions {
+export interface UpstreamHeaderValues {
   readonly deadlineMilliseconds: number;
   /** The upstream that the request is for; any other upstream at its address refuses the request. */
   readonly upstream: Upstream;
@@ -37,7 +37,7 @@
 }
 
 /** Metadata in the headers of an upstream's response. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   /** The request that it responds to; undefined if not stated. */
   readonly requestId: string | undefined;
   /** Whether it carries the upstream's proof that it executed the request. */
@@ -53,17 +53,17 @@
 }
 
 /** Parses request and response headers and creates those to send. */
-export abstract class Wire {
-  abstract readRequest(headers: RawHeaders): RequestFacts;
+export abstract class HeaderCodec {
+  abstract readRequest(headers: RawHeaders): RequestMetadata;
   /**
    * Returns the caller's headers for an upstream, without hop-by-hop headers and with the router's own
    * values.
    */
   abstract upstreamHeaders(
     headers: RawHeaders,
-    additions: UpstreamAdditions,
+    additions: UpstreamHeaderValues,
   ): string[];
-  abstract readAnswer(status: number, headers: RawHeaders): AnswerFacts;
+  abstract readResponse(status: number, headers: RawHeaders): ResponseMetadata;
   /** Returns the upstream's headers for the caller, without hop-by-hop headers. */
   abstract callerHeaders(headers: RawHeaders): string[];
 }
--- a/src/features/forwarding/common/upstreamExchange.ts
+++ b/src/features/forwarding/common/upstreamExchange.ts
@@ -1,6 +1,6 @@
 import {Disposable} from '../../../base/common/lifecycle.js';
 import {Upstream} from '../../fleet/common/upstream.js';
-import {RawHeaders} from './wire.js';
+import {RawHeaders} from './headerCodec.js';
 
 /** Port: one request to an upstream and its response. */
 
--- a/src/features/forwarding/node/entryUpstreams.ts
+++ b/src/features/forwarding/node/entryUpstreams.ts
@@ -1,4 +1,4 @@
-import {PathAnswer} from '../../paths/common/pathSearch.js';
+import {PathSearchResult} from '../../paths/common/pathSearch.js';
 import {ForwardingServices} from './forwardingServices.js';
 import {PathChooser} from './pathChooser.js';
 
@@ -22,7 +22,7 @@
    * Finds a path over all layers. Once the limit is reached, the path must start at an upstream that was
    * used before.
    */
-  choosePath(chooser: PathChooser): PathAnswer {
+  choosePath(chooser: PathChooser): PathSearchResult {
     if (this.liveCount < this.limit) {
       return chooser.whole(() => true);
     }
--- a/src/features/forwarding/node/forwardingServices.ts
+++ b/src/features/forwarding/node/forwardingServices.ts
@@ -1,22 +1,22 @@
 import {Clock} from '../../../base/common/clock.js';
 import {RandomSource} from '../../../base/common/randomSource.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
-import {Suspicions} from '../../fleet/common/suspicions.js';
-import {Slowness} from '../../fleet/common/slowness.js';
+import {SuspicionTracker} from '../../fleet/common/suspicionTracker.js';
+import {SlownessTracker} from '../../fleet/common/slownessTracker.js';
 import {UpstreamControl} from '../../fleet/common/upstreamControl.js';
 import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
-import {UpstreamLoad} from '../../fleet/common/upstreamLoad.js';
+import {UpstreamLoadTracker} from '../../fleet/common/upstreamLoadTracker.js';
 import {LinkLoad} from '../../paths/common/linkLoad.js';
-import {ReadingBacklog} from '../../paths/common/readingBacklog.js';
+import {PrefillBacklog} from '../../paths/common/prefillBacklog.js';
 import {Mechanisms} from '../../mechanisms/common/mechanisms.js';
-import {ConfigurationKeeper} from '../../traffic/common/configurationKeeper.js';
+import {ActiveConfiguration} from '../../traffic/common/activeConfiguration.js';
 import {ForwardingSettings} from '../common/forwardingSettings.js';
 import {OutcomeHistory} from '../common/outcomeHistory.js';
 import {RetryBudget} from '../common/retryBudget.js';
 import {UpstreamConnector} from '../common/upstreamExchange.js';
-import {Wire} from '../common/wire.js';
+import {HeaderCodec} from '../common/headerCodec.js';
 import {RequestMetrics} from './requestMetrics.js';
-import {UpstreamTrials} from './upstreamTrials.js';
+import {UpstreamProber} from './upstreamProber.js';
 
 /** The services that forwarding depends on; constructed by the program. */
 export interface ForwardingServices {
@@ -26,17 +26,17 @@
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly metrics: RequestMetrics;
-  readonly wire: Wire;
+  readonly headerCodec: HeaderCodec;
   readonly connector: UpstreamConnector;
   readonly control: UpstreamControl;
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ActiveConfiguration;
   readonly directory: UpstreamDirectory;
-  readonly suspicions: Suspicions;
-  readonly trials: UpstreamTrials;
-  readonly load: UpstreamLoad;
+  readonly suspicions: SuspicionTracker;
+  readonly prober: UpstreamProber;
+  readonly load: UpstreamLoadTracker;
   readonly linkLoad: LinkLoad;
-  readonly readingBacklog: ReadingBacklog;
-  readonly slowness: Slowness;
+  readonly readingBacklog: PrefillBacklog;
+  readonly slowness: SlownessTracker;
   readonly budget: RetryBudget;
   readonly outcomes: OutcomeHistory;
 }
--- a/src/features/forwarding/node/httpCallerExchange.ts
+++ b/src/features/forwarding/node/httpCallerExchange.ts
@@ -81,7 +81,7 @@
     this.response.end(hasBody ? body : undefined);
   }
 
-  override sendOwn(routerResponse: RouterResponse): void {
+  override sendRouterResponse(routerResponse: RouterResponse): void {
     if (this.isOver) {
       return;
     }
--- a/src/features/forwarding/node/pathChooser.ts
+++ b/src/features/forwarding/node/pathChooser.ts
@@ -1,9 +1,9 @@
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
-import {Path, WorkSize} from '../../paths/common/path.js';
+import {Path, RequestSize} from '../../paths/common/path.js';
 import {
   findPath,
-  PathAnswer,
-  PathQuestion,
+  PathSearchResult,
+  PathQuery,
 } from '../../paths/common/pathSearch.js';
 import {EngineSettings} from '../../traffic/common/trafficConfiguration.js';
 import {ForwardingServices} from './forwardingServices.js';
@@ -17,11 +17,11 @@
     private readonly services: ForwardingServices,
     private readonly service: string,
     private readonly engine: EngineSettings,
-    private readonly size: WorkSize,
+    private readonly size: RequestSize,
   ) {}
 
   /** Finds a path over all layers. */
-  whole(isAllowed: (upstream: Upstream) => boolean): PathAnswer {
+  whole(isAllowed: (upstream: Upstream) => boolean): PathSearchResult {
     const {layers} = this.engine;
     const span =
       layers === undefined ? WHOLE_MODEL : {from: 0, to: layers.layerCount};
@@ -32,7 +32,7 @@
    * Finds a path in which the parts on the given upstreams are replaced; the first part must not be among
    * them.
    */
-  findDetour(path: Path, lost: ReadonlySet<string>): PathAnswer {
+  findDetour(path: Path, lost: ReadonlySet<string>): PathSearchResult {
     const firstIndex = path.findIndex(part => lost.has(part.upstream.id));
     const lastIndex = path.findLastIndex(part => lost.has(part.upstream.id));
     const previousPart = path[firstIndex - 1];
@@ -54,8 +54,8 @@
         span,
         upstream => !keptIds.has(upstream.id) && !lost.has(upstream.id),
       ),
-      enteringFrom: previousPart.upstream.dataCentre,
-      leavingTo: nextPart?.upstream.dataCentre,
+      sourceDataCentre: previousPart.upstream.dataCentre,
+      targetDataCentre: nextPart?.upstream.dataCentre,
     });
     if (detour.kind !== 'found') {
       return detour;
@@ -71,7 +71,7 @@
   private buildQuestion(
     span: LayerRange,
     isAllowed: (upstream: Upstream) => boolean,
-  ): PathQuestion {
+  ): PathQuery {
     const {directory, linkLoad, load, mechanisms, suspicions} = this.services;
     const {readingBacklog, slowness} = this.services;
     const linkMegabits = this.engine.layers?.pipeMegabits ?? 0;
@@ -80,19 +80,20 @@
       upstreams: directory.ofService(this.service),
       size: this.size,
       span,
-      enteringFrom: undefined,
-      leavingTo: undefined,
-      loadOf: id => load.of(id),
-      slownessOf: id => (mechanisms.slownessInPaths ? slowness.of(id) : 1),
-      readingWaitOf: id =>
+      sourceDataCentre: undefined,
+      targetDataCentre: undefined,
+      loadOf: id => load.totalOf(id),
+      slownessOf: id =>
+        mechanisms.slownessInPaths ? slowness.factorOf(id) : 1,
+      prefillWaitOf: id =>
         mechanisms.readingBacklog ? readingBacklog.waitOf(id) : 0,
-      crossingFactor: mechanisms.boundedCrossings
+      crossingCostFactor: mechanisms.boundedCrossings
         ? linkLoad.costFactor(linkMegabits)
         : 1,
-      isRoomBounded: mechanisms.boundedRooms,
+      isCapacityLimited: mechanisms.boundedRooms,
       isUsable: upstream =>
         !upstream.isLeaving &&
-        !suspicions.has(upstream.id) &&
+        !suspicions.isSuspect(upstream.id) &&
         isAllowed(upstream),
     };
   }
--- a/src/features/forwarding/node/pathLoad.ts
+++ b/src/features/forwarding/node/pathLoad.ts
@@ -1,14 +1,19 @@
 import {layerCountOf} from '../../fleet/common/upstream.js';
-import {UpstreamLoad} from '../../fleet/common/upstreamLoad.js';
-import {Path, PathPart, tokensOf, WorkSize} from '../../paths/common/path.js';
+import {UpstreamLoadTracker} from '../../fleet/common/upstreamLoadTracker.js';
+import {
+  Path,
+  PathPart,
+  totalTokensOf,
+  RequestSize,
+} from '../../paths/common/path.js';
 
 /** The current path of one stream, counted as load on its upstreams. */
 export class PathLoad {
   private held: Path = [];
 
   constructor(
-    private readonly load: UpstreamLoad,
-    readonly size: WorkSize,
+    private readonly load: UpstreamLoadTracker,
+    readonly size: RequestSize,
   ) {}
 
   get path(): Path {
@@ -27,6 +32,6 @@
   }
 
   private tokenLayersOf({range}: PathPart): number {
-    return tokensOf(this.size) * layerCountOf(range);
+    return totalTokensOf(this.size) * layerCountOf(range);
   }
 }
--- a/src/features/forwarding/node/pathMover.ts
+++ b/src/features/forwarding/node/pathMover.ts
@@ -1,5 +1,5 @@
 import {
-  crossingsOf,
+  countCrossings,
   formatPath,
   Path,
   upstreamIdsOf,
@@ -39,7 +39,7 @@
       return undefined;
     }
     const {path} = detour;
-    const addsCrossings = crossingsOf(path) > crossingsOf(current);
+    const addsCrossings = countCrossings(path) > countCrossings(current);
     return {path, lost, addsCrossings};
   }
 
--- a/src/features/forwarding/node/plainForwarder.ts
+++ b/src/features/forwarding/node/plainForwarder.ts
@@ -70,11 +70,11 @@
     const {directory, load, outcomes, suspicions, random} = this.services;
     const isUsable = (upstream: Upstream): boolean =>
       !upstream.isLeaving &&
-      !suspicions.has(upstream.id) &&
+      !suspicions.isSuspect(upstream.id) &&
       !this.attemptedUpstreams.has(upstream.id);
     const choice = choosePlainUpstream({
       upstreams: directory.ofService(this.admitted.service),
-      loadOf: id => load.of(id),
+      loadOf: id => load.totalOf(id),
       failureRateOf: id => outcomes.failureRate(id),
       isUsable,
       randomFraction: () => random.next(),
@@ -83,7 +83,7 @@
   }
 
   private sendTo(upstream: Upstream): void {
-    const {connector, load, settings, wire} = this.services;
+    const {connector, load, settings, headerCodec: wire} = this.services;
     this.attempts++;
     this.attemptedUpstreams.add(upstream.id);
     load.add(upstream.id, 0);
@@ -137,7 +137,7 @@
     upstream: Upstream,
     outcome: Extract<AttemptOutcome, {kind: 'answered'}>,
   ): Promise<void> {
-    const isAlive = await this.services.trials.isAlive(upstream);
+    const isAlive = await this.services.prober.isAlive(upstream);
     if (this.isDone) {
       return;
     }
@@ -160,7 +160,7 @@
   private onResponseLost(upstream: Upstream, detail: string): void {
     this.mayHaveRun = true;
     this.services.outcomes.record(upstream.id, false);
-    void this.services.trials.try(upstream, 'reset', {detail});
+    void this.services.prober.probe(upstream, 'reset', {detail});
     this.logDecision('answerLost', {upstream: upstream.id, detail});
     if (this.isIdempotent) {
       this.retryOrGiveUp('answerLost', 'refused', false);
--- a/src/features/forwarding/node/requestForwarder.ts
+++ b/src/features/forwarding/node/requestForwarder.ts
@@ -2,7 +2,7 @@
 import {CallerExchange, ResponseHead} from '../common/callerExchange.js';
 import {NotRunReason, retryAfterMilliseconds} from '../common/retryAfter.js';
 import {UpstreamRequest} from '../common/upstreamExchange.js';
-import {RequestFacts, UpstreamAdditions} from '../common/wire.js';
+import {RequestMetadata, UpstreamHeaderValues} from '../common/headerCodec.js';
 import {Upstream} from '../../fleet/common/upstream.js';
 import {Route} from '../../traffic/common/trafficConfiguration.js';
 import {ForwardingServices} from './forwardingServices.js';
@@ -10,7 +10,7 @@
 /** An admitted request with everything that determines how it is forwarded. */
 export interface AdmittedRequest {
   readonly id: string;
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
   readonly route: Route;
   readonly service: string;
   readonly account: string | undefined;
@@ -25,7 +25,7 @@
 }
 
 /** Parameters that differ between the attempts of a request. */
-type AttemptParameters = Pick<UpstreamAdditions, 'path' | 'lastEvent'> &
+type AttemptParameters = Pick<UpstreamHeaderValues, 'path' | 'lastEvent'> &
   Pick<UpstreamRequest, 'isAlone'>;
 
 /** Forwards one request until its caller has a final response or has disconnected. */
@@ -103,7 +103,7 @@
   ): UpstreamRequest {
     const {admitted, exchange, services} = this;
     const {method, target, headers} = exchange.request;
-    const sentHeaders = services.wire.upstreamHeaders(headers, {
+    const sentHeaders = services.headerCodec.upstreamHeaders(headers, {
       deadlineMilliseconds: Math.max(1, Math.floor(this.remainingMilliseconds)),
       upstream,
       account: admitted.account,
@@ -131,7 +131,7 @@
       this.remainingMilliseconds,
       this.services.random.next(),
     );
-    this.exchange.sendOwn({
+    this.exchange.sendRouterResponse({
       kind: 'notRun',
       reason,
       retryAfterMilliseconds: delay,
@@ -145,7 +145,7 @@
       return;
     }
     const outcome = this.exchange.hasBegun ? 'brokenOff' : 'failed';
-    this.exchange.sendOwn({kind: 'failed', status, reason});
+    this.exchange.sendRouterResponse({kind: 'failed', status, reason});
     this.finish(outcome, {status, reason});
   }
 
--- a/src/features/forwarding/node/requestHandler.ts
+++ b/src/features/forwarding/node/requestHandler.ts
@@ -7,12 +7,12 @@
 import {RouteTable} from '../../traffic/common/routeTable.js';
 import {CallerExchange, RouterResponse} from '../common/callerExchange.js';
 import {NotRunReason, retryAfterMilliseconds} from '../common/retryAfter.js';
-import {RequestFacts} from '../common/wire.js';
+import {RequestMetadata} from '../common/headerCodec.js';
 import {ForwardingServices} from './forwardingServices.js';
 import {PlainForwarder} from './plainForwarder.js';
 import {AdmittedRequest, RequestForwarder} from './requestForwarder.js';
 import {StreamForwarder} from './streamForwarder.js';
-import {StreamWatch} from './streamWatch.js';
+import {StreamMonitor} from './streamMonitor.js';
 
 /** Deadline of a request that does not state one. */
 const DEFAULT_DEADLINE_MILLISECONDS = 30_000;
@@ -53,7 +53,7 @@
 
   constructor(
     private readonly services: ForwardingServices,
-    private readonly watch: StreamWatch,
+    private readonly watch: StreamMonitor,
   ) {}
 
   /** Number of requests without a final response. */
@@ -62,7 +62,7 @@
   }
 
   /** Refuses new requests as not executed from now on. */
-  refuseNew(): void {
+  refuseNewRequests(): void {
     this.refusesNew = true;
   }
 
@@ -87,7 +87,9 @@
   }
 
   private async process(exchange: CallerExchange): Promise<void> {
-    const facts = this.services.wire.readRequest(exchange.request.headers);
+    const facts = this.services.headerCodec.readRequest(
+      exchange.request.headers,
+    );
     const initial = await this.admit(exchange, facts);
     if (initial.kind !== 'admitted') {
       this.answer(exchange, facts, initial);
@@ -113,7 +115,7 @@
 
   private async admit(
     exchange: CallerExchange,
-    facts: RequestFacts,
+    facts: RequestMetadata,
   ): Promise<Admission> {
     if (this.refusesNew) {
       return {kind: 'refused', reason: 'stopping'};
@@ -142,9 +144,9 @@
   private authorize(
     table: RouteTable,
     route: Route,
-    facts: RequestFacts,
+    facts: RequestMetadata,
   ): Admission {
-    if (!table.needsKeys || route.isPublic) {
+    if (!table.requiresKeys || route.isPublic) {
       return {kind: 'admitted', table, route, account: undefined};
     }
     if (!this.services.configuration.isConfirmed) {
@@ -176,14 +178,14 @@
 
   private answer(
     exchange: CallerExchange,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     decision: Exclude<Admission, {kind: 'admitted'}>,
   ): void {
     const response =
       decision.kind === 'answer'
         ? decision.answer
         : this.notRun(decision.reason, facts);
-    exchange.sendOwn(response);
+    exchange.sendRouterResponse(response);
     const {configuration, logger, metrics} = this.services;
     metrics.recordEnd('none', response.kind, 0);
     logger.decision('requestRefused', {
@@ -196,7 +198,7 @@
     });
   }
 
-  private notRun(reason: NotRunReason, facts: RequestFacts): RouterResponse {
+  private notRun(reason: NotRunReason, facts: RequestMetadata): RouterResponse {
     const remaining =
       facts.deadlineMilliseconds ?? DEFAULT_DEADLINE_MILLISECONDS;
     const randomFraction = this.services.random.next();
@@ -206,7 +208,7 @@
 
   private async forward(
     exchange: CallerExchange,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     {table, route, account}: Extract<Admission, {kind: 'admitted'}>,
     body: Uint8Array,
   ): Promise<void> {
--- a/src/features/forwarding/node/responseBuffer.ts
+++ b/src/features/forwarding/node/responseBuffer.ts
@@ -1,6 +1,10 @@
 import {ResponseHead} from '../common/callerExchange.js';
 import {ExchangeFailure, ResponseListener} from '../common/upstreamExchange.js';
-import {AnswerFacts, RawHeaders, Wire} from '../common/wire.js';
+import {
+  ResponseMetadata,
+  RawHeaders,
+  HeaderCodec,
+} from '../common/headerCodec.js';
 
 /** How an attempt ended. */
 export type AttemptOutcome =
@@ -8,7 +12,7 @@
   | {
       readonly kind: 'answered';
       readonly head: ResponseHead;
-      readonly facts: AnswerFacts;
+      readonly facts: ResponseMetadata;
       readonly body: Uint8Array;
       /** Whether the response marked its own end. */
       readonly isFramed: boolean;
@@ -27,7 +31,7 @@
   private isComplete = false;
 
   constructor(
-    private readonly wire: Wire,
+    private readonly wire: HeaderCodec,
     private readonly requestId: string,
     private readonly limitBytes: number,
     private readonly onOutcome: (outcome: AttemptOutcome) => void,
@@ -54,7 +58,7 @@
       this.done({kind: 'lost', detail: 'response ended without a head'});
       return;
     }
-    const facts = this.wire.readAnswer(head.status, head.headers);
+    const facts = this.wire.readResponse(head.status, head.headers);
     const problem = findResponseProblem(head.status, facts, this.requestId);
     if (problem !== undefined) {
       this.done({kind: 'lost', detail: problem});
@@ -87,7 +91,7 @@
 /** Returns why a response must not be forwarded; undefined if it may be. */
 export function findResponseProblem(
   status: number,
-  facts: AnswerFacts,
+  facts: ResponseMetadata,
   requestId: string,
 ): string | undefined {
   if (facts.requestId !== undefined && facts.requestId !== requestId) {
--- a/src/features/forwarding/node/streamAttempt.ts
+++ b/src/features/forwarding/node/streamAttempt.ts
@@ -8,7 +8,7 @@
   UpstreamExchange,
   UpstreamRequest,
 } from '../common/upstreamExchange.js';
-import {AnswerFacts, RawHeaders} from '../common/wire.js';
+import {ResponseMetadata, RawHeaders} from '../common/headerCodec.js';
 import {ForwardingServices} from './forwardingServices.js';
 import {findResponseProblem} from './responseBuffer.js';
 
@@ -23,7 +23,7 @@
   /** A complete response without a success status. */
   onErrorResponse(
     head: ResponseHead,
-    facts: AnswerFacts,
+    facts: ResponseMetadata,
     body: Uint8Array,
   ): void;
   /** The response broke off or never arrived. */
@@ -35,7 +35,7 @@
   private exchange: UpstreamExchange | undefined;
   private upstream: Upstream | undefined;
   private head: ResponseHead | undefined;
-  private facts: AnswerFacts | undefined;
+  private facts: ResponseMetadata | undefined;
   private readonly errorBody: Uint8Array[] = [];
   private errorBodyBytes = 0;
   private isStream = false;
@@ -79,8 +79,8 @@
   }
 
   override onHead(status: number, reason: string, raw: RawHeaders): void {
-    const {wire} = this.services;
-    const facts = wire.readAnswer(status, raw);
+    const {headerCodec: wire} = this.services;
+    const facts = wire.readResponse(status, raw);
     const problem = findResponseProblem(status, facts, this.requestId);
     if (problem !== undefined) {
       this.failAsLost(problem);
@@ -127,7 +127,7 @@
   private async verifyEnd(): Promise<void> {
     const {upstream} = this;
     const isAlive =
-      upstream !== undefined && (await this.services.trials.isAlive(upstream));
+      upstream !== undefined && (await this.services.prober.isAlive(upstream));
     if (this.isDone) {
       return;
     }
--- a/src/features/forwarding/node/streamForwarder.ts
+++ b/src/features/forwarding/node/streamForwarder.ts
@@ -1,13 +1,13 @@
 import {toDisposable} from '../../../base/common/lifecycle.js';
 import {Upstream} from '../../fleet/common/upstream.js';
 import {
-  crossingsOf,
+  countCrossings,
   formatPath,
-  tokensOf,
+  totalTokensOf,
   Path,
   upstreamIdsOf,
 } from '../../paths/common/path.js';
-import {tokenMilliseconds} from '../../paths/common/pathCost.js';
+import {idleTokenMilliseconds} from '../../paths/common/pathCost.js';
 import {EngineSettings} from '../../traffic/common/trafficConfiguration.js';
 import {CallerExchange, ResponseHead} from '../common/callerExchange.js';
 import {EventGapMeter} from '../common/eventGapMeter.js';
@@ -15,7 +15,7 @@
 import {pathRetryDelay, remainingPathWait} from '../common/pathWait.js';
 import {NotRunReason} from '../common/retryAfter.js';
 import {StreamProgress} from '../common/silentStreams.js';
-import {AnswerFacts} from '../common/wire.js';
+import {ResponseMetadata} from '../common/headerCodec.js';
 import {EntryUpstreams} from './entryUpstreams.js';
 import {ForwardingServices} from './forwardingServices.js';
 import {PathChooser} from './pathChooser.js';
@@ -23,7 +23,7 @@
 import {PathMover} from './pathMover.js';
 import {AdmittedRequest, RequestForwarder} from './requestForwarder.js';
 import {StreamAttempt, StreamAttemptListener} from './streamAttempt.js';
-import {StreamWatch, WatchedStream} from './streamWatch.js';
+import {StreamMonitor, WatchedStream} from './streamMonitor.js';
 
 /**
  * Maximum attempts per stream, whatever the budget allows: a stream that broke this often is unlucky or
@@ -59,7 +59,7 @@
     exchange: CallerExchange,
     admitted: AdmittedRequest,
     private readonly engine: EngineSettings,
-    private readonly watch: StreamWatch,
+    private readonly watch: StreamMonitor,
   ) {
     super(services, exchange, admitted);
     const {facts, service} = admitted;
@@ -170,7 +170,7 @@
     this.logDecision('pathChosen', {
       cause,
       path: formatPath(choice.path),
-      predicted: Math.round(choice.predicted),
+      predicted: Math.round(choice.predictedCost),
       listAge: Math.round(this.services.directory.age),
       lastEvent: this.sequence.lastEvent,
     });
@@ -204,13 +204,20 @@
   /** @param kept upstreams that already hold the stream's KV cache */
   private usePath(path: Path, kept: ReadonlySet<string> = new Set()): void {
     const {promptTokens} = this.held.size;
-    this.services.readingBacklog.note(this.engine, path, promptTokens, kept);
+    this.services.readingBacklog.recordPrompt(
+      this.engine,
+      path,
+      promptTokens,
+      kept,
+    );
     this.held.replace(path);
     const activationBytes = this.engine.layers?.activationBytes ?? 0;
-    const tokens = tokensOf(this.held.size);
-    this.services.linkLoad.note(crossingsOf(path) * tokens * activationBytes);
+    const tokens = totalTokensOf(this.held.size);
+    this.services.linkLoad.recordCrossing(
+      countCrossings(path) * tokens * activationBytes,
+    );
     this.predictedGapMilliseconds =
-      this.engine.tokensPerEvent * tokenMilliseconds(this.engine, path);
+      this.engine.tokensPerEvent * idleTokenMilliseconds(this.engine, path);
   }
 
   private noPathReason(): NotRunReason {
@@ -283,7 +290,7 @@
 
   onErrorResponse(
     head: ResponseHead,
-    facts: AnswerFacts,
+    facts: ResponseMetadata,
     body: Uint8Array,
   ): void {
     this.attempt = undefined;
@@ -318,7 +325,7 @@
       return;
     }
     if (upstream !== undefined) {
-      void this.services.trials.try(upstream, 'reset', {detail});
+      void this.services.prober.probe(upstream, 'reset', {detail});
     }
     this.mayHaveRun = true;
     if (this.canResend) {
@@ -328,7 +335,7 @@
     }
   }
 
-  private onNotRun(facts: AnswerFacts): void {
+  private onNotRun(facts: ResponseMetadata): void {
     const faulty = this.findFaultyUpstream(facts.faultyAddress);
     this.logDecision('refusedByUpstream', {
       faulty: faulty?.id,
@@ -342,16 +349,16 @@
 
   /** A refusal names full, leaving and dead upstreams alike; only a probe tells them apart. */
   private suspectRefusing(faulty: Upstream, isMisdirected: boolean): void {
-    const {suspicions, trials} = this.services;
+    const {suspicions, prober: trials} = this.services;
     const evidence = {request: this.admitted.id};
     const reason = isMisdirected ? 'misdirected' : 'refusing';
     const isNewSuspicion = suspicions.suspect(faulty.id, reason, evidence);
     if (
       isNewSuspicion &&
       !isMisdirected &&
-      !trials.hasJustAnswered(faulty.id)
+      !trials.hasRecentlyResponded(faulty.id)
     ) {
-      void trials.try(faulty, 'silent', evidence);
+      void trials.probe(faulty, 'silent', evidence);
     }
   }
 
--- a/src/features/forwarding/node/streamWatch.ts
+++ b/src/features/forwarding/node/streamMonitor.ts
@@ -3,8 +3,11 @@
   DisposableOwner,
   toDisposable,
 } from '../../../base/common/lifecycle.js';
-import {Suspicion, Suspicions} from '../../fleet/common/suspicions.js';
-import {Slowness} from '../../fleet/common/slowness.js';
+import {
+  Suspicion,
+  SuspicionTracker,
+} from '../../fleet/common/suspicionTracker.js';
+import {SlownessTracker} from '../../fleet/common/slownessTracker.js';
 import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
 import {
   findSilentStreams,
@@ -12,7 +15,7 @@
   SilentStream,
   StreamProgress,
 } from '../common/silentStreams.js';
-import {UpstreamTrials} from './upstreamTrials.js';
+import {UpstreamProber} from './upstreamProber.js';
 import {Clock} from '../../../base/common/clock.js';
 
 /**
@@ -55,7 +58,7 @@
 }
 
 /** Watches the running streams for silence and notifies those whose path includes a lost upstream. */
-export class StreamWatch extends DisposableOwner {
+export class StreamMonitor extends DisposableOwner {
   private readonly streams = new Set<WatchedStream>();
   /** Leaving upstreams whose streams will be notified. */
   private readonly leaving = new Set<string>();
@@ -64,9 +67,9 @@
   constructor(
     private readonly clock: Clock,
     private readonly directory: UpstreamDirectory,
-    private readonly suspicions: Suspicions,
-    slowness: Slowness,
-    private readonly prober: UpstreamTrials,
+    private readonly suspicions: SuspicionTracker,
+    slowness: SlownessTracker,
+    private readonly prober: UpstreamProber,
     private readonly periodMilliseconds: number,
     private readonly isEnabled: boolean,
   ) {
@@ -76,7 +79,7 @@
       suspicions.onDidSuspect(suspicion => this.notifyStreams(suspicion)),
     );
     this.register(directory.onDidChange(() => this.scheduleLeaveNotices()));
-    this.register(slowness.onDidSlow(id => this.notifyDegraded(id)));
+    this.register(slowness.onDidBecomeSlow(id => this.notifyDegraded(id)));
   }
 
   /** Watches a stream until the returned object is disposed. */
@@ -188,7 +191,7 @@
         );
         if (upstream !== undefined && !isKnown) {
           const {requestId: request, meanGapMilliseconds: gap} = stream;
-          void this.prober.try(upstream, 'silent', {request, gap});
+          void this.prober.probe(upstream, 'silent', {request, gap});
         }
       }
     }
@@ -231,7 +234,7 @@
     };
     if (
       provenSuspect !== undefined &&
-      !this.prober.hasJustAnswered(provenSuspect)
+      !this.prober.hasRecentlyResponded(provenSuspect)
     ) {
       this.suspicions.suspect(provenSuspect, 'silent', {
         ...evidence,
@@ -241,8 +244,8 @@
     }
     for (const id of stream.suspects) {
       const upstream = this.directory.find(id);
-      if (upstream !== undefined && !this.prober.hasJustAnswered(id)) {
-        const pendingReport = this.prober.try(upstream, 'silent', evidence);
+      if (upstream !== undefined && !this.prober.hasRecentlyResponded(id)) {
+        const pendingReport = this.prober.probe(upstream, 'silent', evidence);
         void pendingReport.then(report => {
           for (const {requestId, address} of report?.stalled ?? []) {
             this.suspectStalled(address, requestId);
@@ -254,7 +257,10 @@
 
   private suspectStalled(address: string, request: string): void {
     const upstream = this.directory.findByAddress(address);
-    if (upstream !== undefined && !this.prober.hasJustAnswered(upstream.id)) {
+    if (
+      upstream !== undefined &&
+      !this.prober.hasRecentlyResponded(upstream.id)
+    ) {
       const evidence = {request};
       this.suspicions.suspect(upstream.id, 'namedByUpstream', evidence);
     }
--- a/src/features/forwarding/node/upstreamTrials.ts
+++ b/src/features/forwarding/node/upstreamProber.ts
@@ -2,10 +2,10 @@
 import {DisposableOwner, toDisposable} from '../../../base/common/lifecycle.js';
 import {
   SuspicionReason,
-  Suspicions,
-  TRIAL_PERIOD_MILLISECONDS,
-} from '../../fleet/common/suspicions.js';
-import {Slowness} from '../../fleet/common/slowness.js';
+  SuspicionTracker,
+  PROBE_PERIOD_MILLISECONDS,
+} from '../../fleet/common/suspicionTracker.js';
+import {SlownessTracker} from '../../fleet/common/slownessTracker.js';
 import {Upstream} from '../../fleet/common/upstream.js';
 import {
   UpstreamControl,
@@ -46,7 +46,7 @@
 const OVERDUE = Symbol('overdue');
 
 /** Probes upstreams that may be lost, and suspected upstreams until they respond. */
-export class UpstreamTrials extends DisposableOwner {
+export class UpstreamProber extends DisposableOwner {
   private readonly running = new Map<
     string,
     Promise<UpstreamReport | undefined>
@@ -60,21 +60,21 @@
     private readonly clock: Clock,
     private readonly control: UpstreamControl,
     private readonly directory: UpstreamDirectory,
-    private readonly suspicions: Suspicions,
-    private readonly slowness: Slowness,
+    private readonly suspicions: SuspicionTracker,
+    private readonly slowness: SlownessTracker,
     private readonly trialMilliseconds: number,
   ) {
     super();
     this.timer = setInterval(
       () => this.probeSuspected(),
-      TRIAL_PERIOD_MILLISECONDS,
+      PROBE_PERIOD_MILLISECONDS,
     );
     this.register(toDisposable(() => clearInterval(this.timer)));
     this.register(directory.onDidChange(() => this.removeUnlisted()));
   }
 
   /** Whether an upstream responded to a probe recently. */
-  hasJustAnswered(id: string): boolean {
+  hasRecentlyResponded(id: string): boolean {
     return this.hasRespondedWithin(id, RESPONSE_VALID_MILLISECONDS);
   }
 
@@ -104,7 +104,7 @@
    * Requests a report and suspects the upstream if it does not respond in time. Concurrent probes of an
    * upstream share one request.
    */
-  try(
+  probe(
     upstream: Upstream,
     reason: SuspicionReason,
     evidence: Readonly<Record<string, unknown>>,
@@ -185,7 +185,7 @@
     const report = await this.control.report(upstream, milliseconds);
     if (report.ok) {
       this.respondedAt.set(upstream.id, this.clock.monotonicMilliseconds());
-      this.slowness.note(upstream.id, report.value.slowness);
+      this.slowness.recordOwn(upstream.id, report.value.slowness);
       return report.value;
     }
     // Plain services refuse reports; a refusal also shows that the upstream is alive.
--- a/src/features/forwarding/test/forwarding.test.ts
+++ b/src/features/forwarding/test/forwarding.test.ts
@@ -503,8 +503,8 @@
       refusing.address,
     ]);
     await harness.flushPromises();
-    expect(harness.suspicions.has('successor')).toBe(false);
-    expect(harness.suspicions.has(first!)).toBe(true);
+    expect(harness.suspicions.isSuspect('successor')).toBe(false);
+    expect(harness.suspicions.isSuspect(first!)).toBe(true);
   });
 
   it('that has begun waits for a path instead of being aborted', async () => {
@@ -582,7 +582,7 @@
     const [first, second] = exchange.added['hops'] as readonly string[];
     exchange.head();
     exchange.sendEvents(1, 2);
-    harness.services.slowness.note(second!, 6);
+    harness.services.slowness.recordOwn(second!, 6);
     await harness.flushPromises();
     const others: Readonly<Record<string, readonly string[]>> = {
       b1: ['a1,c1'],
@@ -706,11 +706,11 @@
       const {clock, control, services, suspicions} = harness;
       const upstream = engines[0]!;
       control.reportDelayMilliseconds = responseAfter;
-      void services.trials.try(upstream, 'silent', {});
+      void services.prober.probe(upstream, 'silent', {});
       await harness.flushPromises();
       clock.pause(held);
       await harness.advance(at - held);
-      expect(suspicions.has(upstream.id)).toBe(isSuspected);
+      expect(suspicions.isSuspect(upstream.id)).toBe(isSuspected);
     },
   );
 
@@ -767,11 +767,11 @@
     const [first] = running.added['hops'] as readonly string[];
     harness.control.restarted.add(first!);
     const upstream = engines.find(({id}) => id === first)!;
-    void harness.services.trials.try(upstream, 'silent', {});
+    void harness.services.prober.probe(upstream, 'silent', {});
     await harness.flushPromises();
     expect(running.isDisposed).toBe(true);
     await harness.advance(2_000);
-    expect(harness.suspicions.has(first!)).toBe(true);
+    expect(harness.suspicions.isSuspect(first!)).toBe(true);
   });
 
   it.each([
--- a/src/features/forwarding/test/forwardingHarness.ts
+++ b/src/features/forwarding/test/forwardingHarness.ts
@@ -5,8 +5,8 @@
 import {SeededRandomSource} from '../../../base/common/randomSource.js';
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {FakeClock} from '../../../../test/support/fakeClock.js';
-import {Slowness} from '../../fleet/common/slowness.js';
-import {Suspicions} from '../../fleet/common/suspicions.js';
+import {SlownessTracker} from '../../fleet/common/slownessTracker.js';
+import {SuspicionTracker} from '../../fleet/common/suspicionTracker.js';
 import {Upstream} from '../../fleet/common/upstream.js';
 import {
   UpstreamCallError,
@@ -14,12 +14,15 @@
   UpstreamReport,
 } from '../../fleet/common/upstreamControl.js';
 import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
-import {UpstreamLoad} from '../../fleet/common/upstreamLoad.js';
+import {UpstreamLoadTracker} from '../../fleet/common/upstreamLoadTracker.js';
 import {LinkLoad} from '../../paths/common/linkLoad.js';
-import {ReadingBacklog} from '../../paths/common/readingBacklog.js';
+import {PrefillBacklog} from '../../paths/common/prefillBacklog.js';
 import {Path} from '../../paths/common/path.js';
-import {allMechanisms, Mechanisms} from '../../mechanisms/common/mechanisms.js';
-import {ConfigurationKeeper} from '../../traffic/common/configurationKeeper.js';
+import {
+  defaultMechanisms,
+  Mechanisms,
+} from '../../mechanisms/common/mechanisms.js';
+import {ActiveConfiguration} from '../../traffic/common/activeConfiguration.js';
 import {TrafficConfiguration} from '../../traffic/common/trafficConfiguration.js';
 import {
   ResponseHead,
@@ -37,23 +40,23 @@
   UpstreamRequest,
 } from '../common/upstreamExchange.js';
 import {
-  AnswerFacts,
+  ResponseMetadata,
   RawHeaders,
-  RequestFacts,
-  UpstreamAdditions,
-  Wire,
-} from '../common/wire.js';
+  RequestMetadata,
+  UpstreamHeaderValues,
+  HeaderCodec,
+} from '../common/headerCodec.js';
 import {ForwardingServices} from '../node/forwardingServices.js';
 import {RequestHandler} from '../node/requestHandler.js';
 import {RequestMetrics} from '../node/requestMetrics.js';
-import {StreamWatch} from '../node/streamWatch.js';
-import {UpstreamTrials} from '../node/upstreamTrials.js';
+import {StreamMonitor} from '../node/streamMonitor.js';
+import {UpstreamProber} from '../node/upstreamProber.js';
 
 /** Test harness for forwarding: everything outside it is replaced by fakes that a test controls. */
 
 /** Headers with plain names; the values that the router adds are one header in JSON. */
-export class FakeHeaderCodec extends Wire {
-  override readRequest(headers: RawHeaders): RequestFacts {
+export class FakeHeaderCodec extends HeaderCodec {
+  override readRequest(headers: RawHeaders): RequestMetadata {
     const fields = toFields(headers);
     return {
       id: fields['id'],
@@ -70,7 +73,7 @@
 
   override upstreamHeaders(
     headers: RawHeaders,
-    {account, deadlineMilliseconds, lastEvent, path}: UpstreamAdditions,
+    {account, deadlineMilliseconds, lastEvent, path}: UpstreamHeaderValues,
   ): string[] {
     const hops = path?.map(({upstream}) => upstream.id);
     const added = {account, deadlineMilliseconds, lastEvent, hops};
@@ -82,7 +85,10 @@
     ];
   }
 
-  override readAnswer(_status: number, headers: RawHeaders): AnswerFacts {
+  override readResponse(
+    _status: number,
+    headers: RawHeaders,
+  ): ResponseMetadata {
     const fields = toFields(headers);
     return {
       requestId: fields['id'],
@@ -303,7 +309,7 @@
     }
   }
 
-  override sendOwn(response: RouterResponse): void {
+  override sendRouterResponse(response: RouterResponse): void {
     if (this.begun) {
       this.abort();
     } else if (!this.isOver) {
@@ -358,9 +364,9 @@
   readonly clock = new FakeClock();
   readonly connector = new FakeConnector();
   readonly control = new FakeControl(this.clock);
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ActiveConfiguration;
   readonly directory: UpstreamDirectory;
-  readonly suspicions: Suspicions;
+  readonly suspicions: SuspicionTracker;
   readonly services: ForwardingServices;
   readonly handler: RequestHandler;
   private count = 0;
@@ -372,16 +378,16 @@
   ) {
     const {clock, connector, control} = this;
     const logger = new SilentLogger();
-    this.configuration = new ConfigurationKeeper(clock, logger, 4000);
-    this.configuration.offer(configuration);
+    this.configuration = new ActiveConfiguration(clock, logger, 4000);
+    this.configuration.activateIfNewer(configuration);
     this.configuration.confirm(this.configuration.now());
     this.directory = new UpstreamDirectory(clock, logger);
     this.directory.replace(upstreams);
-    this.suspicions = new Suspicions(clock, logger);
+    this.suspicions = new SuspicionTracker(clock, logger);
     const {directory, suspicions} = this;
     const settings = defaultForwardingSettings;
-    const slowness = new Slowness(clock, logger);
-    const trials = new UpstreamTrials(
+    const slowness = new SlownessTracker(clock, logger);
+    const trials = new UpstreamProber(
       clock,
       control,
       directory,
@@ -391,21 +397,21 @@
     );
     this.services = {
       settings,
-      mechanisms: {...allMechanisms, ...mechanisms},
+      mechanisms: {...defaultMechanisms, ...mechanisms},
       clock,
       random: new SeededRandomSource(1),
       logger,
       metrics: new RequestMetrics(new Registry()),
-      wire: new FakeHeaderCodec(),
+      headerCodec: new FakeHeaderCodec(),
       connector,
       control,
       configuration: this.configuration,
       directory,
       suspicions,
-      trials,
-      load: new UpstreamLoad(),
+      prober: trials,
+      load: new UpstreamLoadTracker(),
       linkLoad: new LinkLoad(clock, () => 1),
-      readingBacklog: new ReadingBacklog(
+      readingBacklog: new PrefillBacklog(
         clock,
         () => 1,
         () => 1,
@@ -418,7 +424,7 @@
       ),
       outcomes: new OutcomeHistory(clock),
     };
-    const watch = new StreamWatch(
+    const watch = new StreamMonitor(
       clock,
       directory,
       suspicions,
--- a/src/features/forwarding/test/httpUpstreamExchange.test.ts
+++ b/src/features/forwarding/test/httpUpstreamExchange.test.ts
@@ -4,7 +4,7 @@
 
 import {makeUpstream} from '../../fleet/test/upstreams.js';
 import {ResponseListener, ExchangeFailure} from '../common/upstreamExchange.js';
-import {RawHeaders} from '../common/wire.js';
+import {RawHeaders} from '../common/headerCodec.js';
 import {HttpUpstreamConnector} from '../node/httpUpstreamConnector.js';
 
 /** Exchanges over real sockets with upstreams that respond in various faulty ways. */
--- a/src/features/instances/common/gossipMessage.ts
+++ b/src/features/instances/common/gossipMessage.ts
@@ -1,6 +1,6 @@
 import * as zod from 'zod';
 
-import {SlownessReading} from '../../fleet/common/slowness.js';
+import {SlownessReading} from '../../fleet/common/slownessTracker.js';
 import {Upstream} from '../../fleet/common/upstream.js';
 import {InstanceHeartbeat} from './instance.js';
 
--- a/src/features/instances/node/peerGossip.ts
+++ b/src/features/instances/node/peerGossip.ts
@@ -5,11 +5,11 @@
 import {RandomSource} from '../../../base/common/randomSource.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 import {RpcConnections} from '../../../infrastructure/rpc/node/rpc.js';
-import {Slowness} from '../../fleet/common/slowness.js';
-import {Suspicions} from '../../fleet/common/suspicions.js';
+import {SlownessTracker} from '../../fleet/common/slownessTracker.js';
+import {SuspicionTracker} from '../../fleet/common/suspicionTracker.js';
 import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
-import {UpstreamLoad} from '../../fleet/common/upstreamLoad.js';
-import {UpstreamTrials} from '../../forwarding/node/upstreamTrials.js';
+import {UpstreamLoadTracker} from '../../fleet/common/upstreamLoadTracker.js';
+import {UpstreamProber} from '../../forwarding/node/upstreamProber.js';
 import {Mechanisms} from '../../mechanisms/common/mechanisms.js';
 import {RepeatingTask} from '../../membership/common/repeatingTask.js';
 import {TableLease} from '../../placement/common/tableLease.js';
@@ -47,10 +47,10 @@
   readonly instances: InstanceTable;
   readonly registry: InstanceRegistry;
   readonly directory: UpstreamDirectory;
-  readonly load: UpstreamLoad;
-  readonly slowness: Slowness;
-  readonly suspicions: Suspicions;
-  readonly trials: UpstreamTrials;
+  readonly load: UpstreamLoadTracker;
+  readonly slowness: SlownessTracker;
+  readonly suspicions: SuspicionTracker;
+  readonly trials: UpstreamProber;
   readonly lease: TableLease;
   readonly mechanisms: Mechanisms;
 }
@@ -207,7 +207,7 @@
 
   private composeMessage(): GossipMessage {
     const {instances, load, slowness, suspicions} = this.dependencies;
-    const loads = [...load.ownFigures].map(([upstream, figure]) => ({
+    const loads = [...load.ownLoads].map(([upstream, figure]) => ({
       upstream,
       requests: figure.requests,
       tokenLayers: Math.round(figure.tokenLayers),
@@ -231,9 +231,13 @@
       message.loads.map(({upstream, ...figure}) => [upstream, figure]),
     );
     if (this.dependencies.mechanisms.peerLoads) {
-      load.setPeer(message.from, this.clock.monotonicMilliseconds(), figures);
+      load.setPeerLoad(
+        message.from,
+        this.clock.monotonicMilliseconds(),
+        figures,
+      );
     }
-    message.slow.forEach(reading => slowness.hear(reading));
+    message.slow.forEach(reading => slowness.recordFromPeer(reading));
     message.lost.forEach(upstream =>
       this.verifySuspicion(upstream, message.from),
     );
@@ -243,9 +247,9 @@
   private verifySuspicion(id: string, peer: string): void {
     const {directory, suspicions, trials} = this.dependencies;
     const upstream = directory.find(id);
-    const isKnown = suspicions.has(id) || trials.hasJustAnswered(id);
+    const isKnown = suspicions.isSuspect(id) || trials.hasRecentlyResponded(id);
     if (upstream !== undefined && !isKnown) {
-      void trials.try(upstream, 'toldByPeer', {peer});
+      void trials.probe(upstream, 'toldByPeer', {peer});
     }
   }
 
--- a/src/features/instances/test/upstreamListExchange.test.ts
+++ b/src/features/instances/test/upstreamListExchange.test.ts
@@ -8,7 +8,7 @@
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {Upstream} from '../../fleet/common/upstream.js';
 import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
-import {UpstreamLister} from '../../fleet/common/upstreamLister.js';
+import {UpstreamListRefresher} from '../../fleet/common/upstreamListRefresher.js';
 import {
   UpstreamListing,
   UpstreamSource,
@@ -184,7 +184,7 @@
     readonly clock = new FakeClock();
     readonly source = new SharedSource([one, two]);
     readonly directories: UpstreamDirectory[] = [];
-    private readonly listers: UpstreamLister[] = [];
+    private readonly listers: UpstreamListRefresher[] = [];
     private readonly lost = new Set<number>();
     private readonly exchanges: UpstreamListExchange[] = [];
     private readonly random = new SeededRandomSource(5);
@@ -196,7 +196,7 @@
         const random = new SeededRandomSource(index);
         this.directories.push(directory);
         this.exchanges.push(new UpstreamListExchange(directory));
-        const lister = new UpstreamLister(
+        const lister = new UpstreamListRefresher(
           this.clock,
           random,
           logger,
--- a/src/features/layers/common/layerController.ts
+++ b/src/features/layers/common/layerController.ts
@@ -3,8 +3,8 @@
 import {DisposableOwner} from '../../../base/common/lifecycle.js';
 import {RandomSource} from '../../../base/common/randomSource.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
-import {Slowness} from '../../fleet/common/slowness.js';
-import {Suspicions} from '../../fleet/common/suspicions.js';
+import {SlownessTracker} from '../../fleet/common/slownessTracker.js';
+import {SuspicionTracker} from '../../fleet/common/suspicionTracker.js';
 import {
   LayerRange,
   layerCountOf,
@@ -19,10 +19,10 @@
 import {Mechanisms} from '../../mechanisms/common/mechanisms.js';
 import {RepeatingTask} from '../../membership/common/repeatingTask.js';
 import {TableLease} from '../../placement/common/tableLease.js';
-import {ConfigurationKeeper} from '../../traffic/common/configurationKeeper.js';
+import {ActiveConfiguration} from '../../traffic/common/activeConfiguration.js';
 import {
   EngineSettings,
-  LayerModel,
+  LayeredModel,
   Service,
 } from '../../traffic/common/trafficConfiguration.js';
 import {
@@ -32,7 +32,7 @@
   maxRangeSizes,
   RangeSizes,
   REDUNDANCY_CAPACITY_SHARE,
-} from './layerSize.js';
+} from './rangeSizes.js';
 import {LayerAssignment, planLayers, excludeSlow} from './planLayers.js';
 
 /** Interval between plans. */
@@ -62,7 +62,7 @@
 const ORDER_TIMEOUT_MILLISECONDS = 300;
 
 /** Interval between lease steps; the lease lasts four intervals. */
-export const LEASE_STEP_MILLISECONDS = 600;
+export const LEASE_PERIOD_MILLISECONDS = 600;
 
 /**
  * An order counts as lost if its layers are not reported within the load time multiplied by this factor, plus
@@ -81,7 +81,7 @@
 interface LayeredService {
   readonly name: string;
   readonly engine: EngineSettings;
-  readonly layers: LayerModel;
+  readonly layers: LayeredModel;
 }
 
 /** Detects when all upstreams of a service without any loaded layers have been added. */
@@ -132,10 +132,10 @@
     private readonly logger: Logger,
     private readonly lease: TableLease,
     private readonly control: UpstreamControl,
-    private readonly configuration: ConfigurationKeeper,
+    private readonly configuration: ActiveConfiguration,
     private readonly directory: UpstreamDirectory,
-    private readonly suspicions: Suspicions,
-    private readonly slowness: Slowness,
+    private readonly suspicions: SuspicionTracker,
+    private readonly slowness: SlownessTracker,
     private readonly mechanisms: Mechanisms,
     /** Whether a peer recently announced that it holds the lease, so that the lease row need not be read. */
     private readonly isLeaseHeldByPeer: () => boolean,
@@ -146,7 +146,7 @@
       new RepeatingTask(
         clock,
         random,
-        () => LEASE_STEP_MILLISECONDS,
+        () => LEASE_PERIOD_MILLISECONDS,
         token => this.advanceLease(token),
       ),
     );
@@ -304,7 +304,7 @@
     // layers. Aborted streams continue elsewhere, as after a loss.
     const result = await this.control.place(
       upstream,
-      {range, fencing, expectedOrders, cutsOff: reason !== 'empty'},
+      {range, fencing, expectedOrders, abortsRequests: reason !== 'empty'},
       ORDER_TIMEOUT_MILLISECONDS,
     );
     this.logger.decision('layersOrdered', {
--- a/src/features/layers/common/planLayers.ts
+++ b/src/features/layers/common/planLayers.ts
@@ -1,7 +1,7 @@
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
 import {GapClosure, closeGaps, RangeHolder} from './closeGaps.js';
-import {LayerModel} from '../../traffic/common/trafficConfiguration.js';
-import {RangeSizes} from './layerSize.js';
+import {LayeredModel} from '../../traffic/common/trafficConfiguration.js';
+import {RangeSizes} from './rangeSizes.js';
 
 /** Assigns layers to upstreams that hold none, and moves upstreams if a layer has no holder. */
 
@@ -14,7 +14,7 @@
 
 /** The state that a plan is made for. */
 export interface LayerPlanInput {
-  readonly layers: LayerModel;
+  readonly layers: LayeredModel;
   readonly sizes: RangeSizes;
   /** Upstreams that are neither leaving nor considered lost. */
   readonly upstreams: readonly Upstream[];
--- a/src/features/layers/common/layerSize.ts
+++ b/src/features/layers/common/rangeSizes.ts
@@ -2,7 +2,7 @@
 import {
   AcceleratorKind,
   EngineSettings,
-  LayerModel,
+  LayeredModel,
 } from '../../traffic/common/trafficConfiguration.js';
 
 /** Chooses how many layers an accelerator of each kind holds. */
@@ -45,7 +45,7 @@
  */
 export function chooseRangeSizes(
   engine: EngineSettings,
-  layers: LayerModel,
+  layers: LayeredModel,
   counts: AcceleratorCounts,
   hasSecondHolders = true,
 ): RangeSizes {
@@ -64,7 +64,7 @@
 /** Finds the largest capacity share with which a number of copies fits into each data centre that can hold one. */
 function findLargestCapacity(
   engine: EngineSettings,
-  layers: LayerModel,
+  layers: LayeredModel,
   counts: AcceleratorCounts,
   copies: number,
 ): {readonly share: number; readonly sizes: RangeSizes} {
@@ -128,7 +128,7 @@
 
 function sizesWithCapacity(
   engine: EngineSettings,
-  layers: LayerModel,
+  layers: LayeredModel,
   capacityTokens: number,
 ): RangeSizes {
   return new Map(
@@ -142,7 +142,7 @@
 /** The most layers beside which a number of tokens fits into an accelerator's memory, but at least one if it fits. */
 export function maxLayersWithCapacity(
   engine: EngineSettings,
-  layers: LayerModel,
+  layers: LayeredModel,
   kind: AcceleratorKind,
   capacityTokens: number,
 ): number {
--- a/src/features/layers/test/layerController.test.ts
+++ b/src/features/layers/test/layerController.test.ts
@@ -6,8 +6,8 @@
 import {failure, Result, success} from '../../../base/common/result.js';
 import {neverCancelled} from '../../../base/common/cancellation.js';
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
-import {Slowness} from '../../fleet/common/slowness.js';
-import {Suspicions} from '../../fleet/common/suspicions.js';
+import {SlownessTracker} from '../../fleet/common/slownessTracker.js';
+import {SuspicionTracker} from '../../fleet/common/suspicionTracker.js';
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
 import {
   PlaceOrder,
@@ -18,9 +18,9 @@
 import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
 import {makeUpstream} from '../../fleet/test/upstreams.js';
 import {layeredEngine} from '../../paths/test/engines.js';
-import {allMechanisms} from '../../mechanisms/common/mechanisms.js';
+import {defaultMechanisms} from '../../mechanisms/common/mechanisms.js';
 import {TableLease} from '../../placement/common/tableLease.js';
-import {ConfigurationKeeper} from '../../traffic/common/configurationKeeper.js';
+import {ActiveConfiguration} from '../../traffic/common/activeConfiguration.js';
 import {makeConfiguration} from '../../traffic/test/trafficConfigurations.js';
 import {LayerController} from '../common/layerController.js';
 
@@ -92,7 +92,7 @@
   readonly engines = new FakeUpstreams();
   private readonly platform = new InMemoryPlatform(this.clock);
   private readonly directories: UpstreamDirectory[] = [];
-  readonly slowness = new Slowness(this.clock, new SilentLogger());
+  readonly slowness = new SlownessTracker(this.clock, new SilentLogger());
   readonly leases: TableLease[] = [];
   readonly controllers: LayerController[] = [];
   private upstreams: readonly Upstream[] = [];
@@ -144,10 +144,12 @@
       () => `n${this.nonces++}`,
       LEASE,
     );
-    const keeper = new ConfigurationKeeper(clock, logger, 4000);
+    const keeper = new ActiveConfiguration(clock, logger, 4000);
     const [service] = makeConfiguration().services;
     const engine = layeredEngine(LAYERS);
-    keeper.offer(makeConfiguration({services: [{...service!, engine}]}));
+    keeper.activateIfNewer(
+      makeConfiguration({services: [{...service!, engine}]}),
+    );
     const directory = new UpstreamDirectory(clock, logger);
     this.directories.push(directory);
     this.leases.push(lease);
@@ -159,9 +161,9 @@
       this.engines,
       keeper,
       directory,
-      new Suspicions(clock, logger),
+      new SuspicionTracker(clock, logger),
       this.slowness,
-      allMechanisms,
+      defaultMechanisms,
       () => false,
     );
     this.controllers.push(controller);
@@ -232,7 +234,7 @@
             other !== id && from <= range.from && to >= range.to,
         ),
     )!;
-    harness.slowness.note(slow, 12);
+    harness.slowness.recordOwn(slow, 12);
     await harness.advance(3000);
     const added = harness.engines.orders.slice(orderCount);
     expect(added.length).toBeGreaterThan(0);
--- a/src/features/layers/test/layers.test.ts
+++ b/src/features/layers/test/layers.test.ts
@@ -5,7 +5,7 @@
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
 import {layeredEngine} from '../../paths/test/engines.js';
 import {RangeChange, closeGaps, RangeHolder} from '../common/closeGaps.js';
-import {chooseRangeSizes, maxRangeSizes} from '../common/layerSize.js';
+import {chooseRangeSizes, maxRangeSizes} from '../common/rangeSizes.js';
 import {
   LayerAssignment,
   planLayers,
--- a/src/features/mechanisms/common/mechanisms.ts
+++ b/src/features/mechanisms/common/mechanisms.ts
@@ -35,10 +35,10 @@
 export type Mechanisms = Readonly<zod.infer<typeof mechanismsSchema>>;
 
 /** The default, with all mechanisms enabled. */
-export const allMechanisms: Mechanisms = mechanismsSchema.parse({});
+export const defaultMechanisms: Mechanisms = mechanismsSchema.parse({});
 
 /** Names of the disabled mechanisms. */
-export function switchedOff(mechanisms: Mechanisms): readonly string[] {
+export function disabledMechanisms(mechanisms: Mechanisms): readonly string[] {
   return Object.entries(mechanisms)
     .filter(([, on]) => !on)
     .map(([name]) => name);
--- a/src/features/paths/common/linkLoad.ts
+++ b/src/features/paths/common/linkLoad.ts
@@ -28,7 +28,7 @@
   ) {}
 
   /** Records the bytes that a chosen path sends between data centres. */
-  note(bytes: number): void {
+  recordCrossing(bytes: number): void {
     if (bytes > 0) {
       this.crossings.push({at: this.clock.monotonicMilliseconds(), bytes});
     }
--- a/src/features/paths/common/path.ts
+++ b/src/features/paths/common/path.ts
@@ -10,14 +10,14 @@
 export type Path = readonly PathPart[];
 
 /** The size of a request in tokens, which determines its load on each upstream of the path. */
-export interface WorkSize {
+export interface RequestSize {
   readonly promptTokens: number;
   /** Expected number of output tokens. */
   readonly answerTokens: number;
 }
 
 /** Number of tokens that a request occupies in the KV cache of each upstream on its path. */
-export function tokensOf(size: WorkSize): number {
+export function totalTokensOf(size: RequestSize): number {
   return size.promptTokens + size.answerTokens;
 }
 
@@ -33,7 +33,7 @@
 }
 
 /** Number of times that a path crosses from one data centre to another. */
-export function crossingsOf(path: Path): number {
+export function countCrossings(path: Path): number {
   let crossings = 0;
   path.forEach((part, index) => {
     const before = path[index - 1];
--- a/src/features/paths/common/pathCost.ts
+++ b/src/features/paths/common/pathCost.ts
@@ -1,11 +1,11 @@
-import {LoadFigure} from '../../fleet/common/upstreamLoad.js';
+import {RequestLoad} from '../../fleet/common/upstreamLoadTracker.js';
 import {layerCountOf, Upstream} from '../../fleet/common/upstream.js';
 import {
   AcceleratorKind,
   EngineSettings,
-  LayerModel,
+  LayeredModel,
 } from '../../traffic/common/trafficConfiguration.js';
-import {Path, tokensOf, WorkSize} from './path.js';
+import {Path, totalTokensOf, RequestSize} from './path.js';
 
 /**
  * Delay of each token at an upstream: the rest of the pass in progress, and the network inside a data centre.
@@ -55,7 +55,7 @@
 
 /** The accelerator kind of an upstream, or `UNKNOWN_KIND` if it is not configured. */
 export function acceleratorKindOf(
-  layers: LayerModel | undefined,
+  layers: LayeredModel | undefined,
   upstream: Upstream,
 ): AcceleratorKind {
   const kind = layers?.kinds.find(
@@ -67,7 +67,7 @@
 /** Number of tokens that fit into the KV cache of an accelerator beside a number of layers. */
 export function kvCapacityTokens(
   engine: EngineSettings,
-  layers: LayerModel,
+  layers: LayeredModel,
   memoryMegabytes: number,
   layerCount: number,
 ): number {
@@ -98,13 +98,13 @@
 export function memoryPressureWith(
   engine: EngineSettings,
   upstream: Upstream,
-  load: LoadFigure,
-  size: WorkSize,
+  load: RequestLoad,
+  size: RequestSize,
   layerCount: number,
 ): number {
   const capacity =
     kvCapacityTokenLayers(engine, upstream) * PLANNED_CAPACITY_SHARE;
-  const used = load.tokenLayers + tokensOf(size) * layerCount;
+  const used = load.tokenLayers + totalTokensOf(size) * layerCount;
   return used / Math.max(capacity, 1);
 }
 
@@ -113,7 +113,7 @@
   engine: EngineSettings,
   upstream: Upstream,
   layerCount: number,
-  size: WorkSize,
+  size: RequestSize,
   pressure: number,
   slowness: number,
 ): number {
@@ -146,7 +146,10 @@
 }
 
 /** Milliseconds that one token takes on a path with idle upstreams, including delays between them. */
-export function tokenMilliseconds(engine: EngineSettings, path: Path): number {
+export function idleTokenMilliseconds(
+  engine: EngineSettings,
+  path: Path,
+): number {
   const one = {promptTokens: 0, answerTokens: 1};
   return path.reduce((sum, {upstream, range}) => {
     const count = range.to - range.from;
@@ -159,13 +162,13 @@
   engine: EngineSettings,
   from: string,
   to: string,
-  size: WorkSize,
+  size: RequestSize,
 ): number {
   const {layers} = engine;
   if (from === to || layers === undefined) {
     return 0;
   }
-  const bytes = tokensOf(size) * layers.activationBytes;
+  const bytes = totalTokensOf(size) * layers.activationBytes;
   const bitsPerMillisecond = layers.pipeMegabits * 1000;
   const transfer = (bytes * BITS_PER_BYTE) / Math.max(bitsPerMillisecond, 1);
   const delay = networkDelayBetween(engine, from, to) * size.answerTokens;
--- a/src/features/paths/common/pathSearch.ts
+++ b/src/features/paths/common/pathSearch.ts
@@ -1,7 +1,7 @@
 import {LayerRange, Upstream} from '../../fleet/common/upstream.js';
-import {LoadFigure} from '../../fleet/common/upstreamLoad.js';
+import {RequestLoad} from '../../fleet/common/upstreamLoadTracker.js';
 import {EngineSettings} from '../../traffic/common/trafficConfiguration.js';
-import {Path, PathPart, WorkSize} from './path.js';
+import {Path, PathPart, RequestSize} from './path.js';
 import {
   weightedCrossingMilliseconds,
   predictPartMilliseconds,
@@ -15,32 +15,36 @@
 const MAX_PATH_PARTS = 32;
 
 /** Input of a path search. */
-export interface PathQuestion {
+export interface PathQuery {
   readonly engine: EngineSettings;
   readonly upstreams: readonly Upstream[];
-  readonly size: WorkSize;
+  readonly size: RequestSize;
   /** The layers to cover. */
   readonly span: LayerRange;
   /** Data centre that the tokens come from; undefined at the start of a path. */
-  readonly enteringFrom: string | undefined;
+  readonly sourceDataCentre: string | undefined;
   /** Data centre that the tokens go to; undefined at the end of a path. */
-  readonly leavingTo: string | undefined;
-  readonly loadOf: (upstream: string) => LoadFigure;
+  readonly targetDataCentre: string | undefined;
+  readonly loadOf: (upstream: string) => RequestLoad;
   /** Factor by which an upstream is slower than its kind; 1 for a healthy one. */
   readonly slownessOf: (upstream: string) => number;
   /** Milliseconds that a prompt waits at an upstream for the prefill of others. */
-  readonly readingWaitOf: (upstream: string) => number;
+  readonly prefillWaitOf: (upstream: string) => number;
   /** Factor on the cost of crossings between data centres; Infinity if none is permitted. */
-  readonly crossingFactor: number;
+  readonly crossingCostFactor: number;
   /** Whether upstreams without KV-cache capacity for the request are excluded. */
-  readonly isRoomBounded: boolean;
+  readonly isCapacityLimited: boolean;
   /** Whether an upstream may be used at all. */
   readonly isUsable: (upstream: Upstream) => boolean;
 }
 
 /** The outcome of a search. */
-export type PathAnswer =
-  | {readonly kind: 'found'; readonly path: Path; readonly predicted: number}
+export type PathSearchResult =
+  | {
+      readonly kind: 'found';
+      readonly path: Path;
+      readonly predictedCost: number;
+    }
   /** Each layer has a usable holder, but KV-cache or link capacity for the request is missing. */
   | {readonly kind: 'noRoom'}
   /** No usable upstream holds this layer. */
@@ -61,13 +65,13 @@
 interface Candidate {
   readonly upstream: Upstream;
   readonly range: LayerRange;
-  readonly load: LoadFigure;
+  readonly load: RequestLoad;
   readonly slowness: number;
   readonly prefillWaitMilliseconds: number;
 }
 
 /** Finds the path with the least cost among those that have capacity for the request. */
-export function findPath(question: PathQuestion): PathAnswer {
+export function findPath(question: PathQuery): PathSearchResult {
   const usable = candidatesOf(question);
   const found = searchPath(question, usable);
   if (found !== undefined) {
@@ -77,7 +81,7 @@
   return layer === undefined ? {kind: 'noRoom'} : {kind: 'noLayers', layer};
 }
 
-function candidatesOf(question: PathQuestion): readonly Candidate[] {
+function candidatesOf(question: PathQuery): readonly Candidate[] {
   const {engine, span} = question;
   const candidates: Candidate[] = [];
   for (const upstream of question.upstreams) {
@@ -90,7 +94,7 @@
     }
     const load = question.loadOf(upstream.id);
     const slowness = question.slownessOf(upstream.id);
-    const prefillWaitMilliseconds = question.readingWaitOf(upstream.id);
+    const prefillWaitMilliseconds = question.prefillWaitOf(upstream.id);
     candidates.push({upstream, range, load, slowness, prefillWaitMilliseconds});
   }
   return candidates.sort(compareByFirstLayer);
@@ -117,9 +121,9 @@
 }
 
 function searchPath(
-  question: PathQuestion,
+  question: PathQuery,
   candidates: readonly Candidate[],
-): PathAnswer | undefined {
+): PathSearchResult | undefined {
   const handOverLayers = handOverLayersOf(question.span, candidates);
   const end = findBestEnd(question, candidates, handOverLayers);
   if (end !== undefined && isWithinPartLimit(end)) {
@@ -143,7 +147,7 @@
 
 /** Expands nodes in the order of their layers, so that the cost of each is final before it is expanded. */
 function findBestEnd(
-  question: PathQuestion,
+  question: PathQuery,
   candidates: readonly Candidate[],
   handOverLayers: ReadonlySet<number>,
 ): SearchNode | undefined {
@@ -151,7 +155,7 @@
   const nodes = new Map<number, Map<string, SearchNode>>();
   keepIfCheaper(nodes, {
     layer: span.from,
-    dataCentre: question.enteringFrom,
+    dataCentre: question.sourceDataCentre,
     cost: 0,
     lastIndex: -1,
     part: undefined,
@@ -166,7 +170,7 @@
 }
 
 function expandNode(
-  question: PathQuestion,
+  question: PathQuery,
   candidates: readonly Candidate[],
   handOverLayers: ReadonlySet<number>,
   node: SearchNode,
@@ -192,7 +196,7 @@
 }
 
 function nextNode(
-  question: PathQuestion,
+  question: PathQuery,
   candidates: readonly Candidate[],
   index: number,
   node: SearchNode,
@@ -219,7 +223,7 @@
     layer: to,
     dataCentre,
     cost:
-      question.isRoomBounded && pressure > 1
+      question.isCapacityLimited && pressure > 1
         ? Infinity
         : node.cost + time + wait + crossing,
     lastIndex: index,
@@ -230,7 +234,7 @@
 
 /** Cost of a crossing; Infinity if crossings are not permitted. */
 function crossingCost(
-  {crossingFactor, engine, size}: PathQuestion,
+  {crossingCostFactor: crossingFactor, engine, size}: PathQuery,
   from: string,
   to: string,
 ): number {
@@ -253,10 +257,10 @@
 }
 
 function cheapestEnd(
-  question: PathQuestion,
+  question: PathQuery,
   ends: ReadonlyMap<string, SearchNode> | undefined,
 ): SearchNode | undefined {
-  const {leavingTo} = question;
+  const {targetDataCentre: leavingTo} = question;
   let best: SearchNode | undefined;
   for (const node of ends?.values() ?? []) {
     const from = node.dataCentre ?? '';
@@ -276,8 +280,8 @@
   return pathTo(end).length <= MAX_PATH_PARTS;
 }
 
-function toFoundPath(end: SearchNode): PathAnswer {
-  return {kind: 'found', path: pathTo(end), predicted: end.cost};
+function toFoundPath(end: SearchNode): PathSearchResult {
+  return {kind: 'found', path: pathTo(end), predictedCost: end.cost};
 }
 
 function pathTo(end: SearchNode): Path {
--- a/src/features/paths/common/readingBacklog.ts
+++ b/src/features/paths/common/prefillBacklog.ts
@@ -15,7 +15,7 @@
  * after a loss: every instance independently restarts the streams of the lost upstream within milliseconds, long
  * before reports or peers show where the others sent theirs. All instances are assumed to send as much as this one.
  */
-export class ReadingBacklog {
+export class PrefillBacklog {
   /** Monotonic milliseconds until which each upstream is busy with prefill. */
   private readonly busyUntil = new Map<string, number>();
 
@@ -27,7 +27,7 @@
   ) {}
 
   /** Records a prompt sent along a path, except for the upstreams in `kept`, which still have it in their KV cache. */
-  note(
+  recordPrompt(
     engine: EngineSettings,
     path: Path,
     promptTokens: number,
--- a/src/features/paths/test/pathSearch.test.ts
+++ b/src/features/paths/test/pathSearch.test.ts
@@ -3,11 +3,11 @@
 
 import {makeUpstream} from '../../fleet/test/upstreams.js';
 import {Upstream} from '../../fleet/common/upstream.js';
-import {LoadFigure} from '../../fleet/common/upstreamLoad.js';
+import {RequestLoad} from '../../fleet/common/upstreamLoadTracker.js';
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {LinkLoad} from '../common/linkLoad.js';
-import {crossingsOf, formatPath} from '../common/path.js';
-import {findPath, PathQuestion} from '../common/pathSearch.js';
+import {countCrossings, formatPath} from '../common/path.js';
+import {findPath, PathQuery} from '../common/pathSearch.js';
 import {layeredEngine} from './engines.js';
 
 const LAYERS = 8;
@@ -28,20 +28,20 @@
 
 function search(
   upstreams: readonly Upstream[],
-  fields: Partial<PathQuestion> = {},
+  fields: Partial<PathQuery> = {},
 ) {
   return findPath({
     engine: layeredEngine(LAYERS),
     upstreams,
     size: {promptTokens: 700, answerTokens: 50},
     span: {from: 0, to: LAYERS},
-    enteringFrom: undefined,
-    leavingTo: undefined,
+    sourceDataCentre: undefined,
+    targetDataCentre: undefined,
     loadOf: () => ({requests: 0, tokenLayers: 0}),
     slownessOf: () => 1,
-    readingWaitOf: () => 0,
-    crossingFactor: 1,
-    isRoomBounded: true,
+    prefillWaitOf: () => 0,
+    crossingCostFactor: 1,
+    isCapacityLimited: true,
     isUsable: upstream => !upstream.isLeaving,
     ...fields,
   });
@@ -56,7 +56,7 @@
   const cases: ReadonlyArray<{
     name: string;
     upstreams: readonly Upstream[];
-    fields?: Partial<PathQuestion>;
+    fields?: Partial<PathQuery>;
     path: string;
   }> = [
     {
@@ -101,7 +101,7 @@
       name: 'avoids a full upstream',
       upstreams: [holder('a', 0, 8), holder('b', 0, 8, south)],
       fields: {
-        loadOf: (id): LoadFigure => ({
+        loadOf: (id): RequestLoad => ({
           requests: 1,
           tokenLayers: id === 'a' ? 1_000_000 : 0,
         }),
@@ -137,8 +137,8 @@
       upstreams: [holder('a', 2, 4, south), holder('b', 2, 4)],
       fields: {
         span: {from: 2, to: 4},
-        enteringFrom: 'north',
-        leavingTo: 'north',
+        sourceDataCentre: 'north',
+        targetDataCentre: 'north',
       },
       path: 'b=2-4',
     },
@@ -202,7 +202,7 @@
           layer = part.to;
         }
         expect(layer).toBe(LAYERS);
-        expect(crossingsOf(answer.path)).toBeLessThan(answer.path.length);
+        expect(countCrossings(answer.path)).toBeLessThan(answer.path.length);
       }),
     );
   });
@@ -229,7 +229,7 @@
     ({megabytes, factor}) => {
       const clock = new FakeClock();
       const load = new LinkLoad(clock, () => 2);
-      load.note(megabytes * 1_000_000);
+      load.recordCrossing(megabytes * 1_000_000);
       expect(load.costFactor(4_000)).toBeCloseTo(factor);
       clock.advance(1_001);
       expect(load.costFactor(4_000)).toBe(1);
--- a/src/features/paths/test/readingBacklog.test.ts
+++ b/src/features/paths/test/prefillBacklog.test.ts
@@ -2,11 +2,11 @@
 
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {Upstream} from '../../fleet/common/upstream.js';
-import {UpstreamLoad} from '../../fleet/common/upstreamLoad.js';
+import {UpstreamLoadTracker} from '../../fleet/common/upstreamLoadTracker.js';
 import {makeUpstream} from '../../fleet/test/upstreams.js';
-import {Path, tokensOf, upstreamIdsOf} from '../common/path.js';
+import {Path, totalTokensOf, upstreamIdsOf} from '../common/path.js';
 import {findPath} from '../common/pathSearch.js';
-import {ReadingBacklog} from '../common/readingBacklog.js';
+import {PrefillBacklog} from '../common/prefillBacklog.js';
 import {layeredEngine} from './engines.js';
 
 const LAYERS = 8;
@@ -61,13 +61,13 @@
     },
   ])('$name', ({prompts, instances = 1, slowness = 1, after = 0, wait}) => {
     const clock = new FakeClock();
-    const backlog = new ReadingBacklog(
+    const backlog = new PrefillBacklog(
       clock,
       () => instances,
       () => slowness,
     );
     for (let count = 0; count < prompts; count++) {
-      backlog.note(engine, pathOverBoth, 1000, new Set());
+      backlog.recordPrompt(engine, pathOverBoth, 1000, new Set());
     }
     clock.advance(after);
     expect(backlog.waitOf('a')).toBeCloseTo(wait);
@@ -75,23 +75,23 @@
   });
 
   it('excludes upstreams that have processed the prompt', () => {
-    const backlog = new ReadingBacklog(
+    const backlog = new PrefillBacklog(
       new FakeClock(),
       () => 1,
       () => 1,
     );
-    backlog.note(engine, pathOverBoth, 1000, new Set(['a']));
+    backlog.recordPrompt(engine, pathOverBoth, 1000, new Set(['a']));
     expect(backlog.waitOf('a')).toBe(0);
     expect(backlog.waitOf('b')).toBeCloseTo(PREFILL_MILLISECONDS);
   });
 
   it('is dropped for upstreams that are no longer listed', () => {
-    const backlog = new ReadingBacklog(
+    const backlog = new PrefillBacklog(
       new FakeClock(),
       () => 1,
       () => 1,
     );
-    backlog.note(engine, pathOverBoth, 1000, new Set());
+    backlog.recordPrompt(engine, pathOverBoth, 1000, new Set());
     backlog.retain(id => id === 'b');
     expect(backlog.waitOf('a')).toBe(0);
     expect(backlog.waitOf('b')).toBeGreaterThan(0);
@@ -113,13 +113,13 @@
   function shareOfBusiest(usesBacklog: boolean): number {
     const clock = new FakeClock();
     const instances = Array.from({length: INSTANCES}, () => {
-      const load = new UpstreamLoad();
+      const load = new UpstreamLoadTracker();
       // The south has slightly more load.
       load.add('c', 4_000);
       load.add('d', 4_000);
       return {
         load,
-        backlog: new ReadingBacklog(
+        backlog: new PrefillBacklog(
           clock,
           () => INSTANCES,
           () => 1,
@@ -134,21 +134,21 @@
         upstreams,
         size,
         span: {from: 0, to: LAYERS},
-        enteringFrom: undefined,
-        leavingTo: undefined,
-        loadOf: id => load.of(id),
+        sourceDataCentre: undefined,
+        targetDataCentre: undefined,
+        loadOf: id => load.totalOf(id),
         slownessOf: () => 1,
-        readingWaitOf: id => (usesBacklog ? backlog.waitOf(id) : 0),
-        crossingFactor: Infinity,
-        isRoomBounded: true,
+        prefillWaitOf: id => (usesBacklog ? backlog.waitOf(id) : 0),
+        crossingCostFactor: Infinity,
+        isCapacityLimited: true,
         isUsable: () => true,
       });
       if (answer.kind !== 'found') {
         throw new Error('no path found despite free capacity');
       }
-      backlog.note(engine, answer.path, size.promptTokens, new Set());
+      backlog.recordPrompt(engine, answer.path, size.promptTokens, new Set());
       for (const id of upstreamIdsOf(answer.path)) {
-        load.add(id, tokensOf(size));
+        load.add(id, totalTokensOf(size));
         sent.set(id, (sent.get(id) ?? 0) + 1);
       }
     }
--- a/src/features/traffic/common/configurationKeeper.ts
+++ b/src/features/traffic/common/activeConfiguration.ts
@@ -7,7 +7,7 @@
 import {TrafficConfiguration} from './trafficConfiguration.js';
 
 /** Holds the active configuration, whose version never decreases, and the time of its last confirmation. */
-export class ConfigurationKeeper extends DisposableOwner {
+export class ActiveConfiguration extends DisposableOwner {
   private readonly changeEmitter = this.register(new Emitter<RouteTable>());
   private readonly confirmationEmitter = this.register(new Emitter<void>());
   private current: RouteTable | undefined;
@@ -38,7 +38,7 @@
   }
 
   /** Activates a configuration unless its version is the active one or older. */
-  offer(configuration: TrafficConfiguration): void {
+  activateIfNewer(configuration: TrafficConfiguration): void {
     const before = this.current?.configuration.version;
     if (before !== undefined && configuration.version <= before) {
       return;
--- a/src/features/traffic/common/configurationFollower.ts
+++ b/src/features/traffic/common/configurationFollower.ts
@@ -6,7 +6,7 @@
 import {DisposableOwner, toDisposable} from '../../../base/common/lifecycle.js';
 import {Result} from '../../../base/common/result.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
-import {ConfigurationKeeper} from './configurationKeeper.js';
+import {ActiveConfiguration} from './activeConfiguration.js';
 import {
   ConfigurationUpdate,
   ConfigurationSource,
@@ -40,7 +40,7 @@
     private readonly clock: Clock,
     private readonly logger: Logger,
     private readonly configurationSource: ConfigurationSource,
-    private readonly activeConfiguration: ConfigurationKeeper,
+    private readonly activeConfiguration: ActiveConfiguration,
   ) {
     super();
     this.register(toDisposable(() => this.source.cancel('stopped')));
@@ -91,7 +91,7 @@
       this.logger.info('configuration updates resumed', {position});
     }
     if (configuration !== undefined) {
-      this.activeConfiguration.offer(configuration);
+      this.activeConfiguration.activateIfNewer(configuration);
     }
   }
 
--- a/src/features/traffic/common/routeTable.ts
+++ b/src/features/traffic/common/routeTable.ts
@@ -24,7 +24,7 @@
   }
 
   /** Whether requests need a key on routes that are not public. */
-  get needsKeys(): boolean {
+  get requiresKeys(): boolean {
     return this.configuration.accounts !== undefined;
   }
 
--- a/src/features/traffic/common/trafficConfiguration.ts
+++ b/src/features/traffic/common/trafficConfiguration.ts
@@ -52,7 +52,7 @@
 }
 
 /** Sizes and links of a model whose layers are split over several accelerators. */
-export interface LayerModel {
+export interface LayeredModel {
   readonly layerCount: number;
   readonly layerMegabytes: number;
   /** Bytes of activations that are sent per token from one upstream to the next. */
@@ -88,7 +88,7 @@
   readonly models: readonly EngineModel[];
   readonly delays: readonly DataCentreDelay[];
   /** Undefined when each engine holds the whole model. */
-  readonly layers: LayerModel | undefined;
+  readonly layers: LayeredModel | undefined;
 }
 
 /** A group of interchangeable upstreams. */
--- a/src/features/traffic/test/configurationKeeper.test.ts
+++ b/src/features/traffic/test/activeConfiguration.test.ts
@@ -2,14 +2,14 @@
 
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {FakeClock} from '../../../../test/support/fakeClock.js';
-import {ConfigurationKeeper} from '../common/configurationKeeper.js';
+import {ActiveConfiguration} from '../common/activeConfiguration.js';
 import {makeConfiguration} from './trafficConfigurations.js';
 
 const LIMIT_MILLISECONDS = 4000;
 
 function makeActiveConfiguration() {
   const clock = new FakeClock();
-  const activeConfiguration = new ConfigurationKeeper(
+  const activeConfiguration = new ActiveConfiguration(
     clock,
     new SilentLogger(),
     LIMIT_MILLISECONDS,
@@ -27,7 +27,7 @@
     ({offered, inForce}) => {
       const {activeConfiguration} = makeActiveConfiguration();
       for (const version of offered) {
-        activeConfiguration.offer(makeConfiguration({version}));
+        activeConfiguration.activateIfNewer(makeConfiguration({version}));
       }
       expect(activeConfiguration.table?.configuration.version).toBe(inForce);
     },
@@ -69,7 +69,7 @@
     },
   ])('$name', ({advance, shift, isConfirmed}) => {
     const {clock, activeConfiguration} = makeActiveConfiguration();
-    activeConfiguration.offer(makeConfiguration());
+    activeConfiguration.activateIfNewer(makeConfiguration());
     activeConfiguration.confirm(activeConfiguration.now());
     clock.advance(advance);
     clock.shiftWall(shift);
@@ -78,7 +78,7 @@
 
   it('is dated from the start of the read, not from its response', () => {
     const {clock, activeConfiguration} = makeActiveConfiguration();
-    activeConfiguration.offer(makeConfiguration());
+    activeConfiguration.activateIfNewer(makeConfiguration());
     const requestedAt = activeConfiguration.now();
     clock.advance(3000);
     activeConfiguration.confirm(requestedAt);
--- a/src/features/traffic/test/configurationFollower.test.ts
+++ b/src/features/traffic/test/configurationFollower.test.ts
@@ -4,7 +4,7 @@
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {ConfigurationFollower} from '../common/configurationFollower.js';
-import {ConfigurationKeeper} from '../common/configurationKeeper.js';
+import {ActiveConfiguration} from '../common/activeConfiguration.js';
 import {
   ConfigurationUpdate,
   ConfigurationSource,
@@ -95,7 +95,7 @@
 it.each(cases)('$name', async ({results, calls, version}) => {
   const clock = new FakeClock();
   const logger = new SilentLogger();
-  const activeConfiguration = new ConfigurationKeeper(clock, logger, 4000);
+  const activeConfiguration = new ActiveConfiguration(clock, logger, 4000);
   const source = new ScriptedSource([...results]);
   const follower = new ConfigurationFollower(
     clock,
--- a/src/features/traffic/test/confirmationPeriod.test.ts
+++ b/src/features/traffic/test/confirmationPeriod.test.ts
@@ -4,7 +4,7 @@
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {ConfigurationFollower} from '../common/configurationFollower.js';
-import {ConfigurationKeeper} from '../common/configurationKeeper.js';
+import {ActiveConfiguration} from '../common/activeConfiguration.js';
 import {
   ConfigurationUpdate,
   ConfigurationSource,
@@ -41,7 +41,7 @@
   async limit => {
     const clock = new FakeClock();
     const logger = new SilentLogger();
-    const activeConfiguration = new ConfigurationKeeper(clock, logger, limit);
+    const activeConfiguration = new ActiveConfiguration(clock, logger, limit);
     const follower = new ConfigurationFollower(
       clock,
       logger,
--- a/src/programs/router/callerListener.ts
+++ b/src/programs/router/callerListener.ts
@@ -51,7 +51,7 @@
         );
         this.handler.handle(exchange).catch((error: unknown) => {
           this.logger.error('unexpected error', {detail: String(error)});
-          exchange.sendOwn({
+          exchange.sendRouterResponse({
             kind: 'failed',
             status: 502,
             reason: 'internal error',
--- a/src/programs/router/routerComponents.ts
+++ b/src/programs/router/routerComponents.ts
@@ -5,11 +5,11 @@
 import {Clock} from '../../base/common/clock.js';
 import {DisposableStore} from '../../base/common/lifecycle.js';
 import {RandomSource} from '../../base/common/randomSource.js';
-import {Suspicions} from '../../features/fleet/common/suspicions.js';
-import {Slowness} from '../../features/fleet/common/slowness.js';
+import {SuspicionTracker} from '../../features/fleet/common/suspicionTracker.js';
+import {SlownessTracker} from '../../features/fleet/common/slownessTracker.js';
 import {UpstreamDirectory} from '../../features/fleet/common/upstreamDirectory.js';
-import {UpstreamLister} from '../../features/fleet/common/upstreamLister.js';
-import {UpstreamLoad} from '../../features/fleet/common/upstreamLoad.js';
+import {UpstreamListRefresher} from '../../features/fleet/common/upstreamListRefresher.js';
+import {UpstreamLoadTracker} from '../../features/fleet/common/upstreamLoadTracker.js';
 import {defaultForwardingSettings} from '../../features/forwarding/common/forwardingSettings.js';
 import {OutcomeHistory} from '../../features/forwarding/common/outcomeHistory.js';
 import {RetryBudget} from '../../features/forwarding/common/retryBudget.js';
@@ -17,21 +17,21 @@
 import {HttpUpstreamConnector} from '../../features/forwarding/node/httpUpstreamConnector.js';
 import {RequestHandler} from '../../features/forwarding/node/requestHandler.js';
 import {RequestMetrics} from '../../features/forwarding/node/requestMetrics.js';
-import {StreamWatch} from '../../features/forwarding/node/streamWatch.js';
-import {UpstreamTrials} from '../../features/forwarding/node/upstreamTrials.js';
+import {StreamMonitor} from '../../features/forwarding/node/streamMonitor.js';
+import {UpstreamProber} from '../../features/forwarding/node/upstreamProber.js';
 import {InstanceRecord} from '../../features/instances/common/instance.js';
 import {InstanceRegistry} from '../../features/instances/common/instanceRegistry.js';
 import {InstanceTable} from '../../features/instances/common/instanceTable.js';
 import {PeerGossip} from '../../features/instances/node/peerGossip.js';
 import {
   LayerController,
-  LEASE_STEP_MILLISECONDS,
+  LEASE_PERIOD_MILLISECONDS,
 } from '../../features/layers/common/layerController.js';
 import {TableLease} from '../../features/placement/common/tableLease.js';
 import {LinkLoad} from '../../features/paths/common/linkLoad.js';
-import {ReadingBacklog} from '../../features/paths/common/readingBacklog.js';
+import {PrefillBacklog} from '../../features/paths/common/prefillBacklog.js';
 import {ConfigurationFollower} from '../../features/traffic/common/configurationFollower.js';
-import {ConfigurationKeeper} from '../../features/traffic/common/configurationKeeper.js';
+import {ActiveConfiguration} from '../../features/traffic/common/activeConfiguration.js';
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 import {RouterPorts} from './routerPorts.js';
 import {RouterSettings} from './routerSettings.js';
@@ -42,7 +42,7 @@
 const LEASE_KEY = 'leases/layers';
 
 /** Duration of the lease: four renewal steps, so that it outlasts two lost responses. */
-const LEASE_DURATION_MILLISECONDS = 4 * LEASE_STEP_MILLISECONDS;
+const LEASE_DURATION_MILLISECONDS = 4 * LEASE_PERIOD_MILLISECONDS;
 
 /** Time before expiry from which the lease is not used, since clocks may run at slightly different rates. */
 const LEASE_MARGIN_MILLISECONDS = 300;
@@ -58,10 +58,10 @@
 
 /** Components that the program starts, stops or serves. */
 export interface RouterComponents {
-  readonly activeConfiguration: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly configurationFollower: ConfigurationFollower;
   readonly directory: UpstreamDirectory;
-  readonly upstreamLister: UpstreamLister;
+  readonly upstreamLister: UpstreamListRefresher;
   readonly instances: InstanceTable;
   readonly registry: InstanceRegistry;
   readonly gossip: PeerGossip;
@@ -87,16 +87,16 @@
     peerAddress: settings.listen.peers,
   };
   const activeConfiguration = owned.add(
-    new ConfigurationKeeper(clock, logger, confirmationLimit(settings)),
+    new ActiveConfiguration(clock, logger, confirmationLimit(settings)),
   );
   const directory = owned.add(new UpstreamDirectory(clock, logger));
-  const suspicions = owned.add(new Suspicions(clock, logger));
+  const suspicions = owned.add(new SuspicionTracker(clock, logger));
   const instances = new InstanceTable(clock, logger, ownRecord);
   const registry = new InstanceRegistry(ports.table, logger);
-  const load = new UpstreamLoad();
-  const slowness = owned.add(new Slowness(clock, logger));
+  const load = new UpstreamLoadTracker();
+  const slowness = owned.add(new SlownessTracker(clock, logger));
   const trials = owned.add(
-    new UpstreamTrials(
+    new UpstreamProber(
       clock,
       ports.upstreamControl,
       directory,
@@ -107,10 +107,10 @@
   );
   const connector = owned.add(new HttpUpstreamConnector());
   const outcomes = new OutcomeHistory(clock);
-  const readingBacklog = new ReadingBacklog(
+  const readingBacklog = new PrefillBacklog(
     clock,
     () => instances.instanceCount,
-    id => slowness.of(id),
+    id => slowness.factorOf(id),
   );
   owned.add(
     directory.onDidChange(() => {
@@ -129,13 +129,13 @@
     random,
     logger,
     metrics: new RequestMetrics(metrics),
-    wire: ports.wire,
+    headerCodec: ports.wire,
     connector,
     control: ports.upstreamControl,
     configuration: activeConfiguration,
     directory,
     suspicions,
-    trials,
+    prober: trials,
     load,
     linkLoad: new LinkLoad(clock, () => instances.instanceCount),
     readingBacklog,
@@ -148,7 +148,7 @@
     outcomes,
   };
   const streamWatch = owned.add(
-    new StreamWatch(
+    new StreamMonitor(
       clock,
       directory,
       suspicions,
@@ -201,7 +201,7 @@
       ),
     ),
     upstreamLister: owned.add(
-      new UpstreamLister(
+      new UpstreamListRefresher(
         clock,
         random,
         logger,
--- a/src/programs/router/routerPorts.ts
+++ b/src/programs/router/routerPorts.ts
@@ -1,6 +1,6 @@
 import {UpstreamControl} from '../../features/fleet/common/upstreamControl.js';
 import {UpstreamSource} from '../../features/fleet/common/upstreamSource.js';
-import {Wire} from '../../features/forwarding/common/wire.js';
+import {HeaderCodec} from '../../features/forwarding/common/headerCodec.js';
 import {DirectoryProtocol} from '../../features/instances/common/directoryProtocol.js';
 import {ConfigurationSource} from '../../features/traffic/common/configurationSource.js';
 import {TableService} from '../../infrastructure/table/common/tableService.js';
@@ -11,6 +11,6 @@
   readonly configurationSource: ConfigurationSource;
   readonly upstreams: UpstreamSource;
   readonly upstreamControl: UpstreamControl;
-  readonly wire: Wire;
+  readonly wire: HeaderCodec;
   readonly directory: DirectoryProtocol;
 }
--- a/src/programs/router/routerProgram.ts
+++ b/src/programs/router/routerProgram.ts
@@ -14,7 +14,7 @@
 import {CallerListener} from './callerListener.js';
 import {monitorEventLoop} from './eventLoopMonitor.js';
 import {createRouterComponents, RouterComponents} from './routerComponents.js';
-import {switchedOff} from '../../features/mechanisms/common/mechanisms.js';
+import {disabledMechanisms} from '../../features/mechanisms/common/mechanisms.js';
 import {RouterPorts} from './routerPorts.js';
 import {RouterSettings} from './routerSettings.js';
 
@@ -104,7 +104,7 @@
     this.owned.add(activeConfiguration.onDidConfirm(() => this.updateState()));
     const {instance, listen} = this.settings;
     this.logger.info('started', {
-      switchedOff: switchedOff(this.settings.mechanisms),
+      switchedOff: disabledMechanisms(this.settings.mechanisms),
       dataCentre: instance.dataCentre,
       region: instance.region,
       ...listen,
@@ -131,7 +131,7 @@
       handler.idle(),
       sleepUntil(stopMilliseconds * REFUSE_NEW_SHARE),
     ]);
-    handler.refuseNew();
+    handler.refuseNewRequests();
     this.callers.stopListening();
     await Promise.race([
       handler.idle(),
