--- a/src/features/pipeline/common/exportPolicy.ts
+++ b/src/features/pipeline/common/exportPolicy.ts
@@ -4,7 +4,7 @@
 } from '../../../infrastructure/engine/common/engineConnection.js';
 import {ExportSettings} from './pipelineSettings.js';
 
-/** How far a reply is. */
+/** How much of a reply has been generated. */
 export interface ReplyProgress {
   readonly contextTokens: number;
   readonly releasedTokens: number;
@@ -12,7 +12,10 @@
   readonly maximumTokens: number;
 }
 
-/** Whether to export KV caches now: due, long enough to be worth it, and enough left to do. */
+/**
+ * Whether to export KV caches now: the interval has passed, the context is long enough to be worth an export, and
+ * enough tokens remain.
+ */
 export function isExportDue(
   progress: ReplyProgress,
   settings: ExportSettings,
@@ -29,7 +32,7 @@
   );
 }
 
-/** Whether an export can restore a stage of these layers. */
+/** Whether an export can restore a stage that runs these layers. */
 export function isExportUsable(
   reference: CacheReference,
   layers: LayerRange,
--- a/src/features/pipeline/common/planCheck.ts
+++ b/src/features/pipeline/common/layerCoverage.ts
@@ -1,6 +1,6 @@
 import {ChosenStage} from '../../routing/common/routing.js';
 
-/** Whether stages cover layers 0 to `layerCount` once, in order, each on its own upstream. */
+/** Whether the stages cover layers 0 to `layerCount` once, in order, each on a different upstream. */
 export function coversAllLayers(
   stages: readonly ChosenStage[],
   layerCount: number,
--- a/src/features/pipeline/common/lineageChecker.ts
+++ b/src/features/pipeline/common/lineageChecker.ts
@@ -3,7 +3,7 @@
   StepRequest,
 } from '../../../infrastructure/engine/common/engineConnection.js';
 
-/** Why an answer is not the one that was asked for. */
+/** How a receipt deviates from the step that was sent. */
 export type LineageFault =
   | 'crossedRequest'
   | 'otherEpoch'
@@ -14,68 +14,72 @@
   | 'incomplete';
 
 /**
- * Verifies that the receipts of one token cover all layers once, in order, in one epoch.
- * A receipt must also be exactly the answer to the step that was sent.
+ * Verifies that the receipts of one token cover all layers once, in order, in one epoch, and that each receipt matches
+ * the step that was sent.
  */
 export class LineageChecker {
-  private step: StepRequest | undefined;
+  private lastStep: StepRequest | undefined;
   private coveredTo = 0;
 
-  /** Forgets the receipts so far; the next one starts a token. */
-  begin(): void {
-    this.step = undefined;
+  /** Discards the receipts so far; the next receipt is the first of a new token. */
+  startToken(): void {
+    this.lastStep = undefined;
     this.coveredTo = 0;
   }
 
-  /** Takes the next receipt; a fault leaves the coverage as it was. */
-  add(step: StepRequest, receipt: StepReceipt): LineageFault | undefined {
-    const fault = this.faultOf(step, receipt);
+  /** Adds the next receipt. A faulty receipt does not change the layers covered. */
+  addReceipt(
+    step: StepRequest,
+    receipt: StepReceipt,
+  ): LineageFault | undefined {
+    const fault = this.findFault(step, receipt);
     if (fault === undefined) {
-      this.step = step;
+      this.lastStep = step;
       this.coveredTo = receipt.layers.to;
     }
     return fault;
   }
 
-  /** Whether the token may be released. */
-  finish(): LineageFault | undefined {
-    const complete =
-      this.step !== undefined && this.coveredTo === this.step.layerCount;
-    return complete ? undefined : 'incomplete';
+  /** Returns undefined if all layers are covered, so that the token may be released. */
+  checkComplete(): LineageFault | undefined {
+    const isComplete =
+      this.lastStep !== undefined &&
+      this.coveredTo === this.lastStep.layerCount;
+    return isComplete ? undefined : 'incomplete';
   }
 
-  private faultOf(
+  private findFault(
     step: StepRequest,
     receipt: StepReceipt,
   ): LineageFault | undefined {
     return (
-      answerFault(step, receipt) ??
-      this.continuityFault(step) ??
-      outputFault(step, receipt)
+      findReceiptFault(step, receipt) ??
+      this.findContinuityFault(step) ??
+      findOutputFault(step, receipt)
     );
   }
 
-  private continuityFault(step: StepRequest): LineageFault | undefined {
-    const first = this.step;
+  private findContinuityFault(step: StepRequest): LineageFault | undefined {
+    const previous = this.lastStep;
     if (step.layers.from !== this.coveredTo) {
       return 'layersOutOfOrder';
     }
-    if (first === undefined) {
+    if (previous === undefined) {
       return undefined;
     }
-    if (first.requestId !== step.requestId) {
+    if (previous.requestId !== step.requestId) {
       return 'crossedRequest';
     }
-    if (first.epoch !== step.epoch) {
+    if (previous.epoch !== step.epoch) {
       return 'otherEpoch';
     }
-    return sameRange(first.positions, step.positions)
+    return areRangesEqual(previous.positions, step.positions)
       ? undefined
       : 'otherPositions';
   }
 }
 
-function answerFault(
+function findReceiptFault(
   step: StepRequest,
   receipt: StepReceipt,
 ): LineageFault | undefined {
@@ -85,24 +89,24 @@
   if (receipt.epoch !== step.epoch) {
     return 'otherEpoch';
   }
-  if (!sameRange(receipt.layers, step.layers)) {
+  if (!areRangesEqual(receipt.layers, step.layers)) {
     return 'otherLayers';
   }
-  return sameRange(receipt.positions, step.positions)
+  return areRangesEqual(receipt.positions, step.positions)
     ? undefined
     : 'otherPositions';
 }
 
-function outputFault(
+function findOutputFault(
   step: StepRequest,
   receipt: StepReceipt,
 ): LineageFault | undefined {
-  const last = step.layers.to === step.layerCount;
-  const expected = last ? 'token' : 'activation';
+  const isLastStage = step.layers.to === step.layerCount;
+  const expected = isLastStage ? 'token' : 'activation';
   return receipt.output.kind === expected ? undefined : 'wrongOutput';
 }
 
-function sameRange(
+function areRangesEqual(
   left: {readonly from: number; readonly to: number},
   right: {readonly from: number; readonly to: number},
 ): boolean {
--- a/src/features/pipeline/common/boundedMap.ts
+++ b/src/features/pipeline/common/lruMap.ts
@@ -1,5 +1,5 @@
-/** A map that forgets its least recently used entry when it is full. */
-export class BoundedMap<Key, Value> {
+/** A map of limited size that evicts the least recently used entry. */
+export class LruMap<Key, Value> {
   private readonly entries = new Map<Key, Value>();
 
   constructor(private readonly limit: number) {}
@@ -8,14 +8,14 @@
     return this.entries.size;
   }
 
-  /** Finds an entry without making it recent. */
+  /** Returns an entry without marking it as used. */
   get(key: Key): Value | undefined {
     return this.entries.get(key);
   }
 
-  /** Finds or makes an entry and makes it the most recent. */
-  obtain(key: Key, make: () => Value): Value {
-    const value = this.entries.get(key) ?? make();
+  /** Returns an entry, creates it if needed and marks it as most recently used. */
+  getOrCreate(key: Key, create: () => Value): Value {
+    const value = this.entries.get(key) ?? create();
     this.entries.delete(key);
     this.entries.set(key, value);
     if (this.entries.size > this.limit) {
--- a/src/features/pipeline/common/movingSpread.ts
+++ b/src/features/pipeline/common/movingStatistics.ts
@@ -1,12 +1,12 @@
-const WEIGHT = 0.1;
+const SMOOTHING_FACTOR = 0.1;
 
-/** Exponentially weighted mean and mean deviation of a series. */
-export class MovingSpread {
+/** Exponentially weighted moving average and mean absolute deviation of a series. */
+export class MovingStatistics {
   private average = 0;
   private averageDeviation = 0;
   private count = 0;
 
-  get samples(): number {
+  get sampleCount(): number {
     return this.count;
   }
 
@@ -14,7 +14,7 @@
     return this.average;
   }
 
-  get deviation(): number {
+  get meanDeviation(): number {
     return this.averageDeviation;
   }
 
@@ -26,7 +26,8 @@
       return;
     }
     const error = value - this.average;
-    this.average += WEIGHT * error;
-    this.averageDeviation += WEIGHT * (Math.abs(error) - this.averageDeviation);
+    this.average += SMOOTHING_FACTOR * error;
+    this.averageDeviation +=
+      SMOOTHING_FACTOR * (Math.abs(error) - this.averageDeviation);
   }
 }
--- a/src/features/pipeline/common/pipelineAttempt.ts
+++ b/src/features/pipeline/common/pipelineAttempt.ts
@@ -1,7 +1,7 @@
 import {StateChart} from '../../../infrastructure/stateChart/common/stateChart.js';
 import definition from './pipelineAttempt.chart.json' with {type: 'json'};
 
-/** The states of one request's way through its pipeline. */
+/** States of a request while it runs on a pipeline. */
 export type AttemptState =
   | 'reserving'
   | 'prefilling'
@@ -11,7 +11,7 @@
   | 'failed'
   | 'cancelled';
 
-/** What moves it on. */
+/** Events that change the state. */
 export type AttemptEvent =
   | 'reserved'
   | 'refused'
@@ -21,13 +21,13 @@
   | 'restarted'
   | 'resumed'
   | 'exhausted'
-  /** The caller left or the deadline passed. */
+  /** The caller disconnected or the deadline passed. */
   | 'ended';
 
-/** What a transition asks the driver to do. */
+/** Actions that the driver performs after a transition. */
 export type AttemptAction = 'prefill' | 'decode' | 'recover';
 
-/** Makes the chart ready; one serves all requests. */
+/** Creates the chart; all requests share one. */
 export function createAttemptChart(): StateChart<
   AttemptState,
   AttemptEvent,
--- a/src/features/pipeline/common/pipelineSettings.ts
+++ b/src/features/pipeline/common/pipelineSettings.ts
@@ -1,58 +1,58 @@
-/** Bounds and intervals of the pipeline driver; times in milliseconds. */
+/** Limits and intervals of the pipeline driver; times in milliseconds. */
 
-/** When a stage counts as silent. */
-export interface WatchSettings {
-  /** No decode step is given up sooner. */
+/** How long a stage may take to respond to a step. */
+export interface StepTimeoutSettings {
+  /** Minimum time-out of a decode step. */
   readonly decodeFloorMilliseconds: number;
-  /** No prefill is given up sooner. */
+  /** Minimum time-out of a prefill. */
   readonly prefillFloorMilliseconds: number;
-  /** Limit of a decode step as a multiple of the class's token target. */
+  /** Time-out of a decode step as a multiple of the class's target between tokens. */
   readonly targetMultiple: number;
-  /** Limit of a prefill as a multiple of its expected time. */
+  /** Time-out of a prefill as a multiple of its expected duration. */
   readonly prefillMultiple: number;
-  /** Mean deviations above the mean observed step time. */
+  /** Number of mean deviations that the time-out lies above the mean observed step time. */
   readonly deviations: number;
-  /** Upstreams whose step times are kept. */
+  /** Maximum number of upstreams whose step times are kept. */
   readonly trackedUpstreams: number;
 }
 
-/** When KV caches are exported while a reply is generated. */
+/** When KV caches are exported during generation. */
 export interface ExportSettings {
-  /** Released tokens between two exports. */
+  /** Number of released tokens between two exports. */
   readonly everyTokens: number;
-  /** A shorter context is rebuilt faster than it is worth exporting. */
+  /** Shorter contexts are not exported, since rebuilding them is cheaper. */
   readonly minimumContextTokens: number;
-  /** With fewer tokens expected an export is unlikely to be used. */
+  /** With fewer expected tokens left, an export is unlikely to be used. */
   readonly minimumRemainingTokens: number;
 }
 
 /** All settings of the driver. */
 export interface PipelineSettings {
-  readonly watch: WatchSettings;
+  readonly watch: StepTimeoutSettings;
   readonly exports: ExportSettings;
-  /** Recoveries of one request before it fails. */
+  /** Number of recoveries after which a request fails. */
   readonly recoveryLimit: number;
-  /** Bound of one cancel call. */
+  /** Time-out of one cancel call. */
   readonly cancelMilliseconds: number;
-  /** First pause before a cancel is repeated; it doubles each time. */
+  /** Delay before the first retry of a cancel call; it doubles with each retry. */
   readonly cancelRetryMilliseconds: number;
-  /** How often a cancel is repeated at an engine that is not idle. */
+  /** Maximum number of retries of a cancel call while the engine is not idle. */
   readonly cancelRetries: number;
-  /** How long a failure waits for cancel reports that decide what it says. */
+  /** How long a failure response waits for the cancel reports that decide its `executed` value. */
   readonly settleMilliseconds: number;
-  /** Bound of one import of a KV cache. */
+  /** Time-out of one import of a KV cache. */
   readonly importMilliseconds: number;
-  /** Bound of one export of a KV cache. */
+  /** Time-out of one export of a KV cache. */
   readonly exportMilliseconds: number;
-  /** A predicted start nearer than this is not waited for. */
+  /** The driver does not wait for a start that is predicted to be nearer than this. */
   readonly startLeadMilliseconds: number;
-  /** Share of the predicted wait by which dispatch comes early. */
+  /** Fraction of the predicted wait by which the request is dispatched early. */
   readonly startLeadShare: number;
-  /** Retry time of a failure that brings none of its own. */
+  /** Retry-after time of a failure that does not bring its own. */
   readonly retryMilliseconds: number;
 }
 
-/** The settings in use unless a test shortens them. */
+/** Production settings; tests override some. */
 export const defaultPipelineSettings: PipelineSettings = {
   watch: {
     decodeFloorMilliseconds: 500,
--- a/src/features/pipeline/common/safeguards.ts
+++ b/src/features/pipeline/common/safeguards.ts
@@ -2,47 +2,53 @@
   StepReceipt,
   StepRequest,
 } from '../../../infrastructure/engine/common/engineConnection.js';
-import {EngineRecord} from './attemptLedger.js';
+import {EngineExecutionRecord} from './executionTracker.js';
 import {LineageChecker, LineageFault} from './lineageChecker.js';
 
-/** The rules that keep a reply correct through failures; tests replace one to show what it prevents. */
+/** Rules that keep a reply correct across failures. Tests disable single rules to show which fault each prevents. */
 export abstract class Safeguards {
-  /** Checks the answer to a step before anything is made of it. */
+  /** Checks the receipt of a step before its output is used. */
   abstract checkReceipt(
     lineage: LineageChecker,
     step: StepRequest,
     receipt: StepReceipt,
   ): LineageFault | undefined;
 
-  /** Checks the whole lineage before a token is released. */
+  /** Checks that the lineage is complete before a token is released. */
   abstract checkRelease(lineage: LineageChecker): LineageFault | undefined;
 
-  /** The epoch of the next attempt, above all that engines are known to have seen. */
+  /** The epoch of the next attempt; it exceeds every epoch that an engine is known to have seen. */
   abstract nextEpoch(epoch: number, highestSeen: number): number;
 
-  /** Whether an engine may be handed a step of a new epoch. */
-  abstract mayEnter(record: EngineRecord, checksFencing: boolean): boolean;
+  /** Whether a step of a new epoch may be sent to an engine. */
+  abstract canEnterEpoch(
+    record: EngineExecutionRecord,
+    checksFencing: boolean,
+  ): boolean;
 }
 
-/** The rules in use. */
+/** The rules used in production. */
 export class StrictSafeguards extends Safeguards {
   override checkReceipt(
     lineage: LineageChecker,
     step: StepRequest,
     receipt: StepReceipt,
   ): LineageFault | undefined {
-    return lineage.add(step, receipt);
+    return lineage.addReceipt(step, receipt);
   }
 
   override checkRelease(lineage: LineageChecker): LineageFault | undefined {
-    return lineage.finish();
+    return lineage.checkComplete();
   }
 
   override nextEpoch(epoch: number, highestSeen: number): number {
     return Math.max(epoch, highestSeen) + 1;
   }
 
-  override mayEnter(record: EngineRecord, checksFencing: boolean): boolean {
+  override canEnterEpoch(
+    record: EngineExecutionRecord,
+    checksFencing: boolean,
+  ): boolean {
     return checksFencing || !record.inDoubt;
   }
 }
--- a/src/features/pipeline/common/stageFailure.ts
+++ b/src/features/pipeline/common/stageFailure.ts
@@ -1,60 +1,61 @@
 import {EngineError} from '../../../infrastructure/engine/common/engineConnection.js';
 import {StageObservation} from '../../routing/common/routing.js';
-import {EngineRecord} from './attemptLedger.js';
+import {EngineExecutionRecord} from './executionTracker.js';
 
-/** Why a step brought no usable answer. */
+/** Why a step has no usable response. */
 export type StepError =
   | EngineError
-  /** No answer came within the limit; it may have run. */
+  /** The engine did not respond within the time-out; the step may have run. */
   | {readonly kind: 'silent'; readonly afterMilliseconds: number}
-  /** The run ended while the step was in flight; it may have run. */
+  /** The run ended while the step was in flight; the step may have run. */
   | {readonly kind: 'ended'};
 
-/** How a failed step is treated. */
-export interface FailureTreatment {
-  /** Whether the step surely did not begin. */
-  readonly notBegun: boolean;
+/** What a failed step means for the engine's record and statistics. */
+export interface FailureClassification {
+  /** Whether the step is known not to have started. */
+  readonly isNotBegun: boolean;
   readonly outcome: StageObservation['outcome'];
 }
 
-/** The treatment of each kind of error. */
-export function treatmentOf(kind: StepError['kind']): FailureTreatment {
+export function classifyFailure(
+  kind: StepError['kind'],
+): FailureClassification {
   switch (kind) {
     case 'unreachable':
-      return {notBegun: true, outcome: 'failed'};
+      return {isNotBegun: true, outcome: 'failed'};
     case 'stale':
     case 'cacheMissing':
     case 'overloaded':
     case 'refused':
-      return {notBegun: true, outcome: 'refused'};
+      return {isNotBegun: true, outcome: 'refused'};
     case 'lost':
     case 'mismatch':
-      return {notBegun: false, outcome: 'failed'};
+      return {isNotBegun: false, outcome: 'failed'};
     case 'silent':
-      return {notBegun: false, outcome: 'silent'};
+      return {isNotBegun: false, outcome: 'silent'};
     case 'cancelled':
     case 'ended':
-      return {notBegun: false, outcome: 'cancelled'};
+      return {isNotBegun: false, outcome: 'cancelled'};
   }
 }
 
-/** Enters a failed step into the record of its engine. */
+/** Records a failed step for its engine. */
 export function recordFailure(
-  record: EngineRecord,
+  record: EngineExecutionRecord,
   error: StepError,
   epoch: number,
 ): void {
-  if (treatmentOf(error.kind).notBegun) {
+  if (classifyFailure(error.kind).isNotBegun) {
     record.refused();
   } else {
     record.lost();
   }
-  if (isForeign(error, epoch)) {
-    record.seenElsewhere();
+  if (hasForeignEpoch(error, epoch)) {
+    record.foreignEpochSeen();
   }
 }
 
-/** Whether an engine has seen an epoch of this request that this driver never used. */
-export function isForeign(error: StepError, epoch: number): boolean {
+/** Whether the engine has seen an epoch of this request that another driver used. */
+export function hasForeignEpoch(error: StepError, epoch: number): boolean {
   return error.kind === 'stale' && error.highest > epoch;
 }
--- a/src/features/pipeline/common/workEstimate.ts
+++ b/src/features/pipeline/common/workEstimate.ts
@@ -1,23 +1,23 @@
 import {ModelRequest} from '../../requests/common/request.js';
 import {WorkEstimate} from '../../routing/common/routing.js';
-import {PREFIX_TOKENS, prefixKeyOf} from './prefixKey.js';
+import {PREFIX_TOKEN_COUNT, prefixKeyOf} from './prefixKey.js';
 
 /**
- * Describes what is left of a request; `released` tokens were given out by monotonic time `now`.
- * A reply that has begun goes on with its version: tokens of two versions are no one's reply.
+ * Estimates the remaining work of a request that has released `releasedTokens` at monotonic time `nowMilliseconds`.
+ * Once a reply has started, it stays on its model version, since a reply must not mix tokens of two versions.
  */
 export function estimateWork(
   request: ModelRequest,
   expectedTokens: number,
-  released: number,
-  now: number,
+  releasedTokens: number,
+  nowMilliseconds: number,
   version?: string,
 ): WorkEstimate {
   const targets = request.classOfWork;
   const firstTokenWithin =
-    request.arrivedAt + targets.firstTokenMilliseconds - now;
-  const dueWithin =
-    released > 0 ? targets.betweenTokensMilliseconds : firstTokenWithin;
+    request.arrivedAt + targets.firstTokenMilliseconds - nowMilliseconds;
+  const nextTokenWithin =
+    releasedTokens > 0 ? targets.betweenTokensMilliseconds : firstTokenWithin;
   const prefixKey = prefixKeyOf(
     request.model.name,
     request.adapter,
@@ -28,14 +28,14 @@
     classOfWork: targets.name,
     clientAccount: request.clientAccount,
     adapter: request.adapter,
-    promptTokens: request.promptTokens.length + released,
-    outputTokens: Math.max(1, expectedTokens - released),
+    promptTokens: request.promptTokens.length + releasedTokens,
+    outputTokens: Math.max(1, expectedTokens - releasedTokens),
     prefixKey,
-    prefixTokens: prefixKey === undefined ? 0 : PREFIX_TOKENS,
-    ...(released > 0 && version !== undefined ? {version} : {}),
-    firstTokenWithin: dueWithin,
+    prefixTokens: prefixKey === undefined ? 0 : PREFIX_TOKEN_COUNT,
+    ...(releasedTokens > 0 && version !== undefined ? {version} : {}),
+    firstTokenWithin: nextTokenWithin,
     betweenTokensTarget: targets.betweenTokensMilliseconds,
-    deadlineWithin: request.deadlineAt - now,
-    priority: Math.max(0, Math.round(dueWithin)),
+    deadlineWithin: request.deadlineAt - nowMilliseconds,
+    priority: Math.max(0, Math.round(nextTokenWithin)),
   };
 }
--- a/src/features/pipeline/node/cacheKeeper.ts
+++ b/src/features/pipeline/node/cacheTransfer.ts
@@ -2,15 +2,15 @@
 import {CacheReference} from '../../../infrastructure/engine/common/engineConnection.js';
 import {isExportDue, ReplyProgress} from '../common/exportPolicy.js';
 import {StepError} from '../common/stageFailure.js';
-import {callWithin} from './boundedCall.js';
+import {callWithTimeout} from './cancellableCall.js';
 import {PipelineDependencies} from './pipelineDependencies.js';
 import {RunState} from './runState.js';
 import {StageSession} from './stageSession.js';
 import {StageSet} from './stageSet.js';
-import {StageFailure} from './tokenStepper.js';
+import {StageFailure} from './passRunner.js';
 
-/** Exports KV caches beside the generation and imports them at replacements. */
-export class CacheKeeper {
+/** Exports KV caches during generation and imports them on replacement stages. */
+export class CacheTransfer {
   constructor(
     private readonly dependencies: PipelineDependencies,
     private readonly requestId: string,
@@ -18,19 +18,19 @@
     private readonly stages: StageSet,
   ) {}
 
-  /** Starts exports at all stages when they are due; does not wait for them. */
-  exportWhenDue(progress: ReplyProgress): void {
+  /** Starts exports on all stages if they are due, without waiting for them. */
+  exportIfDue(progress: ReplyProgress): void {
     if (!isExportDue(progress, this.dependencies.settings.exports)) {
       return;
     }
     for (const session of this.stages.sessions) {
-      if (!session.exportBlocked) {
+      if (!session.isExportBlocked) {
         void this.exportStage(session);
       }
     }
   }
 
-  /** Fills the caches of stages that hold nothing; a stage that declines is rebuilt instead. */
+  /** Imports caches on stages that hold none. A stage that declines the import recomputes its cache. */
   async restore(): Promise<Result<void, StageFailure>> {
     const results = await Promise.all(
       this.stages.sessions
@@ -42,8 +42,8 @@
   }
 
   private async exportStage(session: StageSession): Promise<void> {
-    session.exportBlocked = true;
-    const result = await callWithin(
+    session.isExportBlocked = true;
+    const result = await callWithTimeout(
       this.dependencies.clock,
       this.dependencies.settings.exportMilliseconds,
       this.state.token,
@@ -51,22 +51,22 @@
     );
     const isCurrent = this.stages.sessions.includes(session);
     if (result?.ok && isCurrent) {
-      this.stages.keepExport(result.value);
+      this.stages.storeExport(result.value);
       this.dependencies.metrics.count('pipeline.exports', 1);
     }
-    session.exportBlocked = result?.ok === false;
+    session.isExportBlocked = result?.ok === false;
   }
 
   private async restoreStage(
     session: StageSession,
   ): Promise<Result<void, StageFailure>> {
-    const reference = this.stages.exportFor(session.chosen);
+    const reference = this.stages.latestExportFor(session.chosen);
     if (reference === undefined) {
       return success(undefined);
     }
     const limit = this.dependencies.settings.importMilliseconds;
-    session.record.fill();
-    const result = await callWithin(
+    session.record.importRequested();
+    const result = await callWithTimeout(
       this.dependencies.clock,
       limit,
       this.state.token,
@@ -83,21 +83,22 @@
       return failure({session, error});
     }
     if (result.ok) {
-      session.coveredTo = importedTo(reference, result.value);
+      session.coveredTo = importedEnd(reference, result.value);
       return success(undefined);
     }
-    const declined = ['refused', 'cacheMissing', 'overloaded'];
-    return declined.includes(result.error.kind)
+    const declineKinds = ['refused', 'cacheMissing', 'overloaded'];
+    return declineKinds.includes(result.error.kind)
       ? success(undefined)
       : failure({session, error: result.error});
   }
 }
 
-/** Positions that an import surely covers; none when the answer does not fit the export. */
-function importedTo(
+/** End of the positions that an import covers; 0 if the response does not match the export. */
+function importedEnd(
   reference: CacheReference,
   positions: CacheReference['positions'],
 ): number {
-  const fits = positions.from === 0 && positions.to <= reference.positions.to;
-  return fits ? positions.to : 0;
+  const isMatch =
+    positions.from === 0 && positions.to <= reference.positions.to;
+  return isMatch ? positions.to : 0;
 }
--- a/src/features/pipeline/node/boundedCall.ts
+++ b/src/features/pipeline/node/cancellableCall.ts
@@ -5,10 +5,10 @@
 import {Clock} from '../../../base/common/clock.js';
 
 /**
- * Runs a call that is cancelled after a time or with its parent, if it has one.
- * Resolves with undefined when it was given up or threw; never rejects.
+ * Runs a call that is cancelled after a time-out or together with `parent`.
+ * Resolves with undefined if the call was cancelled or failed; never rejects.
  */
-export async function callWithin<T>(
+export async function callWithTimeout<T>(
   clock: Clock,
   milliseconds: number,
   parent: CancellationToken | undefined,
@@ -17,7 +17,7 @@
   const source = new CancellationSource(parent);
   const timer = clock.setTimer(milliseconds, () => source.cancel('timeout'));
   try {
-    return await untilCancelled(source.token, call(source.token));
+    return await raceCancellation(source.token, call(source.token));
   } catch {
     return undefined;
   } finally {
@@ -26,8 +26,8 @@
   }
 }
 
-/** Waits for a promise or for cancellation, which gives undefined. */
-export function untilCancelled<T>(
+/** Resolves with the value of the promise, or with undefined if `token` is cancelled first. */
+export function raceCancellation<T>(
   token: CancellationToken,
   promise: Promise<T>,
 ): Promise<T | undefined> {
@@ -46,15 +46,14 @@
   });
 }
 
-/** Waits for a time. */
 export function delay(clock: Clock, milliseconds: number): Promise<void> {
   return new Promise(resolve => {
     clock.setTimer(milliseconds, resolve);
   });
 }
 
-/** Waits for a time; false when cancelled first. */
-export function delayWithin(
+/** Waits; resolves with false if `token` is cancelled before the time has passed. */
+export function cancellableDelay(
   clock: Clock,
   milliseconds: number,
   token: CancellationToken,
--- a/src/features/pipeline/node/capacityClient.ts
+++ b/src/features/pipeline/node/capacityClient.ts
@@ -5,23 +5,23 @@
   StageObservation,
   WorkEstimate,
 } from '../../routing/common/routing.js';
-import {OutputEstimator} from '../common/outputEstimator.js';
+import {ReplyLengthEstimator} from '../common/replyLengthEstimator.js';
 import {estimateWork} from '../common/workEstimate.js';
-import {untilCancelled} from './boundedCall.js';
+import {raceCancellation} from './cancellableCall.js';
 import {DecisionLog} from './decisionLog.js';
 import {PipelineDependencies} from './pipelineDependencies.js';
 import {RunState} from './runState.js';
 
-const ANSWERED = {
+const PROBE_SUCCESS = {
   outcome: 'completed' as const,
   decodeMilliseconds: undefined,
   linkMilliseconds: undefined,
   steps: 1,
 };
 
-/** Asks for capacity on behalf of one request; what comes after the request ended is given back. */
+/** Requests capacity for one request; a reservation that arrives after the request has ended is released. */
 export class CapacityClient {
-  /** Tokens expected of the whole reply. */
+  /** Expected number of tokens of the complete reply. */
   readonly expectedTokens: number;
   private readonly decisions: DecisionLog;
   private answered: Reservation | undefined;
@@ -30,7 +30,7 @@
     private readonly dependencies: PipelineDependencies,
     private readonly request: ModelRequest,
     private readonly state: RunState,
-    estimator: OutputEstimator,
+    estimator: ReplyLengthEstimator,
   ) {
     this.decisions = new DecisionLog(dependencies.logger, request);
     this.expectedTokens = estimator.estimate(
@@ -40,7 +40,7 @@
     );
   }
 
-  /** Undefined when the run ended first. */
+  /** Resolves with undefined if the run ended first. */
   reserve(): Promise<ReservationReply | undefined> {
     const {broker} = this.dependencies;
     return this.ask('admission', [], () =>
@@ -52,7 +52,7 @@
     );
   }
 
-  /** Undefined when the run ended first. */
+  /** Resolves with undefined if the run ended first. */
   replan(
     reservation: Reservation,
     state: RunState,
@@ -78,8 +78,10 @@
     }
   }
 
-  /** Tells once of each reservation that its probing stages answered, so that they get more work soon. */
-  reportAnswers(): void {
+  /**
+   * Reports, once per reservation, that the stages on probe have responded, so that they are given more work soon.
+   */
+  reportProbeSuccess(): void {
     const {reservation} = this.state;
     if (reservation === undefined || reservation === this.answered) {
       return;
@@ -87,13 +89,17 @@
     this.answered = reservation;
     for (const {upstream, probing} of reservation.stages) {
       if (probing === true) {
-        this.reportFailure({upstream, ...ANSWERED});
+        this.reportFailure({upstream, ...PROBE_SUCCESS});
       }
     }
   }
 
-  logKept(cause: string, epoch: number, upstreams: readonly string[]): void {
-    this.decisions.writeKept(cause, epoch, upstreams);
+  logStagesKept(
+    cause: string,
+    epoch: number,
+    upstreams: readonly string[],
+  ): void {
+    this.decisions.writeStagesKept(cause, epoch, upstreams);
   }
 
   private work(): WorkEstimate {
@@ -111,18 +117,20 @@
     excluded: readonly string[],
     call: () => Promise<ReservationReply>,
   ): Promise<ReservationReply | undefined> {
-    const asked = call().catch((error: unknown) => this.brokerFailed(error));
-    const reply = await untilCancelled(this.state.token, asked);
+    const pendingReply = call().catch((error: unknown) =>
+      this.refusalAfterBrokerError(error),
+    );
+    const reply = await raceCancellation(this.state.token, pendingReply);
     if (reply === undefined) {
-      void asked.then(late => this.giveBack(late));
+      void pendingReply.then(reply => this.releaseUnused(reply));
       return undefined;
     }
     this.decisions.write(cause, this.state.epoch, excluded, reply);
     return reply;
   }
 
-  private brokerFailed(error: unknown): ReservationReply {
-    this.dependencies.logger.warn('capacity could not be asked for', {
+  private refusalAfterBrokerError(error: unknown): ReservationReply {
+    this.dependencies.logger.warn('capacity broker call failed', {
       requestId: this.request.requestId,
       error: String(error),
     });
@@ -133,9 +141,9 @@
     };
   }
 
-  private giveBack(late: ReservationReply): void {
-    if (late.kind === 'reserved') {
-      this.dependencies.broker.release(late.reservation, []);
+  private releaseUnused(reply: ReservationReply): void {
+    if (reply.kind === 'reserved') {
+      this.dependencies.broker.release(reply.reservation, []);
     }
   }
 }
--- a/src/features/pipeline/node/decisionLog.ts
+++ b/src/features/pipeline/node/decisionLog.ts
@@ -2,14 +2,14 @@
 import {ModelRequest} from '../../requests/common/request.js';
 import {ReservationReply} from '../../routing/common/routing.js';
 
-/** Writes one line for each decision on where a request runs. */
+/** Writes one log line per decision about where a request runs. */
 export class DecisionLog {
   constructor(
     private readonly logger: Logger,
     private readonly request: ModelRequest,
   ) {}
 
-  /** `cause` is `admission`, or the failure that made a new plan necessary. */
+  /** `cause` is `admission`, or the failure that required a new plan. */
   write(
     cause: string,
     epoch: number,
@@ -19,8 +19,12 @@
     this.writeLine({cause, epoch, excluded, ...outcomeFields(reply)});
   }
 
-  /** The stages stay and only the epoch changes. */
-  writeKept(cause: string, epoch: number, upstreams: readonly string[]): void {
+  /** Logs that the request keeps its stages under a new epoch. */
+  writeStagesKept(
+    cause: string,
+    epoch: number,
+    upstreams: readonly string[],
+  ): void {
     this.writeLine({cause, epoch, outcome: 'kept', upstreams});
   }
 
--- a/src/features/pipeline/node/defaultPipelineDriver.ts
+++ b/src/features/pipeline/node/defaultPipelineDriver.ts
@@ -3,23 +3,23 @@
 import {failure, Result} from '../../../base/common/result.js';
 import {RequestFailure} from '../../requests/common/failure.js';
 import {ModelReply, ModelRequest} from '../../requests/common/request.js';
-import {OutputEstimator} from '../common/outputEstimator.js';
+import {ReplyLengthEstimator} from '../common/replyLengthEstimator.js';
 import {createAttemptChart} from '../common/pipelineAttempt.js';
 import {PipelineDriver, TokenSink} from '../common/pipelineDriver.js';
-import {ProgressWatch} from '../common/progressWatch.js';
+import {StepTimeouts} from '../common/stepTimeouts.js';
 import {PipelineDependencies} from './pipelineDependencies.js';
 import {PipelineRun} from './pipelineRun.js';
-import {SharedKnowledge} from './runParts.js';
+import {DriverSharedState} from './runParts.js';
 
-/** Drives requests through engines stage by stage and recovers them when stages fail. */
+/** Runs requests on engines stage by stage and recovers them when stages fail. */
 export class DefaultPipelineDriver extends PipelineDriver {
-  private readonly shared: SharedKnowledge;
+  private readonly shared: DriverSharedState;
 
   constructor(private readonly dependencies: PipelineDependencies) {
     super();
     this.shared = {
-      watch: new ProgressWatch(dependencies.settings.watch),
-      estimator: new OutputEstimator(),
+      watch: new StepTimeouts(dependencies.settings.watch),
+      estimator: new ReplyLengthEstimator(),
       chart: createAttemptChart(),
     };
   }
--- a/src/features/pipeline/node/droppedAnswers.ts
+++ b/src/features/pipeline/node/droppedResponses.ts
@@ -6,28 +6,28 @@
 } from '../../../infrastructure/engine/common/engineConnection.js';
 import {PipelineDependencies} from './pipelineDependencies.js';
 
-/** Counts and logs answers that are not used. */
-export class DroppedAnswers {
+/** Counts and logs engine responses that are not used. */
+export class DroppedResponses {
   constructor(
     private readonly dependencies: PipelineDependencies,
     private readonly requestId: string,
   ) {}
 
-  /** An answer came after its step was given up. */
+  /** Records a response that arrived after its step was abandoned; errors are ignored. */
   late(step: StepRequest, result: Result<StepReceipt, EngineError>): void {
     if (result.ok) {
       this.drop(step, 'late');
     }
   }
 
-  /** An answer did not belong to its step. */
+  /** Records a response that does not match its step. */
   faulty(step: StepRequest, fault: string): void {
     this.drop(step, fault);
   }
 
   private drop(step: StepRequest, reason: string): void {
     this.dependencies.metrics.count('pipeline.droppedAnswers', 1, {reason});
-    this.dependencies.logger.warn('an answer of an engine was dropped', {
+    this.dependencies.logger.warn('engine response dropped', {
       requestId: this.requestId,
       epoch: step.epoch,
       layers: step.layers,
--- a/src/features/pipeline/node/epochAttempt.ts
+++ b/src/features/pipeline/node/epochAttempt.ts
@@ -13,50 +13,50 @@
 } from '../../../infrastructure/engine/common/engineConnection.js';
 import {StepError} from '../common/stageFailure.js';
 
-/** What a step came to. */
+/** The receipt of a step, or why there is none. */
 export type StepResult = Result<StepReceipt, StepError>;
 
-/** Told of an answer that came after its step was given up. */
-export type LateAnswerListener = (
+/** Called with a response that arrived after its step was abandoned. */
+export type LateResponseListener = (
   step: StepRequest,
   result: Result<StepReceipt, EngineError>,
 ) => void;
 
-/** All calls of one epoch of a request; at most one is in flight. Closing it gives up the call in flight. */
+/** All calls of one epoch of a request; at most one is in flight. Disposing the attempt abandons that call. */
 export class EpochAttempt implements Disposable {
   private readonly source: CancellationSource;
-  private settle: ((result: StepResult) => void) | undefined;
+  private settleCall: ((result: StepResult) => void) | undefined;
   private timer: Disposable | undefined;
-  private closed = false;
+  private isClosed = false;
 
   constructor(
     private readonly clock: Clock,
     parent: CancellationToken,
-    private readonly onLateAnswer: LateAnswerListener,
+    private readonly onLateResponse: LateResponseListener,
   ) {
     this.source = new CancellationSource(parent);
     this.source.token.onDidCancel(() => this.close({kind: 'ended'}));
   }
 
-  /** Sends a step; resolves with its answer, or when it is silent for too long, or when the run ends. */
+  /** Sends a step; resolves with its response, or with an error on a time-out or when the run ends. */
   call(
     connection: EngineConnection,
     step: StepRequest,
-    limitMilliseconds: number,
+    timeoutMilliseconds: number,
   ): Promise<StepResult> {
-    if (this.closed) {
+    if (this.isClosed) {
       return Promise.resolve(failure<StepError>({kind: 'ended'}));
     }
     return new Promise(resolve => {
-      this.settle = resolve;
-      this.timer = this.clock.setTimer(limitMilliseconds, () =>
-        this.close({kind: 'silent', afterMilliseconds: limitMilliseconds}),
+      this.settleCall = resolve;
+      this.timer = this.clock.setTimer(timeoutMilliseconds, () =>
+        this.close({kind: 'silent', afterMilliseconds: timeoutMilliseconds}),
       );
       this.send(connection, step);
     });
   }
 
-  /** Gives up the call in flight; later answers are dropped. */
+  /** Abandons the call in flight; a later response to it is dropped. */
   dispose(): void {
     this.close({kind: 'ended'});
   }
@@ -73,28 +73,28 @@
     step: StepRequest,
     result: Result<StepReceipt, EngineError>,
   ): void {
-    if (this.closed) {
-      this.onLateAnswer(step, result);
+    if (this.isClosed) {
+      this.onLateResponse(step, result);
       return;
     }
     this.resolveCall(result);
   }
 
   private close(error: StepError): void {
-    if (this.closed) {
+    if (this.isClosed) {
       return;
     }
-    this.closed = true;
+    this.isClosed = true;
     this.resolveCall(failure(error));
     this.source.cancel(error.kind);
     this.source.dispose();
   }
 
   private resolveCall(result: StepResult): void {
-    const settle = this.settle;
-    this.settle = undefined;
+    const settleCall = this.settleCall;
+    this.settleCall = undefined;
     this.timer?.dispose();
     this.timer = undefined;
-    settle?.(result);
+    settleCall?.(result);
   }
 }
--- a/src/features/pipeline/node/passPlanner.ts
+++ b/src/features/pipeline/node/passPlanner.ts
@@ -1,21 +1,21 @@
 import {Clock} from '../../../base/common/clock.js';
 import {ModelRequest} from '../../requests/common/request.js';
-import {ProgressWatch} from '../common/progressWatch.js';
+import {StepTimeouts} from '../common/stepTimeouts.js';
 import {RunState} from './runState.js';
 import {StageSet} from './stageSet.js';
-import {TokenPass} from './tokenStepper.js';
+import {TokenPass} from './passRunner.js';
 
-/** Works out the next pass through the stages: positions, priority and time limit. */
+/** Determines positions, priority and time-out of the next pass through the stages. */
 export class PassPlanner {
   constructor(
     private readonly request: ModelRequest,
     private readonly state: RunState,
     private readonly stages: StageSet,
-    private readonly watch: ProgressWatch,
+    private readonly watch: StepTimeouts,
     private readonly clock: Clock,
   ) {}
 
-  /** All positions that some stage lacks, at least the last one. */
+  /** The next pass covers all positions that any stage lacks, and at least the last one. */
   next(): TokenPass {
     const {state, request} = this;
     const to = state.tokens.length;
@@ -26,26 +26,28 @@
       from,
       to,
       tokens: state.tokens.slice(from, to),
-      rebuild: from < state.steppedTo,
+      isRebuild: from < state.computedTo,
       priority: isDecode
         ? request.classOfWork.betweenTokensMilliseconds
         : this.prefillPriority(),
-      limitMilliseconds: isDecode ? undefined : this.prefillLimit(to - from),
+      timeoutMilliseconds: isDecode
+        ? undefined
+        : this.prefillTimeout(to - from),
     };
   }
 
-  /** Milliseconds until the first token is due; decode steps are due within the target between tokens. */
+  /** Milliseconds until the first token is due. */
   private prefillPriority(): number {
     const {firstTokenMilliseconds} = this.request.classOfWork;
     const dueAt = this.request.arrivedAt + firstTokenMilliseconds;
     return Math.max(0, Math.round(dueAt - this.clock.monotonicMilliseconds()));
   }
 
-  private prefillLimit(positions: number): number {
+  private prefillTimeout(positions: number): number {
     const {firstTokenMilliseconds} = this.request.classOfWork;
     const predicted =
       this.state.reservation?.prediction.firstTokenMilliseconds ?? 0;
-    return this.watch.prefillLimit(
+    return this.watch.prefillTimeoutMilliseconds(
       positions,
       this.state.promptLength,
       Math.max(firstTokenMilliseconds, predicted),
--- a/src/features/pipeline/node/tokenStepper.ts
+++ b/src/features/pipeline/node/passRunner.ts
@@ -8,53 +8,53 @@
 } from '../../../infrastructure/engine/common/engineConnection.js';
 import {ModelRequest} from '../../requests/common/request.js';
 import {LineageChecker, LineageFault} from '../common/lineageChecker.js';
-import {ProgressWatch} from '../common/progressWatch.js';
+import {StepTimeouts} from '../common/stepTimeouts.js';
 import {Safeguards} from '../common/safeguards.js';
 import {StepError} from '../common/stageFailure.js';
 import {EpochAttempt} from './epochAttempt.js';
 import {StageSession} from './stageSession.js';
 
-/** The token that a pass through all stages yields. */
+/** The token that a pass through all stages produces. */
 export type TokenOutput = Extract<StepOutput, {kind: 'token'}>;
 
-/** A step that failed and the stage where it did. */
+/** A failed step and its stage. */
 export interface StageFailure {
   readonly session: StageSession;
   readonly error: StepError;
 }
 
-/** What one pass through the pipeline works on. */
+/** Positions, input and limits of one pass through the pipeline. */
 export interface TokenPass {
   readonly epoch: number;
   readonly from: number;
   readonly to: number;
   readonly tokens: readonly string[];
-  readonly rebuild: boolean;
+  readonly isRebuild: boolean;
   readonly priority: number;
-  /** Time limit of a stage for a pass over many positions; undefined for a decode step. */
-  readonly limitMilliseconds: number | undefined;
+  /** Time-out of each step of a pass over many positions; undefined for a decode step. */
+  readonly timeoutMilliseconds: number | undefined;
 }
 
-/** Told of an answer that did not belong to its step. */
+/** Called when a response does not match its step. */
 export type FaultListener = (
   step: StepRequest,
   fault: LineageFault | 'mismatch',
 ) => void;
 
-/** Runs one pass after the other through the stages of a request. */
-export class TokenStepper {
+/** Runs passes through the stages of a request, one at a time. */
+export class PassRunner {
   private readonly lineage = new LineageChecker();
 
   constructor(
     private readonly request: ModelRequest,
     private readonly prefixKey: string | undefined,
     private readonly clock: Clock,
-    private readonly watch: ProgressWatch,
+    private readonly watch: StepTimeouts,
     private readonly safeguards: Safeguards,
     private readonly onFault: FaultListener,
   ) {}
 
-  /** One step per stage; the token is returned only when the receipts cover all layers once, in order. */
+  /** Sends one step to each stage; returns the token only if the receipts cover all layers once, in order. */
   async run(
     sessions: readonly StageSession[],
     attempt: EpochAttempt,
@@ -63,7 +63,7 @@
     let input: StepInput = {kind: 'tokens', tokens: pass.tokens};
     let previous: StageSession | undefined;
     let output: StepOutput | undefined;
-    this.lineage.begin();
+    this.lineage.startToken();
     for (const session of sessions) {
       const step = this.buildStep(session, pass, input, previous);
       const result = await this.runStage(session, attempt, pass, step);
@@ -95,12 +95,12 @@
     pass: TokenPass,
     step: StepRequest,
   ): Promise<Result<StepReceipt, StepError>> {
-    const limit = pass.limitMilliseconds ?? this.decodeLimit(session);
+    const timeout = pass.timeoutMilliseconds ?? this.decodeTimeout(session);
     const sentAt = this.clock.monotonicMilliseconds();
-    session.record.handOver(pass.epoch, session.knowledge.incarnation);
-    const result = await attempt.call(session.connection, step, limit);
+    session.record.stepSent(pass.epoch, session.history.incarnation);
+    const result = await attempt.call(session.connection, step, timeout);
     if (!result.ok) {
-      this.countMismatch(step, result.error);
+      this.notifyMismatch(step, result.error);
       return result;
     }
     const fault = this.safeguards.checkReceipt(
@@ -113,38 +113,41 @@
       return failure({kind: 'mismatch', detail: fault});
     }
     const elapsed = this.clock.monotonicMilliseconds() - sentAt;
-    this.observe(session, pass, result.value, elapsed);
+    this.recordReceipt(session, pass, result.value, elapsed);
     return result;
   }
 
-  /** Connections also find answers that don't belong to their step. */
-  private countMismatch(step: StepRequest, error: StepError): void {
+  /** Connections also detect responses that do not match their step. */
+  private notifyMismatch(step: StepRequest, error: StepError): void {
     if (error.kind === 'mismatch') {
       this.onFault(step, error.kind);
     }
   }
 
-  private observe(
+  private recordReceipt(
     session: StageSession,
     pass: TokenPass,
     receipt: StepReceipt,
     elapsed: number,
   ): void {
-    const isDecode = pass.limitMilliseconds === undefined;
+    const isDecode = pass.timeoutMilliseconds === undefined;
     const compute = receipt.computeMilliseconds;
     const link = Math.max(0, elapsed - receipt.queueMilliseconds - compute);
     session.record.completed();
-    session.knowledge.incarnation = receipt.engineIncarnation;
+    session.history.incarnation = receipt.engineIncarnation;
     session.coveredTo = pass.to;
     session.statistics.observe(isDecode, compute, link);
     if (isDecode) {
-      session.knowledge.spread.observe(elapsed);
+      session.history.decodeTimes.observe(elapsed);
     }
   }
 
-  private decodeLimit(session: StageSession): number {
+  private decodeTimeout(session: StageSession): number {
     const target = this.request.classOfWork.betweenTokensMilliseconds;
-    return this.watch.decodeLimit(session.knowledge.spread, target);
+    return this.watch.decodeTimeoutMilliseconds(
+      session.history.decodeTimes,
+      target,
+    );
   }
 
   private buildStep(
@@ -165,7 +168,7 @@
       positions: {from: pass.from, to: pass.to},
       input,
       priority: pass.priority,
-      rebuild: pass.rebuild,
+      rebuild: pass.isRebuild,
       previousUpstream: previous?.chosen.upstream,
       prefixKey: this.prefixKey,
     };
--- a/src/features/pipeline/node/pipelineDependencies.ts
+++ b/src/features/pipeline/node/pipelineDependencies.ts
@@ -6,7 +6,7 @@
 import {PipelineSettings} from '../common/pipelineSettings.js';
 import {Safeguards} from '../common/safeguards.js';
 
-/** What the driver works with. */
+/** Services and settings that the driver uses. */
 export interface PipelineDependencies {
   readonly broker: CapacityBroker;
   readonly connector: EngineConnector;
@@ -15,6 +15,6 @@
   readonly metrics: Metrics;
   readonly settings: PipelineSettings;
   readonly safeguards: Safeguards;
-  /** Whether the platform's list says that an upstream leaves, so that it gets nothing new. */
+  /** Whether the platform lists the upstream as leaving, so that it must not be given new requests. */
   readonly isLeaving: (upstream: string) => boolean;
 }
--- a/src/features/pipeline/node/pipelineRecovery.ts
+++ b/src/features/pipeline/node/pipelineRecovery.ts
@@ -1,18 +1,18 @@
 import {ModelRequest} from '../../requests/common/request.js';
 import {Reservation, ReservationReply} from '../../routing/common/routing.js';
-import {coversAllLayers} from '../common/planCheck.js';
+import {coversAllLayers} from '../common/layerCoverage.js';
 import {AttemptEvent} from '../common/pipelineAttempt.js';
-import {isForeign, treatmentOf} from '../common/stageFailure.js';
-import {delayWithin} from './boundedCall.js';
-import {CacheKeeper} from './cacheKeeper.js';
+import {hasForeignEpoch, classifyFailure} from '../common/stageFailure.js';
+import {cancellableDelay} from './cancellableCall.js';
+import {CacheTransfer} from './cacheTransfer.js';
 import {CapacityClient} from './capacityClient.js';
 import {EngineCanceller} from './engineCanceller.js';
 import {PipelineDependencies} from './pipelineDependencies.js';
 import {RunState} from './runState.js';
 import {StageSet} from './stageSet.js';
-import {StageFailure} from './tokenStepper.js';
+import {StageFailure} from './passRunner.js';
 
-/** What a recovery led to. */
+/** Outcome of a recovery. */
 export type RecoveryOutcome =
   | {
       readonly kind: Extract<
@@ -22,13 +22,13 @@
     }
   | {readonly kind: 'stageFailed'; readonly failure: StageFailure};
 
-/** Puts a request on other stages after one failed, under a higher epoch. */
+/** Moves a request to other stages under a higher epoch after a stage has failed. */
 export class PipelineRecovery {
-  /** Failed upstreams, with whether each checks fencing numbers. */
+  /** Failed upstreams, mapped to whether each checks fencing numbers. */
   private readonly excluded = new Map<string, boolean>();
-  /** Upstreams that refused once and were kept. */
-  private readonly forgiven = new Set<string>();
-  /** The time to come back that the last refusal named. */
+  /** Upstreams whose lost KV cache was already rebuilt in place once. */
+  private readonly rebuiltUpstreams = new Set<string>();
+  /** Retry-after time of the last refusal. */
   retryAfterMilliseconds: number | undefined;
 
   constructor(
@@ -38,27 +38,27 @@
     private readonly stages: StageSet,
     private readonly capacity: CapacityClient,
     private readonly canceller: EngineCanceller,
-    private readonly caches: CacheKeeper,
+    private readonly cacheTransfer: CacheTransfer,
   ) {}
 
-  /** The epoch rises before anything else, so that no answer of the old attempt counts. */
+  /** Recovers from a failed stage. Raises the epoch first, so that responses to the old attempt are ignored. */
   async recover(failed: StageFailure): Promise<RecoveryOutcome> {
     const formerEpoch = this.state.epoch;
-    if (this.isDrivenElsewhere(failed, formerEpoch)) {
+    if (this.isOwnedByAnotherDriver(failed, formerEpoch)) {
       this.report(failed);
       return {kind: 'exhausted'};
     }
     this.raiseEpoch(failed);
     this.report(failed);
     this.state.recoveries += 1;
-    if (this.isBeyondLimit()) {
+    if (this.isRecoveryLimitExceeded()) {
       return {kind: 'exhausted'};
     }
-    if (this.keepStage(failed)) {
+    if (this.tryRebuildInPlace(failed)) {
       return this.resumed();
     }
     this.exclude(failed, formerEpoch);
-    return this.placeElsewhere(failed, formerEpoch);
+    return this.moveToOtherStages(failed, formerEpoch);
   }
 
   private raiseEpoch({error}: StageFailure): void {
@@ -68,36 +68,37 @@
   }
 
   private report({session, error}: StageFailure): void {
-    session.statistics.outcome = treatmentOf(error.kind).outcome;
+    session.statistics.outcome = classifyFailure(error.kind).outcome;
     this.dependencies.metrics.count('pipeline.recoveries', 1, {
       cause: error.kind,
     });
     this.capacity.reportFailure(session.statistics.observation);
   }
 
-  private isBeyondLimit(): boolean {
+  private isRecoveryLimitExceeded(): boolean {
     return this.state.recoveries > this.dependencies.settings.recoveryLimit;
   }
 
-  /** Work that may not be repeated is left to whoever drives it under an epoch not ours, not even cancelled. */
-  private isDrivenElsewhere(failed: StageFailure, epoch: number): boolean {
+  /** Work that must not be repeated is left to the driver that runs it under a foreign epoch, without cancelling it. */
+  private isOwnedByAnotherDriver(failed: StageFailure, epoch: number): boolean {
     return (
-      isForeign(failed.error, epoch) && !this.request.classOfWork.repeatable
+      hasForeignEpoch(failed.error, epoch) &&
+      !this.request.classOfWork.repeatable
     );
   }
 
-  /** An engine that only lost its KV cache is sound: it is rebuilt there, once. */
-  private keepStage({session, error}: StageFailure): boolean {
+  /** Keeps an engine that only lost its KV cache and rebuilds the cache there, once per engine. */
+  private tryRebuildInPlace({session, error}: StageFailure): boolean {
     const {upstream} = session.chosen;
-    if (error.kind !== 'cacheMissing' || this.forgiven.has(upstream)) {
+    if (error.kind !== 'cacheMissing' || this.rebuiltUpstreams.has(upstream)) {
       return false;
     }
-    this.forgiven.add(upstream);
+    this.rebuiltUpstreams.add(upstream);
     session.coveredTo = Math.max(
       0,
       Math.min(session.coveredTo, error.coveredTo),
     );
-    this.capacity.logKept(
+    this.capacity.logStagesKept(
       error.kind,
       this.state.epoch,
       this.stages.sessions.map(kept => kept.chosen.upstream),
@@ -109,31 +110,31 @@
     const {upstream, checksFencing} = session.chosen;
     this.excluded.set(upstream, checksFencing === true);
     if (error.kind === 'mismatch') {
-      this.stages.dropExport(session.chosen.layers);
+      this.stages.forgetExport(session.chosen.layers);
     }
     if (error.kind !== 'unreachable') {
       this.canceller.cancelInBackground([upstream], formerEpoch);
     }
   }
 
-  private async placeElsewhere(
+  private async moveToOtherStages(
     failed: StageFailure,
     formerEpoch: number,
   ): Promise<RecoveryOutcome> {
-    while (!this.isBeyondLimit()) {
+    while (!this.isRecoveryLimitExceeded()) {
       const reply = await this.replan(failed.error.kind);
       if (reply === undefined) {
         return {kind: 'ended'};
       }
       if (reply.kind === 'reserved') {
-        if (await this.isEnterable(reply.reservation)) {
+        if (await this.acceptPlan(reply.reservation)) {
           return this.adopt(reply.reservation, failed, formerEpoch);
         }
         this.state.recoveries += 1;
         continue;
       }
       this.retryAfterMilliseconds = reply.retryAfterMilliseconds;
-      const next = await this.afterRefusal(reply.retryAfterMilliseconds);
+      const next = await this.handleRefusal(reply.retryAfterMilliseconds);
       if (next !== 'again') {
         return {kind: next};
       }
@@ -150,15 +151,15 @@
     );
   }
 
-  /** Allows engines that recovered, or waits; work that never began fails at once instead. */
-  private async afterRefusal(
+  /** Readmits excluded engines that respond again, or waits. Fails at once if the request provably never started. */
+  private async handleRefusal(
     retryAfterMilliseconds: number,
   ): Promise<'again' | 'ended' | 'exhausted'> {
-    if (this.stages.ledger.executed(this.state.released) === 'no') {
+    if (this.stages.executionTracker.executed(this.state.released) === 'no') {
       return 'exhausted';
     }
     this.state.recoveries += 1;
-    const readmitted = await this.readmit();
+    const readmitted = await this.readmitUpstreams();
     if (this.state.token.isCancelled) {
       return 'ended';
     }
@@ -167,18 +168,21 @@
     }
     const {clock, settings} = this.dependencies;
     const wait = Math.min(retryAfterMilliseconds, settings.retryMilliseconds);
-    const waited = await delayWithin(clock, wait, this.state.token);
+    const waited = await cancellableDelay(clock, wait, this.state.token);
     return waited ? 'again' : 'ended';
   }
 
-  /** Takes failed engines back that answer again and where the old attempt can do no harm. */
-  private async readmit(): Promise<boolean> {
+  /** Readmits excluded engines that respond again and that may enter the new epoch. */
+  private async readmitUpstreams(): Promise<boolean> {
     const {safeguards} = this.dependencies;
     const formerEpoch = this.state.epoch - 1;
     const checks = [...this.excluded].map(async ([upstream, checksFencing]) => {
       const report = await this.canceller.cancel(upstream, formerEpoch);
-      const record = this.stages.ledger.recordOf(upstream);
-      if (report !== 'silent' && safeguards.mayEnter(record, checksFencing)) {
+      const record = this.stages.executionTracker.recordOf(upstream);
+      if (
+        report !== 'silent' &&
+        safeguards.canEnterEpoch(record, checksFencing)
+      ) {
         this.excluded.delete(upstream);
         return true;
       }
@@ -187,28 +191,28 @@
     return (await Promise.all(checks)).includes(true);
   }
 
-  /** Whether the plan is whole and no old attempt may still run at its engines. */
-  private async isEnterable(reservation: Reservation): Promise<boolean> {
+  /** Stores the new reservation; returns whether it covers all layers and its engines may enter the new epoch. */
+  private async acceptPlan(reservation: Reservation): Promise<boolean> {
     this.state.reservation = reservation;
     const {safeguards} = this.dependencies;
     const formerEpoch = this.state.epoch - 1;
     if (!coversAllLayers(reservation.stages, this.request.model.layerCount)) {
       return false;
     }
-    let enterable = true;
+    let isAccepted = true;
     for (const stage of reservation.stages) {
       const checksFencing = stage.checksFencing === true;
-      const record = this.stages.ledger.recordOf(stage.upstream);
-      if (safeguards.mayEnter(record, checksFencing)) {
+      const record = this.stages.executionTracker.recordOf(stage.upstream);
+      if (safeguards.canEnterEpoch(record, checksFencing)) {
         continue;
       }
       await this.canceller.cancel(stage.upstream, formerEpoch);
-      if (!safeguards.mayEnter(record, checksFencing)) {
+      if (!safeguards.canEnterEpoch(record, checksFencing)) {
         this.excluded.set(stage.upstream, checksFencing);
-        enterable = false;
+        isAccepted = false;
       }
     }
-    return enterable;
+    return isAccepted;
   }
 
   private async adopt(
@@ -216,13 +220,16 @@
     failed: StageFailure,
     formerEpoch: number,
   ): Promise<RecoveryOutcome> {
-    const left = this.stages.adopt(reservation.stages, failed.session);
-    const unused = left
+    const replacedSessions = this.stages.adopt(
+      reservation.stages,
+      failed.session,
+    );
+    const unusedUpstreams = replacedSessions
       .filter(session => session !== failed.session)
       .map(session => session.chosen.upstream);
-    this.canceller.cancelInBackground(unused, formerEpoch);
+    this.canceller.cancelInBackground(unusedUpstreams, formerEpoch);
     if (this.state.released > 0) {
-      const restored = await this.caches.restore();
+      const restored = await this.cacheTransfer.restore();
       if (this.state.token.isCancelled) {
         return {kind: 'ended'};
       }
--- a/src/features/pipeline/node/pipelineRun.ts
+++ b/src/features/pipeline/node/pipelineRun.ts
@@ -17,14 +17,14 @@
   AttemptState,
 } from '../common/pipelineAttempt.js';
 import {TokenSink} from '../common/pipelineDriver.js';
-import {coversAllLayers} from '../common/planCheck.js';
+import {coversAllLayers} from '../common/layerCoverage.js';
 import {recordFailure} from '../common/stageFailure.js';
-import {delayWithin, untilCancelled} from './boundedCall.js';
+import {cancellableDelay, raceCancellation} from './cancellableCall.js';
 import {PipelineDependencies} from './pipelineDependencies.js';
-import {createRunParts, RunParts, SharedKnowledge} from './runParts.js';
-import {StageFailure, TokenOutput} from './tokenStepper.js';
+import {createRunParts, RunParts, DriverSharedState} from './runParts.js';
+import {StageFailure, TokenOutput} from './passRunner.js';
 
-/** One request on its way through a pipeline. */
+/** Runs one request on a pipeline. */
 export class PipelineRun {
   private readonly source: CancellationSource;
   private readonly parts: RunParts;
@@ -34,7 +34,7 @@
 
   constructor(
     private readonly dependencies: PipelineDependencies,
-    private readonly shared: SharedKnowledge,
+    private readonly shared: DriverSharedState,
     private readonly request: ModelRequest,
     private readonly sink: TokenSink,
     token: CancellationToken,
@@ -48,12 +48,15 @@
     );
   }
 
-  /** Follows the chart from reservation to one of its ends. */
+  /** Runs the state chart from the reservation to a final state. */
   async run(): Promise<Result<ModelReply, RequestFailure>> {
     const {clock} = this.dependencies;
-    const left = this.request.deadlineAt - clock.monotonicMilliseconds();
-    const deadline = clock.setTimer(left, () => this.source.cancel('deadline'));
-    if (left <= 0) {
+    const remainingMilliseconds =
+      this.request.deadlineAt - clock.monotonicMilliseconds();
+    const deadline = clock.setTimer(remainingMilliseconds, () =>
+      this.source.cancel('deadline'),
+    );
+    if (remainingMilliseconds <= 0) {
       this.source.cancel('deadline');
     }
     try {
@@ -95,27 +98,27 @@
     if (state.token.isCancelled) {
       return 'ended';
     }
-    const left: string[] = [];
+    const excludedUpstreams: string[] = [];
     let reply = await capacity.reserve();
     for (;;) {
-      const event = await this.takePlan(reply);
+      const event = await this.adoptPlan(reply);
       const leaving = this.leavingUpstreams();
       if (event !== 'reserved' || leaving.length === 0) {
         return event;
       }
-      // The start may have lain seconds ahead; nothing was sent yet, so the plan is made again without them.
-      left.push(...leaving);
+      // The wait for the start can take seconds. Nothing has been sent yet, so the plan is redone without them.
+      excludedUpstreams.push(...leaving);
       reply = await capacity.replan(
         state.reservation!,
         state,
-        left,
+        excludedUpstreams,
         'upstreamLeaves',
       );
     }
   }
 
-  /** Takes a plan over and waits for its start. */
-  private async takePlan(
+  /** Adopts a plan and waits for its start. */
+  private async adoptPlan(
     reply: ReservationReply | undefined,
   ): Promise<AttemptEvent> {
     const {state, stages} = this.parts;
@@ -137,7 +140,7 @@
     return started ? 'reserved' : 'ended';
   }
 
-  /** Upstreams of the plan that have begun to leave since it was made. */
+  /** Upstreams of the plan that are now leaving. */
   private leavingUpstreams(): readonly string[] {
     const {sessions} = this.parts.stages;
     return sessions
@@ -145,18 +148,22 @@
       .filter(upstream => this.dependencies.isLeaving(upstream));
   }
 
-  /** Comes a little before the predicted start: engines queue by priority, and predictions err. */
-  private async waitForStart(startsIn: number): Promise<boolean> {
+  /** Waits until shortly before the predicted start: engines queue by priority, and predictions are inexact. */
+  private async waitForStart(predictedMilliseconds: number): Promise<boolean> {
     const {token} = this.parts.state;
     const {clock, settings} = this.dependencies;
-    const lead = Math.max(
+    const leadMilliseconds = Math.max(
       settings.startLeadMilliseconds,
-      settings.startLeadShare * startsIn,
+      settings.startLeadShare * predictedMilliseconds,
     );
-    if (startsIn <= lead) {
+    if (predictedMilliseconds <= leadMilliseconds) {
       return !token.isCancelled;
     }
-    return delayWithin(clock, startsIn - lead, token);
+    return cancellableDelay(
+      clock,
+      predictedMilliseconds - leadMilliseconds,
+      token,
+    );
   }
 
   private async prefill(): Promise<AttemptEvent> {
@@ -182,30 +189,30 @@
     return state.token.isCancelled ? 'ended' : outcome.kind;
   }
 
-  /** Runs one pass and releases its token; an event when the generation can't simply go on. */
+  /** Runs one pass and releases its token; returns an event if generation cannot continue with the next pass. */
   private async nextToken(): Promise<AttemptEvent | undefined> {
-    const {state, stages, stepper, planner} = this.parts;
+    const {state, stages, passRunner, planner} = this.parts;
     const {sessions} = stages;
     const pass = planner.next();
-    const result = await stepper.run(sessions, state.attempt, pass);
-    state.steppedTo = Math.max(state.steppedTo, sessions[0].coveredTo);
+    const result = await passRunner.run(sessions, state.attempt, pass);
+    state.computedTo = Math.max(state.computedTo, sessions[0].coveredTo);
     if (!result.ok) {
       const {session, error} = result.error;
       recordFailure(session.record, error, pass.epoch);
       this.failed = result.error;
       return state.token.isCancelled ? 'ended' : 'stageFailed';
     }
-    this.parts.capacity.reportAnswers();
+    this.parts.capacity.reportProbeSuccess();
     return state.token.isCancelled ? 'ended' : this.release(result.value);
   }
 
   private async release(
     output: TokenOutput,
   ): Promise<AttemptEvent | undefined> {
-    const {state, caches, capacity} = this.parts;
+    const {state, cacheTransfer, capacity} = this.parts;
     const {maximumOutputTokens} = this.request;
-    const isBareEnd = output.endOfText && output.token === '';
-    if (!isBareEnd && !(await this.deliver(output.token))) {
+    const isEndWithoutToken = output.endOfText && output.token === '';
+    if (!isEndWithoutToken && !(await this.deliver(output.token))) {
       return 'ended';
     }
     if (output.endOfText) {
@@ -215,7 +222,7 @@
     if (state.released >= maximumOutputTokens) {
       return 'finished';
     }
-    caches.exportWhenDue({
+    cacheTransfer.exportIfDue({
       contextTokens: state.tokens.length,
       releasedTokens: state.released,
       expectedTokens: capacity.expectedTokens,
@@ -224,7 +231,7 @@
     return undefined;
   }
 
-  /** Hands a token to the caller; false when the run ended meanwhile. */
+  /** Delivers a token to the caller; returns false if the run has ended. */
   private async deliver(text: string): Promise<boolean> {
     const {state} = this.parts;
     const index = state.released;
@@ -232,10 +239,10 @@
     try {
       const pending = this.sink(text, index);
       if (pending !== undefined) {
-        await untilCancelled(state.token, pending);
+        await raceCancellation(state.token, pending);
       }
     } catch (error) {
-      this.dependencies.logger.warn('the caller could not be written to', {
+      this.dependencies.logger.warn('writing a token to the caller failed', {
         requestId: this.request.requestId,
         error: String(error),
       });
--- a/src/features/pipeline/node/runConclusion.ts
+++ b/src/features/pipeline/node/runConclusion.ts
@@ -10,11 +10,11 @@
 import {PipelineDependencies} from './pipelineDependencies.js';
 import {RunState} from './runState.js';
 import {StageSet} from './stageSet.js';
-import {StageFailure} from './tokenStepper.js';
+import {StageFailure} from './passRunner.js';
 
 type Conclusion = Result<ModelReply, RequestFailure>;
 
-/** Ends a run: frees engines, returns the capacity and says truthfully what happened. */
+/** Ends a run: frees engines, releases the capacity and builds the result. */
 export class RunConclusion {
   constructor(
     private readonly dependencies: PipelineDependencies,
@@ -24,7 +24,7 @@
     private readonly canceller: EngineCanceller,
   ) {}
 
-  /** The whole reply was released. */
+  /** Concludes a run whose complete reply was released. */
   complete(finishReason: FinishReason): Conclusion {
     this.freeEngines(finishReason);
     this.releaseCapacity();
@@ -38,7 +38,7 @@
     });
   }
 
-  /** The caller left or the deadline passed. */
+  /** Concludes a run whose caller disconnected or whose deadline passed. */
   end(): Promise<Conclusion> {
     const isLate = this.state.token.reason === 'deadline';
     const error: RequestError = isLate
@@ -49,7 +49,7 @@
     return this.failWith(error, isLate ? retry : undefined);
   }
 
-  /** No capacity was given. */
+  /** Concludes a run that was given no capacity. */
   refuse(
     refusal: Extract<ReservationReply, {kind: 'refused'}>,
   ): Promise<Conclusion> {
@@ -60,7 +60,7 @@
     return this.failWith(error, retryAfterMilliseconds);
   }
 
-  /** Recovery came to its end. */
+  /** Concludes a run that could not be recovered. */
   fail(
     failed: StageFailure | undefined,
     retryAfterMilliseconds: number | undefined,
@@ -89,19 +89,19 @@
     });
     return failure({
       error,
-      executed: this.stages.ledger.executed(this.state.released),
+      executed: this.stages.executionTracker.executed(this.state.released),
       retryAfterMilliseconds,
       addresses: [],
     });
   }
 
-  /** The last stage frees itself at the end of the text; all others must be told. */
+  /** The last stage frees its cache at the end of the text; all other engines must be cancelled. */
   private freeEngines(finishReason: FinishReason): void {
     const last = this.stages.sessions.at(-1)?.chosen.upstream;
-    const freed = finishReason === 'stop' ? last : undefined;
-    const upstreams = this.stages.ledger.all
+    const selfFreed = finishReason === 'stop' ? last : undefined;
+    const upstreams = this.stages.executionTracker.all
       .map(record => record.upstream)
-      .filter(upstream => upstream !== freed);
+      .filter(upstream => upstream !== selfFreed);
     this.canceller.cancelInBackground(upstreams, this.state.epoch);
   }
 
--- a/src/features/pipeline/node/runParts.ts
+++ b/src/features/pipeline/node/runParts.ts
@@ -1,17 +1,17 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {StateChart} from '../../../infrastructure/stateChart/common/stateChart.js';
 import {ModelRequest} from '../../requests/common/request.js';
-import {OutputEstimator} from '../common/outputEstimator.js';
+import {ReplyLengthEstimator} from '../common/replyLengthEstimator.js';
 import {
   AttemptAction,
   AttemptEvent,
   AttemptState,
 } from '../common/pipelineAttempt.js';
 import {prefixKeyOf} from '../common/prefixKey.js';
-import {ProgressWatch} from '../common/progressWatch.js';
-import {CacheKeeper} from './cacheKeeper.js';
+import {StepTimeouts} from '../common/stepTimeouts.js';
+import {CacheTransfer} from './cacheTransfer.js';
 import {CapacityClient} from './capacityClient.js';
-import {DroppedAnswers} from './droppedAnswers.js';
+import {DroppedResponses} from './droppedResponses.js';
 import {EngineCanceller} from './engineCanceller.js';
 import {PassPlanner} from './passPlanner.js';
 import {PipelineDependencies} from './pipelineDependencies.js';
@@ -19,50 +19,55 @@
 import {RunConclusion} from './runConclusion.js';
 import {RunState} from './runState.js';
 import {StageSet} from './stageSet.js';
-import {TokenStepper} from './tokenStepper.js';
+import {PassRunner} from './passRunner.js';
 
-/** What all runs of a driver share. */
-export interface SharedKnowledge {
-  readonly watch: ProgressWatch;
-  readonly estimator: OutputEstimator;
+/** State shared by all runs of a driver. */
+export interface DriverSharedState {
+  readonly watch: StepTimeouts;
+  readonly estimator: ReplyLengthEstimator;
   readonly chart: StateChart<AttemptState, AttemptEvent, AttemptAction>;
 }
 
-/** The parts that one request's run consists of. */
+/** Components of one run. */
 export interface RunParts {
   readonly state: RunState;
   readonly stages: StageSet;
   readonly capacity: CapacityClient;
-  readonly caches: CacheKeeper;
+  readonly cacheTransfer: CacheTransfer;
   readonly recovery: PipelineRecovery;
-  readonly stepper: TokenStepper;
+  readonly passRunner: PassRunner;
   readonly planner: PassPlanner;
   readonly conclusion: RunConclusion;
 }
 
-/** Wires the parts of one run; `token` ends it. */
+/** Creates the components of one run, which ends when `token` is cancelled. */
 export function createRunParts(
   dependencies: PipelineDependencies,
-  shared: SharedKnowledge,
+  shared: DriverSharedState,
   request: ModelRequest,
   token: CancellationToken,
 ): RunParts {
   const {clock} = dependencies;
   const {requestId} = request;
   const {watch, estimator} = shared;
-  const dropped = new DroppedAnswers(dependencies, requestId);
+  const droppedResponses = new DroppedResponses(dependencies, requestId);
   const state = new RunState(request, clock, token, (step, result) =>
-    dropped.late(step, result),
+    droppedResponses.late(step, result),
   );
   const stages = new StageSet(dependencies, watch);
   const capacity = new CapacityClient(dependencies, request, state, estimator);
   const canceller = new EngineCanceller(dependencies, requestId, stages);
-  const caches = new CacheKeeper(dependencies, requestId, state, stages);
+  const cacheTransfer = new CacheTransfer(
+    dependencies,
+    requestId,
+    state,
+    stages,
+  );
   return {
     state,
     stages,
     capacity,
-    caches,
+    cacheTransfer,
     recovery: new PipelineRecovery(
       dependencies,
       request,
@@ -70,9 +75,14 @@
       stages,
       capacity,
       canceller,
-      caches,
+      cacheTransfer,
+    ),
+    passRunner: createPassRunner(
+      dependencies,
+      watch,
+      request,
+      droppedResponses,
     ),
-    stepper: createStepper(dependencies, watch, request, dropped),
     planner: new PassPlanner(request, state, stages, watch, clock),
     conclusion: new RunConclusion(
       dependencies,
@@ -84,18 +94,18 @@
   };
 }
 
-function createStepper(
+function createPassRunner(
   {clock, safeguards}: PipelineDependencies,
-  watch: ProgressWatch,
+  watch: StepTimeouts,
   request: ModelRequest,
-  dropped: DroppedAnswers,
-): TokenStepper {
-  return new TokenStepper(
+  droppedResponses: DroppedResponses,
+): PassRunner {
+  return new PassRunner(
     request,
     prefixKeyOf(request.model.name, request.adapter, request.promptTokens),
     clock,
     watch,
     safeguards,
-    (step, fault) => dropped.faulty(step, fault),
+    (step, fault) => droppedResponses.faulty(step, fault),
   );
 }
--- a/src/features/pipeline/node/runState.ts
+++ b/src/features/pipeline/node/runState.ts
@@ -2,18 +2,18 @@
 import {Clock} from '../../../base/common/clock.js';
 import {ModelRequest} from '../../requests/common/request.js';
 import {Reservation} from '../../routing/common/routing.js';
-import {EpochAttempt, LateAnswerListener} from './epochAttempt.js';
+import {EpochAttempt, LateResponseListener} from './epochAttempt.js';
 
-/** What changes while one request runs. */
+/** Mutable state of one run. */
 export class RunState {
-  /** The prompt and the released tokens. */
+  /** Tokens of the prompt, followed by the released tokens. */
   readonly tokens: string[];
   readonly promptLength: number;
-  /** The capacity held; undefined before it is reserved. */
+  /** The reservation held; undefined before the first one and after its release. */
   reservation: Reservation | undefined;
-  /** Positions that some stage has run. */
-  steppedTo = 0;
-  /** Recoveries tried. */
+  /** End of the positions that the first stage has computed in any pass. */
+  computedTo = 0;
+  /** Number of recoveries attempted. */
   recoveries = 0;
   private currentEpoch = 1;
   private currentAttempt: EpochAttempt;
@@ -22,7 +22,7 @@
     request: ModelRequest,
     private readonly clock: Clock,
     readonly token: CancellationToken,
-    private readonly onLateAnswer: LateAnswerListener,
+    private readonly onLateAnswer: LateResponseListener,
   ) {
     this.tokens = [...request.promptTokens];
     this.promptLength = request.promptTokens.length;
@@ -37,12 +37,12 @@
     return this.currentAttempt;
   }
 
-  /** How many tokens were handed to the sink. */
+  /** Number of tokens delivered to the sink. */
   get released(): number {
     return this.tokens.length - this.promptLength;
   }
 
-  /** Ends the attempt of the present epoch and starts another. */
+  /** Ends the attempt of the current epoch and starts one of the new epoch. */
   enterEpoch(epoch: number): void {
     this.currentAttempt.dispose();
     this.currentEpoch = epoch;
--- a/src/features/pipeline/node/stageSession.ts
+++ b/src/features/pipeline/node/stageSession.ts
@@ -1,25 +1,29 @@
 import {EngineConnection} from '../../../infrastructure/engine/common/engineConnection.js';
 import {ChosenStage, StageObservation} from '../../routing/common/routing.js';
-import {EngineRecord} from '../common/attemptLedger.js';
-import {UpstreamKnowledge} from '../common/progressWatch.js';
+import {EngineExecutionRecord} from '../common/executionTracker.js';
+import {UpstreamHistory} from '../common/stepTimeouts.js';
 
-/** What one request saw of one upstream. */
+/** Observations that one request made of one upstream. */
 export class UpstreamStatistics {
   private steps = 0;
   private decodeSteps = 0;
-  private decodeTotal = 0;
-  private linkTotal = 0;
+  private totalDecodeMilliseconds = 0;
+  private totalLinkMilliseconds = 0;
   outcome: StageObservation['outcome'] = 'completed';
 
   constructor(readonly upstream: string) {}
 
-  /** Takes one answered step; times in milliseconds. */
-  observe(isDecode: boolean, compute: number, link: number): void {
+  /** Adds one completed step. */
+  observe(
+    isDecode: boolean,
+    computeMilliseconds: number,
+    linkTimeMilliseconds: number,
+  ): void {
     this.steps += 1;
-    this.linkTotal += link;
+    this.totalLinkMilliseconds += linkTimeMilliseconds;
     if (isDecode) {
       this.decodeSteps += 1;
-      this.decodeTotal += compute;
+      this.totalDecodeMilliseconds += computeMilliseconds;
     }
   }
 
@@ -27,8 +31,11 @@
     return {
       upstream: this.upstream,
       outcome: this.outcome,
-      decodeMilliseconds: meanOf(this.decodeTotal, this.decodeSteps),
-      linkMilliseconds: meanOf(this.linkTotal, this.steps),
+      decodeMilliseconds: meanOf(
+        this.totalDecodeMilliseconds,
+        this.decodeSteps,
+      ),
+      linkMilliseconds: meanOf(this.totalLinkMilliseconds, this.steps),
       steps: this.steps,
     };
   }
@@ -38,22 +45,22 @@
   return count > 0 ? total / count : undefined;
 }
 
-/** One stage of a request's present pipeline. */
+/** One stage of the pipeline that a request currently runs on. */
 export class StageSession {
-  /** Positions from 0 up to here are in the engine's KV cache, as far as is known. */
+  /** End of the positions, from 0, that the engine's KV cache is known to hold. */
   coveredTo = 0;
-  /** Whether an export is running or the engine declined one. */
-  exportBlocked = false;
+  /** True while an export is running and after the engine has declined one. */
+  isExportBlocked = false;
 
   constructor(
     readonly chosen: ChosenStage,
     readonly connection: EngineConnection,
-    readonly record: EngineRecord,
-    readonly knowledge: UpstreamKnowledge,
+    readonly record: EngineExecutionRecord,
+    readonly history: UpstreamHistory,
     readonly statistics: UpstreamStatistics,
   ) {}
 
-  /** Whether this is the same engine with the same layers. */
+  /** Whether the other stage is the same engine with the same layers and model version. */
   matches(other: ChosenStage): boolean {
     return (
       this.chosen.upstream === other.upstream &&
--- a/src/features/pipeline/node/stageSet.ts
+++ b/src/features/pipeline/node/stageSet.ts
@@ -4,49 +4,49 @@
   LayerRange,
 } from '../../../infrastructure/engine/common/engineConnection.js';
 import {ChosenStage, StageObservation} from '../../routing/common/routing.js';
-import {AttemptLedger} from '../common/attemptLedger.js';
+import {ExecutionTracker} from '../common/executionTracker.js';
 import {isExportUsable} from '../common/exportPolicy.js';
-import {ProgressWatch} from '../common/progressWatch.js';
+import {StepTimeouts} from '../common/stepTimeouts.js';
 import {PipelineDependencies} from './pipelineDependencies.js';
 import {StageSession, UpstreamStatistics} from './stageSession.js';
 
-/** The stages of a request: the present ones, and what remains known of former ones. */
+/** The current stages of a request, and the records, statistics and exports of former ones. */
 export class StageSet {
-  readonly ledger = new AttemptLedger();
+  readonly executionTracker = new ExecutionTracker();
   private readonly statistics = new Map<string, UpstreamStatistics>();
   private readonly connections = new Map<string, EngineConnection>();
   private readonly exports = new Map<string, CacheReference>();
-  private present: readonly StageSession[] = [];
+  private currentSessions: readonly StageSession[] = [];
 
   constructor(
     private readonly dependencies: PipelineDependencies,
-    private readonly watch: ProgressWatch,
+    private readonly watch: StepTimeouts,
   ) {}
 
   get sessions(): readonly StageSession[] {
-    return this.present;
+    return this.currentSessions;
   }
 
   /**
-   * Takes a new plan and returns the sessions that are not part of it.
-   * Sessions of the same engine and layers go on with their KV cache, but for `failed`.
+   * Adopts a new plan and returns the sessions that are not part of it.
+   * Sessions that match a stage of the plan keep their KV cache, except `failed`.
    */
   adopt(
     stages: readonly ChosenStage[],
     failed: StageSession | undefined,
   ): readonly StageSession[] {
-    const former = this.present;
-    this.present = stages.map(chosen => {
+    const former = this.currentSessions;
+    this.currentSessions = stages.map(chosen => {
       const kept = former.find(
         session => session !== failed && session.matches(chosen),
       );
       return kept ?? this.open(chosen);
     });
-    return former.filter(session => !this.present.includes(session));
+    return former.filter(session => !this.currentSessions.includes(session));
   }
 
-  /** Keeps an export unless a longer one of the same layers is known. */
-  keepExport(reference: CacheReference): void {
+  /** Stores an export unless a longer one of the same layers is stored. */
+  storeExport(reference: CacheReference): void {
     const key = layersKey(reference.layers);
     const known = this.exports.get(key);
     if (known === undefined || known.positions.to < reference.positions.to) {
@@ -54,26 +54,26 @@
     }
   }
 
-  /** Forgets the export of layers whose engine gave a wrong answer. */
-  dropExport(layers: LayerRange): void {
+  /** Discards the export of layers whose engine returned a wrong response. */
+  forgetExport(layers: LayerRange): void {
     this.exports.delete(layersKey(layers));
   }
 
-  /** The latest known export that can restore a stage. */
-  exportFor(chosen: ChosenStage): CacheReference | undefined {
+  /** The longest stored export that can restore a stage. */
+  latestExportFor(chosen: ChosenStage): CacheReference | undefined {
     const reference = this.exports.get(layersKey(chosen.layers));
-    const usable = reference && isExportUsable(reference, chosen.layers);
-    return usable ? reference : undefined;
+    const isUsable = reference && isExportUsable(reference, chosen.layers);
+    return isUsable ? reference : undefined;
   }
 
-  /** The connection to an upstream that the request has met. */
+  /** The connection to an upstream that is or was a stage of the request. */
   connectionOf(upstream: string): EngineConnection | undefined {
     return this.connections.get(upstream);
   }
 
-  /** Positions that every stage holds. */
+  /** End of the positions that every stage holds in its KV cache. */
   get coveredTo(): number {
-    return Math.min(...this.present.map(session => session.coveredTo));
+    return Math.min(...this.currentSessions.map(session => session.coveredTo));
   }
 
   get observations(): readonly StageObservation[] {
@@ -84,8 +84,8 @@
     return new StageSession(
       chosen,
       this.connect(chosen),
-      this.ledger.recordOf(chosen.upstream),
-      this.watch.knowledgeOf(chosen.upstream),
+      this.executionTracker.recordOf(chosen.upstream),
+      this.watch.historyOf(chosen.upstream),
       this.statisticsOf(chosen.upstream),
     );
   }
--- a/src/features/pipeline/test/faultyEngine.ts
+++ b/src/features/pipeline/test/faultyEngine.ts
@@ -27,10 +27,10 @@
 const FOREIGN_EPOCH = 50;
 const lost = failure({kind: 'lost', detail: 'connection broke'} as const);
 
-/** How long every step takes. */
+/** Duration of every step. */
 export const STEP_MILLISECONDS = 5;
 
-/** What may go wrong with one step. */
+/** Faults that can be injected into a step. */
 export const faultKinds = [
   'killBefore',
   'killAfter',
@@ -50,10 +50,10 @@
   'restart',
   'restartAfter',
 ] as const;
-/** `foreign`: the engine has seen an epoch of another driver. */
+/** `foreign`: the engine reports an epoch that another driver used. */
 export type FaultKind = (typeof faultKinds)[number] | 'foreign';
 
-/** A fault at the n-th step that reaches an engine. */
+/** A fault at the step with index `atStep` among those sent to an engine. */
 export interface Fault {
   readonly upstream: string;
   readonly atStep: number;
@@ -61,8 +61,8 @@
   readonly milliseconds: number;
 }
 
-/** One executed step, as the engine itself recorded it. */
-export interface LedgerEntry {
+/** One executed step, as recorded by the engine itself. */
+export interface ExecutedStep {
   readonly upstream: string;
   readonly requestId: string;
   readonly epoch: number;
@@ -77,23 +77,23 @@
   length: number;
 }
 
-/** How exports are answered. */
+/** How an engine responds to export requests: with the current cache, with the first half of it, or not at all. */
 export type ExportMode = 'present' | 'stale' | 'absent';
 
-/** Exported caches by reference, shared by all engines of a test. */
+/** Exported caches by reference; all engines of a test share one store. */
 export type CacheStore = Map<string, Sequence>;
 
-/** An engine in the test's process that computes the reference model, keeps its own ledger and fails on demand. */
+/** An in-process engine that computes the reference model, records the steps it executes and injects faults. */
 export class FaultyEngine extends EngineConnection {
   private readonly sequences = new Map<string, Sequence>();
   private readonly highest = new Map<string, number>();
   private readonly cancelled = new Map<string, number>();
   private readonly begun = new Set<string>();
   private readonly running = new Set<StepRequest>();
-  private previous: StepReceipt | undefined;
-  private steps = 0;
+  private previousReceipt: StepReceipt | undefined;
+  private stepCount = 0;
   private incarnationNumber = 1;
-  private dead = false;
+  private isDead = false;
   private frozenUntil = 0;
   readonly cancels: string[] = [];
 
@@ -102,7 +102,7 @@
     readonly layers: LayerRange,
     readonly checksFencing: boolean,
     private readonly clock: Clock,
-    private readonly ledger: LedgerEntry[],
+    private readonly executedSteps: ExecutedStep[],
     private readonly faults: readonly Fault[],
     private readonly store: CacheStore,
     private readonly exportMode: ExportMode = 'present',
@@ -114,19 +114,19 @@
     return `${this.upstream}/${this.incarnationNumber}`;
   }
 
-  /** Sequences that hold a KV cache here; none once it is dead. */
+  /** Requests whose KV cache the engine holds; none once it is dead. */
   get resident(): readonly string[] {
-    return this.dead ? [] : [...this.sequences.keys()];
+    return this.isDead ? [] : [...this.sequences.keys()];
   }
 
   override async step(
     request: StepRequest,
   ): Promise<Result<StepReceipt, EngineError>> {
-    const index = this.steps++;
+    const index = this.stepCount++;
     const fault = this.faults.find(
       ({upstream, atStep}) => upstream === this.upstream && atStep === index,
     );
-    if (this.dead || fault?.kind === 'unreachable') {
+    if (this.isDead || fault?.kind === 'unreachable') {
       return failure({kind: 'unreachable', detail: 'no connection'});
     }
     this.running.add(request);
@@ -141,7 +141,7 @@
   ): Promise<Result<StepReceipt, EngineError>> {
     switch (fault?.kind) {
       case 'killBefore':
-        this.dead = true;
+        this.isDead = true;
         return lost;
       case 'cutBefore':
         return lost;
@@ -158,28 +158,28 @@
         this.frozenUntil = this.now() + fault.milliseconds;
         break;
       case 'slow':
-        await this.wait(fault.milliseconds);
+        await this.delay(fault.milliseconds);
         break;
     }
-    await this.whenAwake();
-    await this.wait(STEP_MILLISECONDS);
-    const result = this.dead ? lost : this.execute(request);
+    await this.waitWhileFrozen();
+    await this.delay(STEP_MILLISECONDS);
+    const result = this.isDead ? lost : this.execute(request);
     if (!result.ok || fault === undefined) {
       return result;
     }
-    return this.answer(request, result.value, fault);
+    return this.applyResponseFault(request, result.value, fault);
   }
 
-  private async answer(
+  private async applyResponseFault(
     request: StepRequest,
     receipt: StepReceipt,
     fault: Fault,
   ): Promise<Result<StepReceipt, EngineError>> {
-    const former = this.previous ?? receipt;
-    this.previous = receipt;
+    const former = this.previousReceipt ?? receipt;
+    this.previousReceipt = receipt;
     switch (fault.kind) {
       case 'killAfter':
-        this.dead = true;
+        this.isDead = true;
         return lost;
       case 'cutAfter':
         return lost;
@@ -188,21 +188,27 @@
         return lost;
       case 'freezeAfter':
         this.frozenUntil = this.now() + fault.milliseconds;
-        await this.whenAwake();
+        await this.waitWhileFrozen();
         return success(receipt);
       case 'late':
         this.running.delete(request);
-        await this.wait(fault.milliseconds);
+        await this.delay(fault.milliseconds);
         return success(receipt);
       case 'crossed':
-        return success(garbled({...former, requestId: 'another'}, receipt));
+        return success(
+          withCorruptedOutput({...former, requestId: 'another'}, receipt),
+        );
       case 'twice':
         return success(former);
       case 'oldEpoch':
-        return success(garbled({...receipt, epoch: receipt.epoch - 1}));
+        return success(
+          withCorruptedOutput({...receipt, epoch: receipt.epoch - 1}),
+        );
       case 'skipped': {
         const {from, to} = receipt.layers;
-        return success(garbled({...receipt, layers: {from, to: to - 1}}));
+        return success(
+          withCorruptedOutput({...receipt, layers: {from, to: to - 1}}),
+        );
       }
       default:
         return success(receipt);
@@ -224,7 +230,7 @@
     }
     this.highest.set(requestId, Math.max(highest, epoch));
     this.begun.add(requestId);
-    this.ledger.push({
+    this.executedSteps.push({
       upstream: this.upstream,
       requestId,
       epoch,
@@ -244,7 +250,7 @@
       computeMilliseconds: 0,
       transferMilliseconds: 0,
     };
-    this.previous ??= receipt;
+    this.previousReceipt ??= receipt;
     return success(receipt);
   }
 
@@ -285,10 +291,10 @@
     epoch: number,
   ): Promise<Result<CancelReport, EngineError>> {
     this.cancels.push(requestId);
-    if (this.dead) {
+    if (this.isDead) {
       return failure({kind: 'unreachable', detail: 'no connection'});
     }
-    await this.whenAwake();
+    await this.waitWhileFrozen();
     const begun = this.begun.has(requestId);
     const {incarnation: engineIncarnation} = this;
     const isRunning = [...this.running].some(
@@ -309,7 +315,7 @@
     requestId: string,
   ): Promise<Result<CacheReference, EngineError>> {
     const sequence = this.sequences.get(requestId);
-    if (this.exportMode === 'absent' || this.dead || sequence === undefined) {
+    if (this.exportMode === 'absent' || this.isDead || sequence === undefined) {
       return failure({kind: 'refused', detail: 'no export'});
     }
     const length =
@@ -329,7 +335,7 @@
     reference: CacheReference,
   ): Promise<Result<PositionRange, EngineError>> {
     const stored = this.store.get(reference.reference);
-    if (this.dead || stored === undefined) {
+    if (this.isDead || stored === undefined) {
       return failure({kind: 'refused', detail: 'no such export'});
     }
     const caches = stored.caches.map(cache => [...cache]);
@@ -371,22 +377,25 @@
     return this.clock.monotonicMilliseconds();
   }
 
-  private async whenAwake(): Promise<void> {
-    const left = this.frozenUntil - this.now();
-    if (left > 0) {
-      await this.wait(left);
+  private async waitWhileFrozen(): Promise<void> {
+    const remainingMilliseconds = this.frozenUntil - this.now();
+    if (remainingMilliseconds > 0) {
+      await this.delay(remainingMilliseconds);
     }
   }
 
-  private wait(milliseconds: number): Promise<void> {
+  private delay(milliseconds: number): Promise<void> {
     return new Promise(resolve => {
       this.clock.setTimer(milliseconds, resolve);
     });
   }
 }
 
-/** A receipt whose output differs from that of `source`. */
-function garbled(receipt: StepReceipt, source = receipt): StepReceipt {
+/** A copy of a receipt whose output is a corrupted form of the output of `source`. */
+function withCorruptedOutput(
+  receipt: StepReceipt,
+  source = receipt,
+): StepReceipt {
   const {output} = source;
   if (output.kind === 'token') {
     return {...receipt, output: {...output, token: `${output.token}-x`}};
--- a/src/features/pipeline/test/pipelineFaults.test.ts
+++ b/src/features/pipeline/test/pipelineFaults.test.ts
@@ -2,12 +2,12 @@
 
 import {Executed} from '../../requests/common/failure.js';
 import {ExportMode, Fault, FaultKind, faultKinds} from './faultyEngine.js';
-import {makeRequest, PipelineBench, upstreamName} from './pipelineBench.js';
-import {finishCleanly, violationsOf} from './verdict.js';
+import {makeRequest, PipelineHarness, upstreamName} from './pipelineHarness.js';
+import {finishWithoutViolations, violationsOf} from './ruleViolations.js';
 
 const stages = [0, 1, 2];
-const PREFILL = 0;
-const DECODE = 5;
+const PREFILL_STEP = 0;
+const DECODE_STEP = 5;
 const eagerExports = {
   everyTokens: 5,
   minimumContextTokens: 1,
@@ -23,7 +23,7 @@
 
 const faultCases: readonly FaultCase[] = faultKinds.flatMap(kind =>
   stages.flatMap(stage =>
-    [PREFILL, DECODE].flatMap(atStep =>
+    [PREFILL_STEP, DECODE_STEP].flatMap(atStep =>
       [false, true].map(unfenced => ({kind, stage, atStep, unfenced})),
     ),
   ),
@@ -34,41 +34,41 @@
   return {upstream, kind, atStep, milliseconds: 8000};
 }
 
-describe('one fault at one stage, with a replacement', () => {
+describe('a request with one fault at one stage and a replacement engine', () => {
   test.each(faultCases)(
-    '$kind at stage $stage, step $atStep, unfenced $unfenced',
+    'completes without violations: $kind at stage $stage, step $atStep, unfenced $unfenced',
     async ({kind, stage, atStep, unfenced}) => {
-      const bench = new PipelineBench({
+      const harness = new PipelineHarness({
         faults: [faultAt(stage, kind, atStep)],
         unfenced: unfenced ? 'all' : [],
       });
-      const run = bench.start();
-      await finishCleanly(bench);
+      const run = harness.start();
+      await finishWithoutViolations(harness);
       expect(run.result?.ok).toBe(true);
       expect(run.endedAt).toBeLessThan(5000);
     },
   );
 });
 
-describe('KV export', () => {
-  // 4 prompt tokens and 7 released ones; the export after 5 covers 4 + 5 - 1 positions, a stale one half.
+describe('recovery from a KV cache export', () => {
+  // With 4 prompt and 7 released tokens, the export after 5 tokens covers 4 + 5 - 1 positions and a stale one half.
   const exportCases: ReadonlyArray<{mode: ExportMode; recomputed: number}> = [
     {mode: 'present', recomputed: 11 - 8},
     {mode: 'stale', recomputed: 11 - 4},
     {mode: 'absent', recomputed: 11},
   ];
   test.each(exportCases)(
-    '$mode: the rebuild runs $recomputed positions',
+    'recomputes $recomputed positions if the export is $mode',
     async ({mode, recomputed}) => {
-      const bench = new PipelineBench({
+      const harness = new PipelineHarness({
         faults: [faultAt(1, 'killBefore', 7)],
         exportMode: mode,
         settings: {exports: eagerExports},
       });
-      const run = bench.start();
-      await finishCleanly(bench);
+      const run = harness.start();
+      await finishWithoutViolations(harness);
       expect(run.result?.ok).toBe(true);
-      const first = bench.ledger.find(
+      const first = harness.executedSteps.find(
         entry => entry.upstream === upstreamName(1, 1),
       );
       const {from, to} = first?.positions ?? {from: 0, to: 0};
@@ -77,63 +77,84 @@
   );
 });
 
-describe('when nothing can replace the stage', () => {
-  /** The last column says whether the engines ignore epochs. */
+describe('a request with a failed stage that has no replacement', () => {
+  /** The last column states whether the engines are unfenced. */
   const cases: ReadonlyArray<
-    readonly [string, Executed | 'whole', number, FaultKind, number, boolean]
+    readonly [string, Executed | 'complete', number, FaultKind, number, boolean]
   > = [
-    ['dead first stage, never reached', 'no', 0, 'unreachable', PREFILL, true],
-    ['first stage refuses', 'no', 0, 'refused', PREFILL, true],
-    ['first stage has no room', 'no', 0, 'overloaded', PREFILL, true],
+    ['first stage unreachable', 'no', 0, 'unreachable', PREFILL_STEP, true],
+    ['first stage refuses', 'no', 0, 'refused', PREFILL_STEP, true],
+    ['first stage is overloaded', 'no', 0, 'overloaded', PREFILL_STEP, true],
     [
-      'first stage dies before it ran',
+      'first stage dies before it runs',
       'unknown',
       0,
       'killBefore',
-      PREFILL,
+      PREFILL_STEP,
       true,
     ],
-    ['second stage dies at prefill', 'unknown', 1, 'killBefore', PREFILL, true],
-    ['stage dies after tokens', 'unknown', 1, 'killAfter', DECODE, true],
     [
-      'connection cut, engine up, fenced',
-      'whole',
+      'second stage dies during prefill',
+      'unknown',
+      1,
+      'killBefore',
+      PREFILL_STEP,
+      true,
+    ],
+    [
+      'stage dies after tokens were released',
+      'unknown',
+      1,
+      'killAfter',
+      DECODE_STEP,
+      true,
+    ],
+    [
+      'connection lost, engine alive, fenced',
+      'complete',
       1,
       'cutAfter',
-      DECODE,
+      DECODE_STEP,
       false,
     ],
     [
-      'connection cut, engine up, unfenced',
-      'whole',
+      'connection lost, engine alive, unfenced',
+      'complete',
       1,
       'cutAfter',
-      DECODE,
+      DECODE_STEP,
       true,
     ],
-    ['frozen, fenced', 'whole', 1, 'freezeBefore', DECODE, false],
-    ['frozen, unfenced', 'whole', 1, 'freezeBefore', DECODE, true],
-    ['slow, unfenced', 'whole', 1, 'slow', DECODE, true],
+    ['stage frozen, fenced', 'complete', 1, 'freezeBefore', DECODE_STEP, false],
+    [
+      'stage frozen, unfenced',
+      'complete',
+      1,
+      'freezeBefore',
+      DECODE_STEP,
+      true,
+    ],
+    ['stage slow, unfenced', 'complete', 1, 'slow', DECODE_STEP, true],
   ];
-  test.each(cases)('%s: %s', async (...row) => {
+  test.each(cases)('%s: ends with %s', async (...row) => {
     const [, executed, stage, kind, atStep, unfenced] = row;
-    const bench = new PipelineBench({
+    const harness = new PipelineHarness({
       replicas: 1,
       faults: [faultAt(stage, kind, atStep)],
       unfenced: unfenced ? 'all' : [],
       settings: {recoveryLimit: 40},
     });
-    const run = bench.start();
-    await finishCleanly(bench);
+    const run = harness.start();
+    await finishWithoutViolations(harness);
     const {result} = run;
-    expect(result?.ok ? 'whole' : result?.error.executed).toBe(executed);
+    expect(result?.ok ? 'complete' : result?.error.executed).toBe(executed);
     if (result?.ok === false) {
       expect(result.error.retryAfterMilliseconds).toBeGreaterThan(0);
     }
   });
 });
 
-describe('a lost first step, with no recovery', () => {
+describe('a lost first step without recovery', () => {
   const cases: ReadonlyArray<{
     kind: FaultKind;
     servedBefore: boolean;
@@ -145,46 +166,51 @@
     {kind: 'restartAfter', servedBefore: true, executed: 'unknown'},
   ];
   test.each(cases)(
-    '$kind, process known before $servedBefore: $executed',
+    'reports executed $executed after $kind if the engine process was known before: $servedBefore',
     async ({kind, servedBefore, executed}) => {
       const served = servedBefore ? 12 : 0;
-      const bench = new PipelineBench({
+      const harness = new PipelineHarness({
         replicas: 1,
         faults: [faultAt(0, kind, served)],
         settings: {recoveryLimit: 0},
       });
       if (servedBefore) {
-        bench.start();
-        await bench.finish();
+        harness.start();
+        await harness.finish();
       }
-      const run = bench.start();
-      await finishCleanly(bench);
+      const run = harness.start();
+      await finishWithoutViolations(harness);
       expect(run.result).toMatchObject({ok: false, error: {executed}});
     },
   );
 });
 
-describe('another driver holds the request', () => {
+describe('a request that another driver also runs', () => {
   test.each([
-    {repeatable: true, atStep: PREFILL, outcome: 'whole'},
-    {repeatable: true, atStep: DECODE, outcome: 'whole'},
-    {repeatable: false, atStep: PREFILL, outcome: 'unknown'},
-    {repeatable: false, atStep: DECODE, outcome: 'unknown'},
-  ])('repeatable $repeatable, step $atStep: $outcome', async row => {
-    const faults = [faultAt(1, 'foreign', row.atStep)];
-    const bench = new PipelineBench({faults});
-    const {classOfWork} = makeRequest('q0', 0);
-    const {repeatable} = row;
-    const run = bench.start({classOfWork: {...classOfWork, repeatable}});
-    await finishCleanly(bench);
-    const {result} = run;
-    expect(result?.ok ? 'whole' : result?.error.executed).toBe(row.outcome);
-  });
+    {repeatable: true, atStep: PREFILL_STEP, outcome: 'complete'},
+    {repeatable: true, atStep: DECODE_STEP, outcome: 'complete'},
+    {repeatable: false, atStep: PREFILL_STEP, outcome: 'unknown'},
+    {repeatable: false, atStep: DECODE_STEP, outcome: 'unknown'},
+  ])(
+    'ends with $outcome if repeatable is $repeatable and the foreign epoch appears at step $atStep',
+    async row => {
+      const faults = [faultAt(1, 'foreign', row.atStep)];
+      const harness = new PipelineHarness({faults});
+      const {classOfWork} = makeRequest('q0', 0);
+      const {repeatable} = row;
+      const run = harness.start({classOfWork: {...classOfWork, repeatable}});
+      await finishWithoutViolations(harness);
+      const {result} = run;
+      expect(result?.ok ? 'complete' : result?.error.executed).toBe(
+        row.outcome,
+      );
+    },
+  );
 });
 
-describe('several faults', () => {
-  test('two streams at once, one stage killed, one answer crossed', async () => {
-    const bench = new PipelineBench({
+describe('several faults and cleanup', () => {
+  test('three concurrent requests complete with one stage killed, one response crossed and one duplicated', async () => {
+    const harness = new PipelineHarness({
       replicas: 3,
       faults: [
         faultAt(0, 'crossed', 7),
@@ -192,31 +218,33 @@
         faultAt(2, 'twice', 9),
       ],
     });
-    const runs = [bench.start(), bench.start(), bench.start()];
-    await finishCleanly(bench);
+    const runs = [harness.start(), harness.start(), harness.start()];
+    await finishWithoutViolations(harness);
     expect(runs.map(run => run.result?.ok)).toEqual([true, true, true]);
-    expect(bench.metrics.counts.get('pipeline.droppedAnswers')).toBe(2);
+    expect(harness.metrics.counts.get('pipeline.droppedAnswers')).toBe(2);
   });
 
-  test('a new plan on other engines frees those left behind', async () => {
-    const bench = new PipelineBench({
-      movesAll: true,
-      faults: [faultAt(1, 'killAfter', DECODE)],
+  test('a new plan on other engines frees the replaced engines', async () => {
+    const harness = new PipelineHarness({
+      prefersOtherEngines: true,
+      faults: [faultAt(1, 'killAfter', DECODE_STEP)],
     });
-    const left = bench.engines.filter(engine => engine.upstream.endsWith('0'));
+    const replacedEngines = harness.engines.filter(engine =>
+      engine.upstream.endsWith('0'),
+    );
     const held: string[] = [];
-    const run = bench.start({}, ({delivered}) => {
-      if (delivered.length === DECODE + 3) {
-        held.push(...left.flatMap(engine => engine.resident));
+    const run = harness.start({}, ({delivered}) => {
+      if (delivered.length === DECODE_STEP + 3) {
+        held.push(...replacedEngines.flatMap(engine => engine.resident));
       }
     });
-    await finishCleanly(bench);
+    await finishWithoutViolations(harness);
     expect(run.result?.ok).toBe(true);
     expect(held).toEqual([]);
   });
 
-  test('an engine that took over a cache and was never stepped is freed', async () => {
-    const bench = new PipelineBench({
+  test('an engine that imported a cache and never ran a step is freed', async () => {
+    const harness = new PipelineHarness({
       faults: [
         faultAt(1, 'killBefore', 7),
         {...faultAt(0, 'killBefore', 8), upstream: upstreamName(0, 0)},
@@ -224,26 +252,28 @@
       ],
       settings: {exports: eagerExports},
     });
-    const run = bench.start();
-    await bench.finish();
+    const run = harness.start();
+    await harness.finish();
     expect(run.result?.ok).toBe(false);
-    expect(violationsOf(bench)).toEqual([]);
+    expect(violationsOf(harness)).toEqual([]);
   });
 
-  test('a late answer is counted and dropped', async () => {
-    const bench = new PipelineBench({faults: [faultAt(1, 'late', DECODE)]});
-    bench.start();
-    await finishCleanly(bench);
-    expect(bench.metrics.counts.get('pipeline.droppedAnswers')).toBe(1);
+  test('a late response is counted and dropped', async () => {
+    const harness = new PipelineHarness({
+      faults: [faultAt(1, 'late', DECODE_STEP)],
+    });
+    harness.start();
+    await finishWithoutViolations(harness);
+    expect(harness.metrics.counts.get('pipeline.droppedAnswers')).toBe(1);
   });
 
-  test('recoveries are bounded', async () => {
+  test('a request fails once the recovery limit is exceeded', async () => {
     const faults = Array.from({length: 50}, (_, atStep) =>
       faultAt(1, 'cutAfter', atStep),
     );
-    const bench = new PipelineBench({replicas: 1, faults});
-    const run = bench.start();
-    await finishCleanly(bench);
+    const harness = new PipelineHarness({replicas: 1, faults});
+    const run = harness.start();
+    await finishWithoutViolations(harness);
     expect(run.result).toMatchObject({
       ok: false,
       error: {error: {kind: 'upstreamFailed'}, executed: 'unknown'},
--- a/src/features/pipeline/test/pipelineBench.ts
+++ b/src/features/pipeline/test/pipelineHarness.ts
@@ -27,44 +27,44 @@
   PipelineSettings,
 } from '../common/pipelineSettings.js';
 import {Safeguards, StrictSafeguards} from '../common/safeguards.js';
-import {delay} from '../node/boundedCall.js';
+import {delay} from '../node/cancellableCall.js';
 import {DefaultPipelineDriver} from '../node/defaultPipelineDriver.js';
 import {
   CacheStore,
   ExportMode,
   Fault,
   FaultyEngine,
-  LedgerEntry,
+  ExecutedStep,
 } from './faultyEngine.js';
 
 export const layerCount = 6;
-export const ranges: readonly LayerRange[] = [
+export const layerRanges: readonly LayerRange[] = [
   {from: 0, to: 2},
   {from: 2, to: 4},
   {from: 4, to: 6},
 ];
 
-/** What a bench is made of. */
-export interface BenchOptions {
+/** Options of a harness; without any, no fault is injected. */
+export interface HarnessOptions {
   readonly faults?: readonly Fault[];
-  /** Engines for each layer range. */
+  /** Number of engines for each layer range. */
   readonly replicas?: number;
-  /** Upstreams that ignore old epochs; `all` for every one. */
+  /** Upstreams that do not check fencing numbers and so execute steps of old epochs; `all` for every one. */
   readonly unfenced?: readonly string[] | 'all';
   readonly exportMode?: ExportMode;
   readonly safeguards?: Safeguards;
   readonly settings?: Partial<PipelineSettings>;
   readonly startsInMilliseconds?: number;
-  /** How long the broker takes to answer. */
+  /** Response time of the broker. */
   readonly brokerMilliseconds?: number;
-  /** Whether new plans prefer other engines for all stages. */
-  readonly movesAll?: boolean;
-  /** Whether the owner is probing all engines. */
+  /** Whether a replan chooses other engines for all stages. */
+  readonly prefersOtherEngines?: boolean;
+  /** Whether reservations mark all stages as probing. */
   readonly probing?: boolean;
 }
 
-/** One run as its caller saw it. */
-export interface BenchRun {
+/** One run as observed by its caller. */
+export interface HarnessRun {
   readonly request: ModelRequest;
   readonly delivered: string[];
   readonly indices: number[];
@@ -73,30 +73,30 @@
   endedAt: number;
 }
 
-/** What the broker knows of an engine. */
+/** The properties of an engine that the broker uses. */
 export type BrokerEngine = Pick<
   FaultyEngine,
   'upstream' | 'layers' | 'checksFencing'
 > & {readonly address?: string};
 
-/** Gives the first engine of each layer range that is not excluded. */
-export class ListBroker extends CapacityBroker {
+/** A broker that chooses the first engine of each layer range that is not excluded. */
+export class FirstMatchBroker extends CapacityBroker {
   readonly held = new Set<string>();
-  readonly works: WorkEstimate[] = [];
+  readonly estimates: WorkEstimate[] = [];
   readonly observations: StageObservation[] = [];
   readonly failures: StageObservation[] = [];
-  private made = 0;
+  private reservationCount = 0;
 
   constructor(
     private readonly engines: readonly BrokerEngine[],
     private readonly clock: Clock,
-    private readonly options: BenchOptions,
+    private readonly options: HarnessOptions,
   ) {
     super();
   }
 
   override async reserve(work: WorkEstimate): Promise<ReservationReply> {
-    this.works.push(work);
+    this.estimates.push(work);
     await delay(this.clock, this.options.brokerMilliseconds ?? 0);
     return this.choose(this.engines, []);
   }
@@ -107,7 +107,7 @@
     model: string,
     excluded: readonly string[],
   ): Promise<ReservationReply> {
-    const engines = this.options.movesAll
+    const engines = this.options.prefersOtherEngines
       ? [...this.engines].reverse()
       : this.engines;
     const reply = this.choose(engines, excluded);
@@ -121,7 +121,7 @@
     engines: readonly BrokerEngine[],
     excluded: readonly string[],
   ): ReservationReply {
-    const chosen = ranges.map(range =>
+    const chosen = layerRanges.map(range =>
       engines.find(
         engine =>
           engine.layers.from === range.from &&
@@ -139,8 +139,8 @@
       checksFencing: engine.checksFencing,
       ...(this.options.probing === true ? {probing: true} : {}),
     }));
-    this.made += 1;
-    const reservationId = `r${this.made}`;
+    this.reservationCount += 1;
+    const reservationId = `r${this.reservationCount}`;
     this.held.add(reservationId);
     const prediction = {
       startsInMilliseconds: this.options.startsInMilliseconds ?? 0,
@@ -175,7 +175,7 @@
   override releaseService(): void {}
 }
 
-class MapConnector extends EngineConnector {
+class FakeConnector extends EngineConnector {
   constructor(private readonly engines: readonly FaultyEngine[]) {
     super();
   }
@@ -196,7 +196,7 @@
   override milliseconds(): void {}
 }
 
-class ListLogger extends Logger {
+class RecordingLogger extends Logger {
   readonly decisions: LogFields[] = [];
   override decision(_name: string, fields: LogFields): void {
     this.decisions.push(fields);
@@ -209,23 +209,23 @@
   }
 }
 
-/** A driver with engines in this process and a clock that moves only here. */
-export class PipelineBench {
+/** A driver with in-process engines and a fake clock. */
+export class PipelineHarness {
   readonly clock = new FakeClock();
-  readonly ledger: LedgerEntry[] = [];
+  readonly executedSteps: ExecutedStep[] = [];
   readonly metrics = new CountingMetrics();
-  readonly logger = new ListLogger();
+  readonly logger = new RecordingLogger();
   readonly engines: readonly FaultyEngine[];
-  readonly broker: ListBroker;
-  readonly runs: BenchRun[] = [];
-  /** Upstreams that the list shows as leaving. */
+  readonly broker: FirstMatchBroker;
+  readonly runs: HarnessRun[] = [];
+  /** Upstreams that are listed as leaving. */
   readonly leaving = new Set<string>();
   private readonly driver: DefaultPipelineDriver;
 
-  constructor(options: BenchOptions = {}) {
+  constructor(options: HarnessOptions = {}) {
     const store: CacheStore = new Map();
     const replicas = options.replicas ?? 2;
-    this.engines = ranges.flatMap((range, stage) =>
+    this.engines = layerRanges.flatMap((range, stage) =>
       Array.from({length: replicas}, (_, replica) => {
         const upstream = upstreamName(stage, replica);
         const unfenced = options.unfenced ?? [];
@@ -234,17 +234,17 @@
           range,
           unfenced !== 'all' && !unfenced.includes(upstream),
           this.clock,
-          this.ledger,
+          this.executedSteps,
           options.faults ?? [],
           store,
           options.exportMode,
         );
       }),
     );
-    this.broker = new ListBroker(this.engines, this.clock, options);
+    this.broker = new FirstMatchBroker(this.engines, this.clock, options);
     this.driver = new DefaultPipelineDriver({
       broker: this.broker,
-      connector: new MapConnector(this.engines),
+      connector: new FakeConnector(this.engines),
       clock: this.clock,
       logger: this.logger,
       metrics: this.metrics,
@@ -254,12 +254,12 @@
     });
   }
 
-  /** Starts a request; `onToken` may cancel or delay. */
+  /** Starts a request; `onToken` may cancel the run, or delay it by returning a promise. */
   start(
     overrides: Partial<ModelRequest> = {},
-    onToken: (run: BenchRun) => void | Promise<void> = () => undefined,
-  ): BenchRun {
-    const run: BenchRun = {
+    onToken: (run: HarnessRun) => void | Promise<void> = () => undefined,
+  ): HarnessRun {
+    const run: HarnessRun = {
       request: {
         ...makeRequest(
           `q${this.runs.length}`,
@@ -286,7 +286,7 @@
     return run;
   }
 
-  /** Lets time pass until all runs ended, then long enough for every frozen engine to wake. */
+  /** Advances the clock until all runs have ended, and then until every frozen engine has resumed. */
   async finish(): Promise<void> {
     for (let round = 0; round < 2000; round++) {
       await settle();
@@ -299,7 +299,7 @@
   }
 }
 
-/** A request for a reply of 12 tokens. */
+/** Creates a request for a reply of 12 tokens. */
 export function makeRequest(requestId: string, now: number): ModelRequest {
   return {
     requestId,
@@ -324,7 +324,7 @@
   };
 }
 
-/** The name of a replica of a stage, both from 0. */
+/** The name of a replica of a stage; both numbers start at 0. */
 export function upstreamName(stage: number, replica: number): string {
   return `stage${stage}-${replica}`;
 }
--- a/src/features/pipeline/test/pipelineLifecycle.test.ts
+++ b/src/features/pipeline/test/pipelineLifecycle.test.ts
@@ -1,111 +1,121 @@
 import {describe, expect, test} from 'vitest';
 
 import {STEP_MILLISECONDS} from './faultyEngine.js';
-import {PipelineBench, upstreamName} from './pipelineBench.js';
-import {finishCleanly} from './verdict.js';
+import {PipelineHarness, upstreamName} from './pipelineHarness.js';
+import {finishWithoutViolations} from './ruleViolations.js';
 
-describe('whole replies', () => {
+describe('complete replies', () => {
   const cases = [
-    {name: 'ends by itself', maximumOutputTokens: 40, finishReason: 'stop'},
+    {name: 'end of text', maximumOutputTokens: 40, finishReason: 'stop'},
     {
-      name: 'ends at the maximum',
+      name: 'maximum number of tokens',
       maximumOutputTokens: 7,
       finishReason: 'length',
     },
-    {name: 'one token', maximumOutputTokens: 1, finishReason: 'length'},
+    {
+      name: 'maximum of one token',
+      maximumOutputTokens: 1,
+      finishReason: 'length',
+    },
   ];
-  test.each(cases)('$name', async ({maximumOutputTokens, finishReason}) => {
-    const bench = new PipelineBench();
-    const run = bench.start({maximumOutputTokens});
-    await finishCleanly(bench);
-    expect(run.result).toMatchObject({ok: true, value: {finishReason}});
-    expect(bench.broker.observations).toHaveLength(3);
-    expect(bench.logger.decisions).toHaveLength(1);
-  });
+  test.each(cases)(
+    'a reply ends at the $name',
+    async ({maximumOutputTokens, finishReason}) => {
+      const harness = new PipelineHarness();
+      const run = harness.start({maximumOutputTokens});
+      await finishWithoutViolations(harness);
+      expect(run.result).toMatchObject({ok: true, value: {finishReason}});
+      expect(harness.broker.observations).toHaveLength(3);
+      expect(harness.logger.decisions).toHaveLength(1);
+    },
+  );
 
-  test('a slow reader holds the next step back', async () => {
-    const bench = new PipelineBench();
+  test('the next step waits for a slow reader', async () => {
+    const harness = new PipelineHarness();
     let release = (): void => undefined;
-    const run = bench.start({}, ({delivered}) =>
+    const run = harness.start({}, ({delivered}) =>
       delivered.length === 3
         ? new Promise<void>(resolve => {
             release = resolve;
           })
         : undefined,
     );
-    await bench.clock.advanceAsync(5000);
+    await harness.clock.advanceAsync(5000);
     expect(run.delivered).toHaveLength(3);
-    expect(bench.ledger).toHaveLength(9);
+    expect(harness.executedSteps).toHaveLength(9);
     release();
-    await finishCleanly(bench);
+    await finishWithoutViolations(harness);
     expect(run.result?.ok).toBe(true);
   });
 
-  test('waits for a start that lies ahead, a little less than predicted', async () => {
-    const bench = new PipelineBench({startsInMilliseconds: 400});
-    bench.start();
-    await bench.clock.advanceAsync(300 + STEP_MILLISECONDS - 1);
-    expect(bench.ledger).toHaveLength(0);
-    await bench.clock.advanceAsync(1);
-    expect(bench.ledger).toHaveLength(1);
-    await bench.finish();
+  test('the first step is sent shortly before a predicted start in the future', async () => {
+    const harness = new PipelineHarness({startsInMilliseconds: 400});
+    harness.start();
+    await harness.clock.advanceAsync(300 + STEP_MILLISECONDS - 1);
+    expect(harness.executedSteps).toHaveLength(0);
+    await harness.clock.advanceAsync(1);
+    expect(harness.executedSteps).toHaveLength(1);
+    await harness.finish();
   });
 
   test.each([
     {replicas: 2, ok: true, upstreams: ['stage0-1', 'stage1-0', 'stage2-0']},
     {replicas: 1, ok: false, upstreams: []},
   ])(
-    'sends nothing to an upstream that began to leave while the start was awaited, of $replicas',
+    'nothing is sent to an upstream that starts leaving during the wait for the start, with $replicas replicas',
     async ({replicas, ok, upstreams}) => {
-      const bench = new PipelineBench({replicas, startsInMilliseconds: 4000});
-      const run = bench.start();
-      await bench.clock.advanceAsync(1000);
-      bench.leaving.add('stage0-0');
-      await finishCleanly(bench);
-      const used = new Set(bench.ledger.map(({upstream}) => upstream));
+      const harness = new PipelineHarness({
+        replicas,
+        startsInMilliseconds: 4000,
+      });
+      const run = harness.start();
+      await harness.clock.advanceAsync(1000);
+      harness.leaving.add('stage0-0');
+      await finishWithoutViolations(harness);
+      const used = new Set(harness.executedSteps.map(({upstream}) => upstream));
       expect([...used]).toEqual(upstreams);
       expect(run.result?.ok).toBe(ok);
-      expect(bench.broker.held.size).toBe(0);
+      expect(harness.broker.held.size).toBe(0);
       if (!ok) {
         expect(run.result).toMatchObject({error: {executed: 'no'}});
       }
     },
   );
 
-  test('tells once that probing stages answered, with the first token', async () => {
-    const bench = new PipelineBench({probing: true});
-    const run = bench.start();
+  test('responses of probing stages are reported once, with the first token', async () => {
+    const harness = new PipelineHarness({probing: true});
+    const run = harness.start();
     while (run.delivered.length === 0) {
-      await bench.clock.advanceAsync(1);
+      await harness.clock.advanceAsync(1);
     }
-    expect(bench.broker.failures.map(one => one.outcome)).toEqual(
+    expect(harness.broker.failures.map(one => one.outcome)).toEqual(
       Array(3).fill('completed'),
     );
-    await bench.finish();
-    expect(bench.broker.failures).toHaveLength(3);
+    await harness.finish();
+    expect(harness.broker.failures).toHaveLength(3);
   });
 
-  test('learns the length of replies', async () => {
-    const bench = new PipelineBench();
+  test('estimates of the reply length are learned from completed replies', async () => {
+    const harness = new PipelineHarness();
     for (let index = 0; index < 10; index++) {
-      bench.start();
-      await bench.finish();
+      harness.start();
+      await harness.finish();
     }
-    const asked = bench.broker.works.map(work => work.outputTokens);
-    expect(asked[0]).toBe(40);
-    expect(asked[9]).toBeLessThan(30);
+    const estimates = harness.broker.estimates.map(work => work.outputTokens);
+    expect(estimates[0]).toBe(40);
+    expect(estimates[9]).toBeLessThan(30);
   });
 });
 
-describe('ends before the reply is whole', () => {
-  test('caller gone while tokens flow', async () => {
-    const bench = new PipelineBench();
-    const run = bench.start({}, ({delivered, source}) => {
+describe('runs that end before the reply is complete', () => {
+  test('a caller that disconnects during generation gets executed yes', async () => {
+    const harness = new PipelineHarness();
+    const run = harness.start({}, ({delivered, source}) => {
       if (delivered.length === 4) {
         source.cancel('caller gone');
       }
     });
-    await finishCleanly(bench);
+    await finishWithoutViolations(harness);
     expect(run.result).toMatchObject({
       ok: false,
       error: {error: {kind: 'callerGone'}, executed: 'yes'},
@@ -122,43 +132,46 @@
 
   test.each([
     {
-      name: 'capacity is asked for',
+      name: 'capacity is requested',
       options: {brokerMilliseconds: 300},
       leavesAt: 100,
       executed: 'no',
       ended: {least: 0, most: Number.POSITIVE_INFINITY},
     },
     {
-      name: 'waiting for the start',
+      name: 'the run waits for its start',
       options: {startsInMilliseconds: 4000},
       leavesAt: 100,
       executed: 'no',
       ended: {least: 100, most: 100},
     },
     {
-      name: 'a frozen stage holds the step',
+      name: 'a step waits for a frozen stage',
       options: {faults: [frozenSecond]},
       leavesAt: 50,
       executed: 'unknown',
       ended: {least: 0, most: 150},
     },
-  ])('caller gone while $name', async row => {
-    const bench = new PipelineBench(row.options);
-    const run = bench.start();
-    await bench.clock.advanceAsync(row.leavesAt);
-    run.source.cancel('caller gone');
-    await finishCleanly(bench);
-    const {executed} = row;
-    expect(run.result).toMatchObject({ok: false, error: {executed}});
-    expect(run.endedAt).toBeGreaterThanOrEqual(row.ended.least);
-    expect(run.endedAt).toBeLessThanOrEqual(row.ended.most);
-  });
+  ])(
+    'a caller that disconnects while $name gets executed $executed',
+    async row => {
+      const harness = new PipelineHarness(row.options);
+      const run = harness.start();
+      await harness.clock.advanceAsync(row.leavesAt);
+      run.source.cancel('caller gone');
+      await finishWithoutViolations(harness);
+      const {executed} = row;
+      expect(run.result).toMatchObject({ok: false, error: {executed}});
+      expect(run.endedAt).toBeGreaterThanOrEqual(row.ended.least);
+      expect(run.endedAt).toBeLessThanOrEqual(row.ended.most);
+    },
+  );
 
-  test('the deadline passes in the middle', async () => {
+  test('a run fails when its deadline passes during generation', async () => {
     const fault = {...frozen, upstream: upstreamName(2, 0), atStep: 3};
-    const bench = new PipelineBench({faults: [fault], unfenced: 'all'});
-    const run = bench.start({deadlineAt: 300});
-    await finishCleanly(bench);
+    const harness = new PipelineHarness({faults: [fault], unfenced: 'all'});
+    const run = harness.start({deadlineAt: 300});
+    await finishWithoutViolations(harness);
     expect(run.result).toMatchObject({
       ok: false,
       error: {
@@ -170,24 +183,27 @@
     expect(run.endedAt).toBeLessThanOrEqual(400);
   });
 
-  test('a deadline already past runs nothing', async () => {
-    const bench = new PipelineBench();
-    const run = bench.start({deadlineAt: -1});
-    await bench.finish();
+  test('a request whose deadline has already passed runs nothing', async () => {
+    const harness = new PipelineHarness();
+    const run = harness.start({deadlineAt: -1});
+    await harness.finish();
     expect(run.result).toMatchObject({ok: false, error: {executed: 'no'}});
-    expect(bench.ledger).toEqual([]);
+    expect(harness.executedSteps).toEqual([]);
   });
 
   test.each([
     {overrides: {promptTokens: []}, path: '$.messages'},
     {overrides: {maximumOutputTokens: 0}, path: '$.max_tokens'},
-  ])('refuses $path', async ({overrides, path}) => {
-    const bench = new PipelineBench();
-    const run = bench.start(overrides);
-    await bench.finish();
-    expect(run.result).toMatchObject({
-      ok: false,
-      error: {error: {findings: [{path}]}, executed: 'no'},
-    });
-  });
+  ])(
+    'a request with an invalid $path is refused',
+    async ({overrides, path}) => {
+      const harness = new PipelineHarness();
+      const run = harness.start(overrides);
+      await harness.finish();
+      expect(run.result).toMatchObject({
+        ok: false,
+        error: {error: {findings: [{path}]}, executed: 'no'},
+      });
+    },
+  );
 });
--- a/src/features/pipeline/test/pipelineOverHttp.test.ts
+++ b/src/features/pipeline/test/pipelineOverHttp.test.ts
@@ -17,11 +17,11 @@
 import {DefaultPipelineDriver} from '../node/defaultPipelineDriver.js';
 import {
   layerCount,
-  ListBroker,
+  FirstMatchBroker,
   makeRequest,
-  ranges,
+  layerRanges,
   upstreamName,
-} from './pipelineBench.js';
+} from './pipelineHarness.js';
 
 const clock = new SystemClock();
 let standIn: EngineStandIn;
@@ -30,7 +30,7 @@
 
 beforeEach(async () => {
   const [faultAddress, ...addresses] = await freeAddresses(7);
-  const engines = ranges.flatMap((layers, stage) =>
+  const engines = layerRanges.flatMap((layers, stage) =>
     [0, 1].map(replica => ({
       upstream: upstreamName(stage, replica),
       id: upstreamName(stage, replica),
@@ -44,7 +44,7 @@
   standIn = await startEngines({faultAddress: faultAddress!, engines});
   connector = new HttpEngineConnector();
   driver = new DefaultPipelineDriver({
-    broker: new ListBroker(engines, clock, {}),
+    broker: new FirstMatchBroker(engines, clock, {}),
     connector,
     clock,
     logger: new SilentLogger(),
@@ -77,7 +77,7 @@
 ];
 
 test.each(faults.flatMap(fault => [0, 1, 2].map(stage => ({fault, stage}))))(
-  '$fault at stage $stage over HTTP',
+  'a request over HTTP completes after fault $fault at stage $stage',
   async ({fault, stage}) => {
     const request = makeRequest('q0', clock.monotonicMilliseconds());
     const delivered: string[] = [];
--- a/src/features/pipeline/test/pipelineProperties.test.ts
+++ b/src/features/pipeline/test/pipelineProperties.test.ts
@@ -4,8 +4,12 @@
 import {LineageFault} from '../common/lineageChecker.js';
 import {StrictSafeguards} from '../common/safeguards.js';
 import {Fault, faultKinds} from './faultyEngine.js';
-import {BenchOptions, PipelineBench, upstreamName} from './pipelineBench.js';
-import {finishCleanly, violationsOf} from './verdict.js';
+import {
+  HarnessOptions,
+  PipelineHarness,
+  upstreamName,
+} from './pipelineHarness.js';
+import {finishWithoutViolations, violationsOf} from './ruleViolations.js';
 
 const upstreams = [0, 1, 2].flatMap(stage =>
   [0, 1].map(replica => upstreamName(stage, replica)),
@@ -18,7 +22,7 @@
   milliseconds: fc.integer({min: 100, max: 9000}),
 });
 
-const options: fc.Arbitrary<BenchOptions> = fc.record({
+const options: fc.Arbitrary<HarnessOptions> = fc.record({
   faults: fc.array(fault, {maxLength: 8}),
   replicas: fc.constantFrom(1, 2),
   unfenced: fc.subarray(upstreams),
@@ -33,21 +37,21 @@
 });
 
 describe('random faults', () => {
-  test('never break a lineage, a reply or a statement', async () => {
+  test('cause no rule violations', async () => {
     await fc.assert(
       fc.asyncProperty(
         options,
         fc.option(fc.nat(12), {nil: undefined}),
         fc.constantFrom(900, 4000, 20_000),
-        async (benchOptions, leavesAfter, deadlineAt) => {
-          const bench = new PipelineBench(benchOptions);
-          bench.start({deadlineAt}, run => {
+        async (harnessOptions, leavesAfter, deadlineAt) => {
+          const harness = new PipelineHarness(harnessOptions);
+          harness.start({deadlineAt}, run => {
             if (run.delivered.length === leavesAfter) {
               run.source.cancel('caller gone');
             }
           });
-          bench.start({maximumOutputTokens: 9});
-          await finishCleanly(bench);
+          harness.start({maximumOutputTokens: 9});
+          await finishWithoutViolations(harness);
         },
       ),
       {numRuns: 300, seed: 20261202},
@@ -55,7 +59,7 @@
   });
 });
 
-class NoLineage extends StrictSafeguards {
+class UncheckedLineage extends StrictSafeguards {
   override checkReceipt(): LineageFault | undefined {
     return undefined;
   }
@@ -64,32 +68,32 @@
   }
 }
 
-class SameEpoch extends StrictSafeguards {
+class UnchangedEpoch extends StrictSafeguards {
   override nextEpoch(epoch: number): number {
     return epoch;
   }
 }
 
 class UnconfirmedEntry extends StrictSafeguards {
-  override mayEnter(): boolean {
+  override canEnterEpoch(): boolean {
     return true;
   }
 }
 
-/** The reader takes 200 ms for a token, so that old steps wake while the reply goes on. */
-async function runSlowly(bench: PipelineBench): Promise<void> {
-  bench.start(
+/** Takes 200 ms to read each token, so that abandoned steps resume while the reply is still being generated. */
+async function runWithSlowReader(harness: PipelineHarness): Promise<void> {
+  harness.start(
     {},
     () =>
       new Promise(resolve => {
-        bench.clock.setTimer(200, resolve);
+        harness.clock.setTimer(200, resolve);
       }),
   );
-  await bench.finish();
+  await harness.finish();
 }
 
-describe('without a safeguard the ledger shows the violation', () => {
-  const at = (kind: Fault['kind'], atStep: number): Fault => ({
+describe('disabling a safeguard', () => {
+  const createFault = (kind: Fault['kind'], atStep: number): Fault => ({
     upstream: upstreamName(1, 0),
     atStep,
     kind,
@@ -97,39 +101,42 @@
   });
   const cases = [
     {
-      name: 'lineage not checked: crossed',
-      safeguards: new NoLineage(),
-      faults: [at('crossed', 4)],
+      name: 'unchecked lineage and a crossed response',
+      safeguards: new UncheckedLineage(),
+      faults: [createFault('crossed', 4)],
     },
     {
-      name: 'lineage not checked: twice',
-      safeguards: new NoLineage(),
-      faults: [{...at('twice', 4), upstream: upstreamName(2, 0)}],
+      name: 'unchecked lineage and a duplicated response',
+      safeguards: new UncheckedLineage(),
+      faults: [{...createFault('twice', 4), upstream: upstreamName(2, 0)}],
     },
     {
-      name: 'lineage not checked: older epoch',
-      safeguards: new NoLineage(),
-      faults: [at('oldEpoch', 4)],
+      name: 'unchecked lineage and a response of an older epoch',
+      safeguards: new UncheckedLineage(),
+      faults: [createFault('oldEpoch', 4)],
     },
     {
-      name: 'epoch not raised',
-      safeguards: new SameEpoch(),
-      faults: [at('cutAfter', 4)],
+      name: 'unchanged epoch',
+      safeguards: new UnchangedEpoch(),
+      faults: [createFault('cutAfter', 4)],
     },
     {
-      name: 'entered again unconfirmed',
+      name: 'engine re-entered without confirmation',
       safeguards: new UnconfirmedEntry(),
-      faults: [at('slow', 4)],
+      faults: [createFault('slow', 4)],
     },
   ];
-  test.each(cases)('$name', async ({safeguards, faults}) => {
-    const setUp: BenchOptions = {replicas: 1, unfenced: 'all', faults};
-    const mutated = new PipelineBench({...setUp, safeguards});
-    await runSlowly(mutated);
-    expect(violationsOf(mutated)).not.toEqual([]);
+  test.each(cases)(
+    'causes rule violations: $name',
+    async ({safeguards, faults}) => {
+      const setUp: HarnessOptions = {replicas: 1, unfenced: 'all', faults};
+      const mutated = new PipelineHarness({...setUp, safeguards});
+      await runWithSlowReader(mutated);
+      expect(violationsOf(mutated)).not.toEqual([]);
 
-    const strict = new PipelineBench(setUp);
-    await runSlowly(strict);
-    expect(violationsOf(strict)).toEqual([]);
-  });
+      const strict = new PipelineHarness(setUp);
+      await runWithSlowReader(strict);
+      expect(violationsOf(strict)).toEqual([]);
+    },
+  );
 });
--- a/src/features/pipeline/test/pipelineRules.test.ts
+++ b/src/features/pipeline/test/pipelineRules.test.ts
@@ -5,17 +5,20 @@
   StepReceipt,
   StepRequest,
 } from '../../../infrastructure/engine/common/engineConnection.js';
-import {EngineRecord, decideExecuted} from '../common/attemptLedger.js';
+import {
+  EngineExecutionRecord,
+  decideExecuted,
+} from '../common/executionTracker.js';
 import {isExportDue} from '../common/exportPolicy.js';
 import {LineageChecker} from '../common/lineageChecker.js';
-import {OutputEstimator} from '../common/outputEstimator.js';
+import {ReplyLengthEstimator} from '../common/replyLengthEstimator.js';
 import {createAttemptChart} from '../common/pipelineAttempt.js';
 import definition from '../common/pipelineAttempt.chart.json' with {type: 'json'};
 import {defaultPipelineSettings} from '../common/pipelineSettings.js';
-import {coversAllLayers} from '../common/planCheck.js';
-import {ProgressWatch, UpstreamKnowledge} from '../common/progressWatch.js';
+import {coversAllLayers} from '../common/layerCoverage.js';
+import {StepTimeouts, UpstreamHistory} from '../common/stepTimeouts.js';
 
-describe('what a failure says', () => {
+describe('executed value of a failure', () => {
   const begun = {begun: true, inDoubt: false};
   const doubt = {begun: false, inDoubt: true};
   const refused = {begun: false, inDoubt: false};
@@ -26,9 +29,12 @@
     {records: [begun, refused], released: 0, executed: 'unknown'},
     {records: [begun], released: 1, executed: 'yes'},
     {records: [begun, doubt], released: 1, executed: 'unknown'},
-  ])('$records, $released released: $executed', row => {
-    expect(decideExecuted(row.records, row.released)).toBe(row.executed);
-  });
+  ])(
+    'is $executed for the records $records and $released released tokens',
+    row => {
+      expect(decideExecuted(row.records, row.released)).toBe(row.executed);
+    },
+  );
 
   test.each([
     ['a', 'a', false, 1, 'no'],
@@ -38,10 +44,10 @@
     [undefined, undefined, false, 1, 'unknown'],
     ['a', 'a', false, 0, 'unknown'],
   ])(
-    'lost at process %s, idle by %s, begun %s, up to %s: %s',
+    'after a step lost at process %s and an idle report of process %s with begun %s up to epoch %s is %s',
     (before, after, hasBegun, epoch, expected) => {
-      const record = new EngineRecord('one');
-      record.handOver(1, before);
+      const record = new EngineExecutionRecord('one');
+      record.stepSent(1, before);
       record.lost();
       record.idle(epoch, {begun: hasBegun, engineIncarnation: after});
       expect(decideExecuted([record], 0)).toBe(expected);
@@ -49,7 +55,7 @@
   );
 });
 
-describe('lineage', () => {
+describe('lineage checker', () => {
   const step: StepRequest = {
     requestId: 'q',
     epoch: 2,
@@ -84,18 +90,18 @@
     {change: {layers: {from: 0, to: 1}}, fault: 'otherLayers'},
     {change: {positions: {from: 2, to: 3}}, fault: 'otherPositions'},
     {change: {output: token}, fault: 'wrongOutput'},
-  ])('receipt with $change: $fault', ({change, fault}) => {
+  ])('a receipt with $change gives fault $fault', ({change, fault}) => {
     const lineage = new LineageChecker();
-    lineage.begin();
-    expect(lineage.add(step, {...receipt, ...change})).toBe(fault);
-    expect(lineage.finish()).toBe('incomplete');
+    lineage.startToken();
+    expect(lineage.addReceipt(step, {...receipt, ...change})).toBe(fault);
+    expect(lineage.checkComplete()).toBe('incomplete');
   });
 
   test.each([
-    {name: 'whole', second: lastLayers, fault: undefined},
+    {name: 'all layers covered', second: lastLayers, fault: undefined},
     {name: 'same layers again', second: {}, fault: 'layersOutOfOrder'},
     {
-      name: 'layer left out',
+      name: 'layer skipped',
       second: {layers: {from: 3, to: 4}},
       fault: 'layersOutOfOrder',
     },
@@ -114,18 +120,18 @@
       second: {...lastLayers, requestId: 'r'},
       fault: 'crossedRequest',
     },
-  ])('two stages, $name: $fault', ({second, fault}) => {
+  ])('two receipts with $name give fault $fault', ({second, fault}) => {
     const lineage = new LineageChecker();
-    lineage.begin();
-    lineage.add(step, receipt);
+    lineage.startToken();
+    lineage.addReceipt(step, receipt);
     const output = second === lastLayers ? token : receipt.output;
-    const answer = {
+    const secondReceipt = {
       ...receipt,
       ...second,
       output: 'layers' in second ? token : output,
     };
-    expect(lineage.add({...step, ...second}, answer)).toBe(fault);
-    expect(lineage.finish()).toBe(
+    expect(lineage.addReceipt({...step, ...second}, secondReceipt)).toBe(fault);
+    expect(lineage.checkComplete()).toBe(
       fault === undefined ? undefined : 'incomplete',
     );
   });
@@ -138,7 +144,7 @@
   {ranges: ['0-3', '2-4'], covers: false},
   {ranges: ['0-0', '0-4'], covers: false},
   {ranges: [], covers: false},
-])('plan of $ranges covers four layers: $covers', ({ranges, covers}) => {
+])('a plan of $ranges covers four layers: $covers', ({ranges, covers}) => {
   const stages = ranges.map((range, index) => {
     const [from, to] = range.split('-').map(Number);
     return {upstream: `u${index}`, address: '', layers: {from: from!, to: to!}};
@@ -146,39 +152,47 @@
   expect(coversAllLayers(stages, 4)).toBe(covers);
 });
 
-describe('limits of silence', () => {
-  const watch = new ProgressWatch(defaultPipelineSettings.watch);
+describe('step time-outs', () => {
+  const timeouts = new StepTimeouts(defaultPipelineSettings.watch);
   test.each([
     {observed: [], target: 10, limit: 500},
     {observed: [], target: 200, limit: 1200},
     {observed: Array(20).fill(100), target: 10, limit: 500},
     {observed: Array(60).fill(900), target: 10, limit: 900},
-  ])('decode after $observed.length steps, target $target', row => {
-    const {spread} = new UpstreamKnowledge();
-    row.observed.forEach(value => spread.observe(value));
-    const limit = watch.decodeLimit(spread, row.target);
-    expect(limit).toBeGreaterThanOrEqual(row.limit);
-    expect(limit).toBeLessThan(row.limit + 200);
-  });
+  ])(
+    'a decode step after $observed.length steps with target $target ms times out after about $limit ms',
+    row => {
+      const {decodeTimes} = new UpstreamHistory();
+      row.observed.forEach(value => decodeTimes.observe(value));
+      const limit = timeouts.decodeTimeoutMilliseconds(decodeTimes, row.target);
+      expect(limit).toBeGreaterThanOrEqual(row.limit);
+      expect(limit).toBeLessThan(row.limit + 200);
+    },
+  );
   test.each([
     {positions: 10, prompt: 1000, limit: 1500},
     {positions: 1000, prompt: 1000, limit: 3000},
     {positions: 2000, prompt: 1000, limit: 6000},
-  ])('$positions positions of a prompt of $prompt', row => {
-    const expected = row.positions < 100 ? 100 : 1000;
-    const {positions, prompt, limit} = row;
-    expect(watch.prefillLimit(positions, prompt, expected)).toBe(limit);
-  });
+  ])(
+    'a prefill of $positions positions of a prompt of $prompt times out after $limit ms',
+    row => {
+      const expected = row.positions < 100 ? 100 : 1000;
+      const {positions, prompt, limit} = row;
+      expect(
+        timeouts.prefillTimeoutMilliseconds(positions, prompt, expected),
+      ).toBe(limit);
+    },
+  );
 });
 
-test('what is known of upstreams and lengths stays bounded', () => {
+test('upstream histories and reply lengths are limited in number', () => {
   const settings = {...defaultPipelineSettings.watch, trackedUpstreams: 2};
-  const watch = new ProgressWatch(settings);
-  const first = watch.knowledgeOf('a');
-  watch.knowledgeOf('b');
-  watch.knowledgeOf('c');
-  expect(watch.knowledgeOf('a')).not.toBe(first);
-  const estimator = new OutputEstimator(1, 1);
+  const timeouts = new StepTimeouts(settings);
+  const first = timeouts.historyOf('a');
+  timeouts.historyOf('b');
+  timeouts.historyOf('c');
+  expect(timeouts.historyOf('a')).not.toBe(first);
+  const estimator = new ReplyLengthEstimator(1, 1);
   Array.from({length: 9}, () => estimator.observe('x', 'one', 5));
   expect(estimator.estimate('x', 'one', 50)).toBeLessThan(10);
   Array.from({length: 9}, () => estimator.observe('y', 'two', 5));
@@ -190,17 +204,22 @@
   {released: 33, context: 400, expected: 200, due: false},
   {released: 32, context: 100, expected: 200, due: false},
   {released: 32, context: 400, expected: 40, due: false},
-])('export after $released of $expected tokens: $due', row => {
-  const progress = {
-    contextTokens: row.context,
-    releasedTokens: row.released,
-    expectedTokens: row.expected,
-    maximumTokens: 1000,
-  };
-  expect(isExportDue(progress, defaultPipelineSettings.exports)).toBe(row.due);
-});
+])(
+  'an export after $released of $expected tokens with context $context is due: $due',
+  row => {
+    const progress = {
+      contextTokens: row.context,
+      releasedTokens: row.released,
+      expectedTokens: row.expected,
+      maximumTokens: 1000,
+    };
+    expect(isExportDue(progress, defaultPipelineSettings.exports)).toBe(
+      row.due,
+    );
+  },
+);
 
-test('every state of the chart is reached and leads to an end', () => {
+test('every state of the chart is reachable and is final or has transitions', () => {
   const reached = new Set<string>();
   const visit = (path: readonly string[]): void => {
     const instance = new ChartInstance(createAttemptChart());
--- a/src/features/pipeline/test/verdict.ts
+++ b/src/features/pipeline/test/ruleViolations.ts
@@ -1,80 +1,84 @@
 import {expect} from 'vitest';
 
 import {expectedReply} from '../../../../test/standins/referenceModel.js';
-import {LedgerEntry} from './faultyEngine.js';
-import {BenchRun, layerCount, PipelineBench} from './pipelineBench.js';
+import {ExecutedStep} from './faultyEngine.js';
+import {HarnessRun, layerCount, PipelineHarness} from './pipelineHarness.js';
 
-/** All violations that the engines' ledger and the caller's tokens show; empty when all is right. */
-export function violationsOf(bench: PipelineBench): readonly string[] {
-  const found = bench.runs.flatMap(run =>
+/** All rule violations visible in the executed steps and the delivered tokens; empty if there are none. */
+export function violationsOf(harness: PipelineHarness): readonly string[] {
+  const found = harness.runs.flatMap(run =>
     runViolations(
       run,
-      bench.ledger.filter(entry => entry.requestId === run.request.requestId),
+      harness.executedSteps.filter(
+        entry => entry.requestId === run.request.requestId,
+      ),
     ),
   );
-  const held = [...bench.broker.held].map(id => `reservation ${id} is held`);
-  const resident = bench.engines.flatMap(({upstream, resident}) =>
+  const held = [...harness.broker.held].map(
+    id => `reservation ${id} was not released`,
+  );
+  const resident = harness.engines.flatMap(({upstream, resident}) =>
     resident.map(requestId => `${upstream} still holds ${requestId}`),
   );
   return [...found, ...held, ...resident];
 }
 
 function runViolations(
-  run: BenchRun,
-  entries: readonly LedgerEntry[],
+  run: HarnessRun,
+  entries: readonly ExecutedStep[],
 ): readonly string[] {
   return [
     ...tokenViolations(run),
     ...lineageViolations(run, entries),
-    ...repeatViolations(entries),
-    ...orderViolations(entries),
-    ...statementViolations(run, entries),
+    ...duplicateViolations(entries),
+    ...epochOrderViolations(entries),
+    ...executedViolations(run, entries),
   ];
 }
 
-function tokenViolations(run: BenchRun): readonly string[] {
+function tokenViolations(run: HarnessRun): readonly string[] {
   const {promptTokens, maximumOutputTokens} = run.request;
   const expected = expectedReply(promptTokens, layerCount, maximumOutputTokens);
   const found: string[] = [];
   run.delivered.forEach((token, index) => {
     if (token !== expected.tokens[index] || run.indices[index] !== index) {
-      found.push(`token ${index} is ${token}`);
+      found.push(`token ${index} is wrong or out of order: ${token}`);
     }
   });
   if (run.result?.ok) {
     const {tokens, finishReason} = run.result.value;
-    const whole =
+    const isComplete =
       tokens.join(' ') === expected.tokens.join(' ') &&
       run.delivered.length === expected.tokens.length &&
       finishReason === expected.finishReason;
-    if (!whole) {
-      found.push('the reply is not whole');
+    if (!isComplete) {
+      found.push('the reply is incomplete or has a wrong finish reason');
     }
   }
   return found;
 }
 
-/** Every released token needs one epoch in which all layers ran once, in order. */
+/** Each released token requires an epoch in which all layers ran once, in order. */
 function lineageViolations(
-  run: BenchRun,
-  entries: readonly LedgerEntry[],
+  run: HarnessRun,
+  entries: readonly ExecutedStep[],
 ): readonly string[] {
   const found: string[] = [];
   run.delivered.forEach((_, index) => {
     const position = run.request.promptTokens.length + index;
     const passes = entries.filter(entry => entry.positions.to === position);
     const epochs = new Set(passes.map(entry => entry.epoch));
-    const isWhole = [...epochs].some(epoch =>
+    const hasCompletePass = [...epochs].some(epoch =>
       coversOnceInOrder(passes.filter(entry => entry.epoch === epoch)),
     );
-    if (!isWhole) {
-      found.push(`token ${index} has no whole lineage`);
+    if (!hasCompletePass) {
+      found.push(`token ${index} has no complete lineage`);
     }
   });
   return found;
 }
 
-function coversOnceInOrder(entries: readonly LedgerEntry[]): boolean {
+function coversOnceInOrder(entries: readonly ExecutedStep[]): boolean {
   let coveredTo = 0;
   for (const {layers} of entries) {
     if (layers.from !== coveredTo) {
@@ -85,8 +89,10 @@
   return coveredTo === layerCount;
 }
 
-/** In one epoch no layer runs twice for a token. */
-function repeatViolations(entries: readonly LedgerEntry[]): readonly string[] {
+/** Within an epoch, no layer may run twice for the same token. */
+function duplicateViolations(
+  entries: readonly ExecutedStep[],
+): readonly string[] {
   const seen = new Set<string>();
   const found: string[] = [];
   for (const {epoch, positions, layers, upstream} of entries) {
@@ -99,8 +105,10 @@
   return found;
 }
 
-/** No engine runs an old attempt after it was entered under a newer one. */
-function orderViolations(entries: readonly LedgerEntry[]): readonly string[] {
+/** No engine may run a step of an older epoch after a step of a newer one. */
+function epochOrderViolations(
+  entries: readonly ExecutedStep[],
+): readonly string[] {
   const highest = new Map<string, number>();
   const found: string[] = [];
   for (const {upstream, epoch} of entries) {
@@ -113,9 +121,10 @@
   return found;
 }
 
-function statementViolations(
-  run: BenchRun,
-  entries: readonly LedgerEntry[],
+/** `executed: no` requires that no step ever ran; `executed: yes` requires delivered tokens and no step after the end. */
+function executedViolations(
+  run: HarnessRun,
+  entries: readonly ExecutedStep[],
 ): readonly string[] {
   if (run.result === undefined) {
     return ['the run did not end'];
@@ -125,14 +134,16 @@
   }
   const {executed} = run.result.error;
   const later = entries.filter(entry => entry.at > run.endedAt);
-  const isFalse =
+  const isWrong =
     (executed === 'no' && entries.length > 0) ||
     (executed === 'yes' && (later.length > 0 || run.delivered.length === 0));
-  return isFalse ? [`executed: ${executed} is not true`] : [];
+  return isWrong ? [`executed: ${executed} is wrong`] : [];
 }
 
-/** Lets all runs of a bench end and expects that none broke a rule. */
-export async function finishCleanly(bench: PipelineBench): Promise<void> {
-  await bench.finish();
-  expect(violationsOf(bench)).toEqual([]);
+/** Waits until all runs of a harness have ended and expects no rule violations. */
+export async function finishWithoutViolations(
+  harness: PipelineHarness,
+): Promise<void> {
+  await harness.finish();
+  expect(violationsOf(harness)).toEqual([]);
 }
