--- a/src/features/pipeline/common/lineageChecker.ts
+++ b/src/features/pipeline/common/lineageChecker.ts
@@ -18,12 +18,12 @@
  * the step that was sent.
  */
 export class LineageChecker {
-  private lastStep: StepRequest | undefined;
+  private step: StepRequest | undefined;
   private coveredTo = 0;
 
   /** Discards the receipts so far; the next receipt is the first of a new token. */
   startToken(): void {
-    this.lastStep = undefined;
+    this.step = undefined;
     this.coveredTo = 0;
   }
 
@@ -34,7 +34,7 @@
   ): LineageFault | undefined {
     const fault = this.findFault(step, receipt);
     if (fault === undefined) {
-      this.lastStep = step;
+      this.step = step;
       this.coveredTo = receipt.layers.to;
     }
     return fault;
@@ -43,8 +43,7 @@
   /** Returns undefined if all layers are covered, so that the token may be released. */
   checkComplete(): LineageFault | undefined {
     const isComplete =
-      this.lastStep !== undefined &&
-      this.coveredTo === this.lastStep.layerCount;
+      this.step !== undefined && this.coveredTo === this.step.layerCount;
     return isComplete ? undefined : 'incomplete';
   }
 
@@ -60,7 +59,7 @@
   }
 
   private findContinuityFault(step: StepRequest): LineageFault | undefined {
-    const previous = this.lastStep;
+    const previous = this.step;
     if (step.layers.from !== this.coveredTo) {
       return 'layersOutOfOrder';
     }
--- a/src/features/pipeline/node/epochAttempt.ts
+++ b/src/features/pipeline/node/epochAttempt.ts
@@ -27,7 +27,7 @@
   private readonly source: CancellationSource;
   private settleCall: ((result: StepResult) => void) | undefined;
   private timer: Disposable | undefined;
-  private isClosed = false;
+  private closed = false;
 
   constructor(
     private readonly clock: Clock,
@@ -44,7 +44,7 @@
     step: StepRequest,
     timeoutMilliseconds: number,
   ): Promise<StepResult> {
-    if (this.isClosed) {
+    if (this.closed) {
       return Promise.resolve(failure<StepError>({kind: 'ended'}));
     }
     return new Promise(resolve => {
@@ -73,7 +73,7 @@
     step: StepRequest,
     result: Result<StepReceipt, EngineError>,
   ): void {
-    if (this.isClosed) {
+    if (this.closed) {
       this.onLateResponse(step, result);
       return;
     }
@@ -81,10 +81,10 @@
   }
 
   private close(error: StepError): void {
-    if (this.isClosed) {
+    if (this.closed) {
       return;
     }
-    this.isClosed = true;
+    this.closed = true;
     this.resolveCall(failure(error));
     this.source.cancel(error.kind);
     this.source.dispose();
--- a/src/features/pipeline/test/faultyEngine.ts
+++ b/src/features/pipeline/test/faultyEngine.ts
@@ -167,10 +167,10 @@
     if (!result.ok || fault === undefined) {
       return result;
     }
-    return this.applyResponseFault(request, result.value, fault);
+    return this.answer(request, result.value, fault);
   }
 
-  private async applyResponseFault(
+  private async answer(
     request: StepRequest,
     receipt: StepReceipt,
     fault: Fault,
