--- a/src/features/services/common/defaultServiceDispatcher.ts
+++ b/src/features/services/common/defaultServiceDispatcher.ts
@@ -29,20 +29,20 @@
 import {ServiceCallRun} from './serviceCallRun.js';
 
 /**
- * Who claims the keys of calls that may not be repeated. With `handler`, the dispatcher claims only
- * where the handler held a call for repeatable and the configuration says otherwise.
+ * Which component claims the idempotency keys of calls that must not be repeated. With `handler`, the dispatcher claims
+ * only the keys of calls that the handler treated as repeatable but the configuration does not.
  */
-export type ClaimPlace = 'dispatcher' | 'handler';
+export type ClaimOwner = 'dispatcher' | 'handler';
 
-/** What the dispatcher is built from. */
+/** Services and settings that the dispatcher uses. */
 export interface ServiceDispatcherParts {
   readonly broker: CapacityBroker;
   readonly connector: ServiceConnector;
   readonly claims: ClaimService;
-  readonly claimPlace: ClaimPlace;
-  /** The configuration in force. */
+  readonly claimPlace: ClaimOwner;
+  /** Returns the current configuration. */
   readonly configuration: () => Configuration;
-  /** The caller address of the instance that runs an incarnation. */
+  /** Returns the caller address of the instance that runs an incarnation. */
   readonly addressOf: IncarnationAddress;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -52,20 +52,20 @@
 
 type DispatchResult = Result<ServiceResponse, RequestFailure>;
 
-/** What is kept for each service. */
+/** State kept per service. */
 interface ServiceState {
   readonly budget: RetryBudget;
   readonly latency: LatencyWindow;
 }
 
-const RETRY_SHARE = 0.1;
-const RETRY_LIMIT = 10;
-const SERVICE_LIMIT = 1000;
+const RETRIES_PER_SUCCESS = 0.1;
+const SAVED_RETRY_LIMIT = 10;
+const TRACKED_SERVICE_LIMIT = 1000;
 
 /**
- * Sends calls to plain services. The claim on the key of a call that may not be repeated is made
- * here, right before the first try, when `claimPlace` is `dispatcher`: a handler must then not claim
- * it as well, since each would take the other for a duplicate.
+ * Sends calls to plain services. With `claimPlace: 'dispatcher'`, the key of a call that must not be repeated is claimed
+ * right before the first attempt. The handler must not claim it as well, since the second claim would be rejected as a
+ * duplicate of the first.
  */
 export class DefaultServiceDispatcher extends ServiceDispatcher {
   private readonly states = new Map<string, ServiceState>();
@@ -84,10 +84,10 @@
       : undefined;
     const isRepeatable =
       request.repeatable && mayRepeat(configured, request.method, request.path);
-    const claimedByHandler =
+    const isClaimedByHandler =
       this.parts.claimPlace === 'handler' && !request.repeatable;
-    if (isRepeatable || claimedByHandler) {
-      return this.runInTime(request, isRepeatable, token);
+    if (isRepeatable || isClaimedByHandler) {
+      return this.runUntilDeadline(request, isRepeatable, token);
     }
     return this.claimAndRun(request, token);
   }
@@ -99,7 +99,7 @@
     const {claims, addressOf} = this.parts;
     const {clientAccount, idempotencyKey: key, fingerprint} = request;
     if (key === undefined) {
-      return failure(missingKey());
+      return failure(missingKeyFailure());
     }
     const source = new CancellationSource(token);
     const timer = this.cancelAtDeadline(request, source);
@@ -111,22 +111,22 @@
     );
     timer.dispose();
     source.dispose();
-    const answer = answerForClaim(decision, addressOf);
-    switch (answer.kind) {
+    const claimAnswer = answerForClaim(decision, addressOf);
+    switch (claimAnswer.kind) {
       case 'refuse':
-        return failure(answer.failure);
+        return failure(claimAnswer.failure);
       case 'replay':
-        return success({...answer.answer, requestId: request.requestId});
+        return success({...claimAnswer.answer, requestId: request.requestId});
       case 'run': {
-        const result = await this.runInTime(request, false, token);
+        const result = await this.runUntilDeadline(request, false, token);
         claims.complete(clientAccount, key, toOutcome(result));
         return result;
       }
     }
   }
 
-  /** Answers at the deadline, or when the caller has gone, whatever the tries are doing. */
-  private async runInTime(
+  /** Runs the call; resolves at the deadline or when the caller disconnects, even if attempts are still in flight. */
+  private async runUntilDeadline(
     request: ServiceCallRequest,
     isRepeatable: boolean,
     token: CancellationToken,
@@ -139,10 +139,10 @@
       source.token,
     );
     const timer = this.cancelAtDeadline(request, source);
-    const result = await untilCancelled(run, source.token, token);
+    const result = await runUntilCancelled(run, source.token, token);
     timer.dispose();
     source.dispose();
-    this.log(request, isRepeatable, run, result);
+    this.logCall(request, isRepeatable, run, result);
     return result;
   }
 
@@ -151,8 +151,11 @@
     source: CancellationSource,
   ) {
     const {clock} = this.parts;
-    const left = request.deadlineAt - clock.monotonicMilliseconds();
-    return clock.setTimer(Math.max(0, left), () => source.cancel('deadline'));
+    const remainingMilliseconds =
+      request.deadlineAt - clock.monotonicMilliseconds();
+    return clock.setTimer(Math.max(0, remainingMilliseconds), () =>
+      source.cancel('deadline'),
+    );
   }
 
   private stateOf(service: string): ServiceState {
@@ -160,18 +163,18 @@
     if (known !== undefined) {
       return known;
     }
-    if (this.states.size >= SERVICE_LIMIT) {
+    if (this.states.size >= TRACKED_SERVICE_LIMIT) {
       this.states.clear();
     }
     const state: ServiceState = {
-      budget: new RetryBudget(RETRY_SHARE, RETRY_LIMIT),
+      budget: new RetryBudget(RETRIES_PER_SUCCESS, SAVED_RETRY_LIMIT),
       latency: new LatencyWindow(),
     };
     this.states.set(service, state);
     return state;
   }
 
-  private log(
+  private logCall(
     request: ServiceCallRequest,
     isRepeatable: boolean,
     run: ServiceCallRun,
@@ -185,7 +188,7 @@
       clientAccount,
       classOfWork: classOfWork.name,
       isRepeatable,
-      attempts: run.attempts.map(note => ({...note})),
+      attempts: run.attempts.map(entry => ({...entry})),
       status: result.ok ? result.value.status : undefined,
       error: result.ok ? undefined : result.error.error.kind,
       executed: result.ok ? 'yes' : result.error.executed,
@@ -201,15 +204,15 @@
   }
 }
 
-/** After cancellation the run sends nothing more, so that `no` stays true. */
-function untilCancelled(
+/** Runs the call until it is cancelled. Nothing is sent after that, so `executed: no` remains correct. */
+function runUntilCancelled(
   run: ServiceCallRun,
-  own: CancellationToken,
-  callers: CancellationToken,
+  callToken: CancellationToken,
+  callerToken: CancellationToken,
 ): Promise<DispatchResult> {
   return new Promise(resolve => {
-    own.onDidCancel(() => {
-      const error: RequestError = callers.isCancelled
+    callToken.onDidCancel(() => {
+      const error: RequestError = callerToken.isCancelled
         ? {kind: 'callerGone'}
         : {kind: 'deadlineExceeded'};
       resolve(failure(run.failureFor(error)));
@@ -231,7 +234,7 @@
   } as const;
 }
 
-function missingKey(): RequestFailure {
+function missingKeyFailure(): RequestFailure {
   const expected = 'a key, since this call may not be repeated';
   return {
     error: {
--- a/src/features/services/common/repeatability.ts
+++ b/src/features/services/common/repeatability.ts
@@ -3,9 +3,7 @@
   ServiceCall,
 } from '../../configuration/common/configuration.js';
 
-/** Whether calls to plain services may be run again. */
-
-/** Whether a call may be run again: the longest matching prefix decides; what matches nothing may not. */
+/** Whether a call may be repeated: the longest matching path prefix decides; a call without a match must not be. */
 export function mayRepeat(
   service: PlainService | undefined,
   method: string,
@@ -16,7 +14,7 @@
   );
   const longest = Math.max(...matching.map(call => call.pathPrefix.length));
   const deciding = matching.filter(call => call.pathPrefix.length === longest);
-  // Of two statements about the same prefix the careful one counts.
+  // If entries for the same prefix contradict each other, the call must not be repeated.
   return deciding.length > 0 && deciding.every(call => call.repeatable);
 }
 
--- a/src/features/services/common/retryBudget.ts
+++ b/src/features/services/common/retryBudget.ts
@@ -1,8 +1,8 @@
-/** Bounds retries to a share of successes, so that retries can't multiply the load of a failing service. */
+/** Limits retries to a fraction of successful calls, so that they cannot multiply the load on a failing service. */
 export class RetryBudget {
   private tokens: number;
 
-  /** `share` of a retry is earned by each success; at most `limit` are saved up. */
+  /** Each success adds `share` of a retry; at most `limit` retries accumulate. */
   constructor(
     private readonly share: number,
     private readonly limit: number,
@@ -10,13 +10,12 @@
     this.tokens = limit;
   }
 
-  /** Counts a success. */
-  earn(): void {
+  recordSuccess(): void {
     this.tokens = Math.min(this.limit, this.tokens + this.share);
   }
 
-  /** Takes one retry if there is one. */
-  take(): boolean {
+  /** Takes one retry from the budget; returns false if none is left. */
+  tryTakeRetry(): boolean {
     if (this.tokens < 1) {
       return false;
     }
--- a/src/features/services/common/serviceAttempt.ts
+++ b/src/features/services/common/serviceAttempt.ts
@@ -11,7 +11,7 @@
 import {LatencyWindow} from './latencyWindow.js';
 import {RetryBudget} from './retryBudget.js';
 
-/** What an attempt works with. */
+/** Services and per-service state that an attempt uses. */
 export interface ServiceAttemptParts {
   readonly broker: CapacityBroker;
   readonly connector: ServiceConnector;
@@ -20,11 +20,11 @@
   readonly latency: LatencyWindow;
 }
 
-/** Why an attempt is made. */
+/** Why an attempt is made; a hedge runs in parallel with a slow attempt. */
 export type AttemptReason = 'first' | 'retry' | 'hedge';
 
-/** One attempt, for the log line. */
-export interface AttemptNote {
+/** One attempt as written to the log. */
+export interface AttemptLogEntry {
   readonly upstream: string;
   readonly address: string;
   readonly candidates: number;
@@ -33,27 +33,27 @@
   milliseconds: number;
 }
 
-/** A replica whose slot is held. */
+/** A chosen replica, of which a slot is held. */
 export type ChosenReplica = Extract<ServiceChoice, {readonly kind: 'chosen'}>;
 
-/** A replica's answer, or why there is none. */
+/** The response of a replica, or why there is none. */
 export type AttemptResult = Result<ServiceResponse, ServiceError>;
 
-/** The reason of a cancellation that says nothing against the replica. */
-export const ANOTHER_ANSWERED = 'another try answered';
+/** Cancellation reason that does not count as a failure of the replica. */
+export const OTHER_ATTEMPT_SUCCEEDED = 'another attempt succeeded';
 
-/** One try of a call at one replica. */
+/** One attempt of a call on one replica. */
 export class ServiceAttempt {
-  readonly note: AttemptNote;
+  readonly logEntry: AttemptLogEntry;
 
   constructor(
     private readonly parts: ServiceAttemptParts,
     private readonly request: ServiceCallRequest,
-    private readonly choice: ChosenReplica,
+    private readonly replica: ChosenReplica,
     reason: AttemptReason,
   ) {
-    const {upstream, address, candidates} = choice;
-    this.note = {
+    const {upstream, address, candidates} = replica;
+    this.logEntry = {
       upstream,
       address,
       candidates,
@@ -64,34 +64,33 @@
   }
 
   /**
-   * Sends the call and returns the replica's slot; never rejects. `onFailed` is called in the same
-   * step as the note is changed, so that nobody sees an end of the attempt without what follows
-   * from it.
+   * Sends the call and releases the replica's slot; never rejects. `onFailed` is called synchronously with the update
+   * of the log entry, so that a reader of the entry never sees a failed attempt whose error is not yet recorded.
    */
   async run(
     token: CancellationToken,
     onFailed: (error: ServiceError) => void,
   ): Promise<AttemptResult> {
-    const {note} = this;
+    const {logEntry} = this;
     const {broker, clock, latency, budget} = this.parts;
     const startedAt = clock.monotonicMilliseconds();
     const result = await this.send(token);
-    note.milliseconds = clock.monotonicMilliseconds() - startedAt;
-    note.outcome = result.ok ? 'completed' : result.error.kind;
+    logEntry.milliseconds = clock.monotonicMilliseconds() - startedAt;
+    logEntry.outcome = result.ok ? 'completed' : result.error.kind;
     if (result.ok) {
-      latency.add(note.milliseconds);
-      budget.earn();
+      latency.add(logEntry.milliseconds);
+      budget.recordSuccess();
     } else {
       onFailed(result.error);
     }
-    const outcome = slotOutcome(result, token);
-    broker.releaseService(note.upstream, outcome, note.milliseconds);
+    const outcome = replicaOutcome(result, token);
+    broker.releaseService(logEntry.upstream, outcome, logEntry.milliseconds);
     return result;
   }
 
   private async send(token: CancellationToken): Promise<AttemptResult> {
     const {requestId, method, path, contentType, body} = this.request;
-    const {upstream, address} = this.choice;
+    const {upstream, address} = this.replica;
     try {
       const connection = this.parts.connector.connect(upstream, address);
       return await connection.call(
@@ -104,12 +103,12 @@
   }
 }
 
-/** A call that was cancelled because another try answered says nothing against its replica. */
-function slotOutcome(
+/** An attempt that was cancelled because another one succeeded does not count against its replica. */
+function replicaOutcome(
   result: AttemptResult,
   token: CancellationToken,
 ): 'completed' | 'failed' | 'refused' {
-  if (result.ok || token.reason === ANOTHER_ANSWERED) {
+  if (result.ok || token.reason === OTHER_ATTEMPT_SUCCEEDED) {
     return 'completed';
   }
   return result.error.kind === 'refused' ? 'refused' : 'failed';
--- a/src/features/services/common/serviceCallRun.ts
+++ b/src/features/services/common/serviceCallRun.ts
@@ -11,8 +11,8 @@
 import {ServiceCallRequest} from '../../callers/common/serviceDispatcher.js';
 import {RequestError, RequestFailure} from '../../requests/common/failure.js';
 import {
-  ANOTHER_ANSWERED,
-  AttemptNote,
+  OTHER_ATTEMPT_SUCCEEDED,
+  AttemptLogEntry,
   AttemptReason,
   AttemptResult,
   ChosenReplica,
@@ -20,25 +20,25 @@
   ServiceAttemptParts,
 } from './serviceAttempt.js';
 
-const MAXIMUM_ATTEMPTS = 4;
+const ATTEMPT_LIMIT = 4;
 const BACKOFF_MILLISECONDS = 20;
 const BACKOFF_LIMIT_MILLISECONDS = 500;
 const RETRY_AFTER_MILLISECONDS = 1000;
 
-/** What a run works with. */
+/** Services and per-service state that a run uses. */
 export interface CallRunParts extends ServiceAttemptParts {
   readonly random: RandomSource;
 }
 
 /**
- * One call and its tries. A call that may not be repeated is tried again only after answers which
- * prove that it was not run.
+ * Runs one call with its retries and hedges. A call that must not be repeated is retried only after errors that prove
+ * that it was not run.
  */
 export class ServiceCallRun {
-  readonly attempts: AttemptNote[] = [];
-  private readonly tried: string[] = [];
+  readonly attempts: AttemptLogEntry[] = [];
+  private readonly triedUpstreams: string[] = [];
   private mayHaveRun = false;
-  private retryAfter: number | undefined;
+  private suggestedRetryAfter: number | undefined;
   private lastError: RequestError = {
     kind: 'noUpstream',
     detail: 'no replica can take the call',
@@ -48,37 +48,37 @@
     private readonly parts: CallRunParts,
     private readonly request: ServiceCallRequest,
     private readonly repeatable: boolean,
-    /** Cancelled when no further answer is wanted; nothing is sent afterwards. */
+    /** Cancelled at the deadline or when the caller disconnects; nothing is sent afterwards. */
     private readonly token: CancellationToken,
   ) {}
 
-  /** The failure to answer with now; `no` only while nothing that was sent may have run. */
+  /** Builds the failure to respond with now; `executed` is `no` only if no attempt may have run. */
   failureFor(error: RequestError): RequestFailure {
-    const isUnderWay = this.attempts.some(note => note.outcome === 'sent');
+    const isInFlight = this.attempts.some(entry => entry.outcome === 'sent');
     return {
       error,
-      executed: this.mayHaveRun || isUnderWay ? 'unknown' : 'no',
-      retryAfterMilliseconds: this.retryAfter,
+      executed: this.mayHaveRun || isInFlight ? 'unknown' : 'no',
+      retryAfterMilliseconds: this.suggestedRetryAfter,
       addresses: [],
     };
   }
 
   async run(): Promise<Result<ServiceResponse, RequestFailure>> {
-    for (let count = 0; count < MAXIMUM_ATTEMPTS; count++) {
-      if (this.isOver()) {
+    for (let count = 0; count < ATTEMPT_LIMIT; count++) {
+      if (this.isEnded()) {
         return failure(this.failureFor({kind: 'deadlineExceeded'}));
       }
-      const choice = this.choose();
+      const choice = this.chooseReplica();
       if (choice === undefined) {
         break;
       }
       const reason = count === 0 ? 'first' : 'retry';
-      const results = await this.tryAt(choice, reason);
-      const answered = results.find(result => result.ok);
-      if (answered?.ok) {
-        return success(answered.value);
+      const results = await this.attemptWithHedge(choice, reason);
+      const succeeded = results.find(result => result.ok);
+      if (succeeded?.ok) {
+        return success(succeeded.value);
       }
-      if (!results.every(result => this.mayTryAgain(result))) {
+      if (!results.every(result => this.canRetry(result))) {
         break;
       }
       await this.pause(count);
@@ -86,31 +86,34 @@
     return failure(this.failureFor(this.lastError));
   }
 
-  private isOver(): boolean {
+  private isEnded(): boolean {
     const now = this.parts.clock.monotonicMilliseconds();
     return this.token.isCancelled || now >= this.request.deadlineAt;
   }
 
-  private choose(): ChosenReplica | undefined {
+  private chooseReplica(): ChosenReplica | undefined {
     const {service} = this.request;
-    const choice = this.parts.broker.chooseService(service, this.tried);
+    const choice = this.parts.broker.chooseService(
+      service,
+      this.triedUpstreams,
+    );
     if (choice.kind === 'none') {
-      this.retryAfter ??= choice.retryAfterMilliseconds;
+      this.suggestedRetryAfter ??= choice.retryAfterMilliseconds;
       return undefined;
     }
-    this.tried.push(choice.upstream);
+    this.triedUpstreams.push(choice.upstream);
     return choice;
   }
 
-  /** Tries one replica, and a second one when a repeatable call takes longer than 95 in 100. */
-  private async tryAt(
+  /** Calls one replica, and a second one if a repeatable call takes longer than the 95th percentile. */
+  private async attemptWithHedge(
     choice: ChosenReplica,
     reason: AttemptReason,
   ): Promise<readonly AttemptResult[]> {
     const source = new CancellationSource(this.token);
     try {
       const first = this.call(choice, reason, source.token);
-      if (!(await this.isSlow(first))) {
+      if (!(await this.exceedsHedgeDelay(first))) {
         return [await first];
       }
       const other = this.chooseHedge();
@@ -120,12 +123,12 @@
       const second = this.call(other, 'hedge', source.token);
       return await firstSuccess([first, second]);
     } finally {
-      source.cancel(ANOTHER_ANSWERED);
+      source.cancel(OTHER_ATTEMPT_SUCCEEDED);
       source.dispose();
     }
   }
 
-  private isSlow(call: Promise<AttemptResult>): Promise<boolean> {
+  private exceedsHedgeDelay(call: Promise<AttemptResult>): Promise<boolean> {
     const after = this.repeatable ? this.parts.latency.percentile95 : undefined;
     if (after === undefined) {
       return Promise.resolve(false);
@@ -140,10 +143,10 @@
   }
 
   private chooseHedge(): ChosenReplica | undefined {
-    if (this.isOver() || !this.parts.budget.take()) {
+    if (this.isEnded() || !this.parts.budget.tryTakeRetry()) {
       return undefined;
     }
-    return this.choose();
+    return this.chooseReplica();
   }
 
   private call(
@@ -157,16 +160,16 @@
       choice,
       reason,
     );
-    this.attempts.push(attempt.note);
-    return attempt.run(token, error => this.noteError(error));
+    this.attempts.push(attempt.logEntry);
+    return attempt.run(token, error => this.recordError(error));
   }
 
-  private noteError(error: ServiceError): void {
+  private recordError(error: ServiceError): void {
     switch (error.kind) {
       case 'unreachable':
         break;
       case 'refused':
-        this.retryAfter = error.retryAfterMilliseconds;
+        this.suggestedRetryAfter = error.retryAfterMilliseconds;
         break;
       case 'lost':
       case 'mismatch':
@@ -175,20 +178,20 @@
     }
     this.lastError = {kind: 'upstreamFailed', detail: error.kind};
     if (error.kind !== 'refused') {
-      this.retryAfter ??= RETRY_AFTER_MILLISECONDS;
+      this.suggestedRetryAfter ??= RETRY_AFTER_MILLISECONDS;
     }
   }
 
-  /** A connection that was never made costs the service nothing, and so nothing of the budget. */
-  private mayTryAgain(result: AttemptResult): boolean {
+  /** A failed connection attempt puts no load on the service, so it takes nothing from the retry budget. */
+  private canRetry(result: AttemptResult): boolean {
     if (result.ok || result.error.kind === 'unreachable') {
       return true;
     }
     const isSafe = this.repeatable || result.error.kind === 'refused';
-    return isSafe && this.parts.budget.take();
+    return isSafe && this.parts.budget.tryTakeRetry();
   }
 
-  /** Full jitter, so that callers that failed together don't come back together. */
+  /** Exponential backoff with full jitter, so that calls that failed together are not retried together. */
   private pause(count: number): Promise<void> {
     const limit = Math.min(
       BACKOFF_LIMIT_MILLISECONDS,
@@ -201,7 +204,7 @@
   }
 }
 
-/** The first success alone, or all failures. */
+/** Resolves with only the first success, or with all results if every attempt failed. */
 function firstSuccess(
   calls: ReadonlyArray<Promise<AttemptResult>>,
 ): Promise<readonly AttemptResult[]> {
--- a/src/features/services/test/serviceDispatcher.test.ts
+++ b/src/features/services/test/serviceDispatcher.test.ts
@@ -16,21 +16,21 @@
 import {mayRepeat} from '../common/repeatability.js';
 import {RetryBudget} from '../common/retryBudget.js';
 import {
-  Behaviour,
-  callOf,
+  ReplicaBehaviour,
+  createCall,
   repeatableCall,
-  ServiceWorld,
-  stock,
-} from './serviceWorld.js';
+  ServiceHarness,
+  stockService,
+} from './serviceHarness.js';
 
 const SEED = 20260115;
 
 async function dispatch(
-  world: ServiceWorld,
+  harness: ServiceHarness,
   request: ServiceCallRequest,
 ): Promise<Result<ServiceResponse, RequestFailure>> {
-  const result = world.dispatcher().dispatch(request, neverCancelled);
-  await world.clock.advanceAsync(10_000);
+  const result = harness.dispatcher().dispatch(request, neverCancelled);
+  await harness.clock.advanceAsync(10_000);
   return result;
 }
 
@@ -40,7 +40,7 @@
     : `${result.error.error.kind} ${result.error.executed}`;
 }
 
-describe('repeatability', () => {
+describe('repeatability of a call', () => {
   test.each([
     {method: 'GET', path: '/levels', expected: true},
     {method: 'get', path: '/levels', expected: true},
@@ -48,8 +48,8 @@
     {method: 'POST', path: '/quotes', expected: true},
     {method: 'POST', path: '/orders', expected: false},
     {method: 'DELETE', path: '/', expected: false},
-  ])('$method $path: $expected', ({method, path, expected}) => {
-    expect(mayRepeat(stock, method, path)).toBe(expected);
+  ])('is $expected for $method $path', ({method, path, expected}) => {
+    expect(mayRepeat(stockService, method, path)).toBe(expected);
     expect(mayRepeat(undefined, method, path)).toBe(false);
   });
 });
@@ -57,75 +57,128 @@
 type Case = readonly [
   name: string,
   request: ServiceCallRequest,
-  replies: readonly Behaviour[],
+  replies: readonly ReplicaBehaviour[],
   replicas: number,
   expected: string,
   sent: number,
 ];
 
-const order = callOf();
-const misread = callOf({method: 'GET', path: '/reserve/7', repeatable: true});
+const order = createCall();
+const wronglyRepeatable = createCall({
+  method: 'GET',
+  path: '/reserve/7',
+  repeatable: true,
+});
 
-const due = callOf({deadlineAt: 0});
-const keyless = callOf({idempotencyKey: undefined});
-const again = repeatableCall;
+const expiredCall = createCall({deadlineAt: 0});
+const callWithoutKey = createCall({idempotencyKey: undefined});
+const safeCall = repeatableCall;
 const lostTwice = ['lostAfter', 'lostAfter'] as const;
 
-const late = 'deadlineExceeded unknown';
-const failedUnknown = 'upstreamFailed unknown';
-const failedNo = 'upstreamFailed no';
+const deadlineUnknown = 'deadlineExceeded unknown';
+const upstreamFailedUnknown = 'upstreamFailed unknown';
+const upstreamFailedNotRun = 'upstreamFailed no';
 
 const cases: readonly Case[] = [
-  ['served', order, ['ok'], 2, 'answered', 1],
-  ['unreachable, then served', order, ['unreachable', 'ok'], 2, 'answered', 2],
-  ['refused, then served', order, ['refused', 'ok'], 2, 'answered', 2],
-  ['all unreachable', order, ['unreachable', 'unreachable'], 2, failedNo, 2],
+  ['success', order, ['ok'], 2, 'answered', 1],
+  ['unreachable, then success', order, ['unreachable', 'ok'], 2, 'answered', 2],
+  ['refused, then success', order, ['refused', 'ok'], 2, 'answered', 2],
+  [
+    'all replicas unreachable',
+    order,
+    ['unreachable', 'unreachable'],
+    2,
+    upstreamFailedNotRun,
+    2,
+  ],
   ['no replica', order, [], 0, 'noUpstream no', 0],
-  ['lost before it ran', order, ['lostBefore'], 2, failedUnknown, 1],
-  ['lost after it ran', order, ['lostAfter'], 2, failedUnknown, 1],
-  ['answer to another request', order, ['mismatch'], 2, failedUnknown, 1],
-  ['refused, then lost', order, ['refused', 'lostAfter'], 3, failedUnknown, 2],
-  ['silent until the deadline', order, ['silent'], 2, late, 1],
-  ['due before it was sent', due, [], 2, 'deadlineExceeded no', 0],
-  ['without a key', keyless, [], 2, 'invalidRequest no', 0],
   [
-    'longest prefix says not repeatable',
-    misread,
+    'response lost before execution',
+    order,
     ['lostBefore'],
     2,
-    failedUnknown,
+    upstreamFailedUnknown,
+    1,
+  ],
+  [
+    'response lost after execution',
+    order,
+    ['lostAfter'],
+    2,
+    upstreamFailedUnknown,
+    1,
+  ],
+  [
+    'response to another request',
+    order,
+    ['mismatch'],
+    2,
+    upstreamFailedUnknown,
     1,
   ],
   [
-    'repeatable, lost, then served',
-    again,
+    'refused, then response lost',
+    order,
+    ['refused', 'lostAfter'],
+    3,
+    upstreamFailedUnknown,
+    2,
+  ],
+  ['no response until the deadline', order, ['silent'], 2, deadlineUnknown, 1],
+  [
+    'deadline passed before sending',
+    expiredCall,
+    [],
+    2,
+    'deadlineExceeded no',
+    0,
+  ],
+  ['no idempotency key', callWithoutKey, [], 2, 'invalidRequest no', 0],
+  [
+    'not repeatable by the longest prefix',
+    wronglyRepeatable,
+    ['lostBefore'],
+    2,
+    upstreamFailedUnknown,
+    1,
+  ],
+  [
+    'repeatable, response lost, then success',
+    safeCall,
     ['lostAfter', 'ok'],
     2,
     'answered',
     2,
   ],
-  ['repeatable, lost everywhere', again, lostTwice, 2, failedUnknown, 2],
+  [
+    'repeatable, response lost at every replica',
+    safeCall,
+    lostTwice,
+    2,
+    upstreamFailedUnknown,
+    2,
+  ],
 ];
 
 test.each(cases)(
-  '%s',
+  'a call ends as expected after: %s',
   async (...[, request, replies, replicas, expected, sent]) => {
-    const world = new ServiceWorld(replies, replicas);
-    const result = await dispatch(world, request);
+    const harness = new ServiceHarness(replies, replicas);
+    const result = await dispatch(harness, request);
     expect(summary(result)).toBe(expected);
-    expect(world.sent).toBe(sent);
-    expect(world.released).toHaveLength(sent);
-    expect(world.clock.pendingTimers).toBe(0);
+    expect(harness.sent).toBe(sent);
+    expect(harness.released).toHaveLength(sent);
+    expect(harness.clock.pendingTimers).toBe(0);
   },
 );
 
-test('a resubmission gets the recorded answer and is not sent', async () => {
-  const world = new ServiceWorld([], 2);
-  const dispatcher = world.dispatcher();
+test('a resubmitted call gets the recorded response and is not sent', async () => {
+  const harness = new ServiceHarness([], 2);
+  const dispatcher = harness.dispatcher();
   const first = await dispatcher.dispatch(order, neverCancelled);
   const second = await dispatcher.dispatch(order, neverCancelled);
-  expect([first.ok, second.ok, world.sent]).toEqual([true, true, 1]);
-  expect(world.claims.fingerprint).toBe(order.fingerprint);
+  expect([first.ok, second.ok, harness.sent]).toEqual([true, true, 1]);
+  expect(harness.claims.fingerprint).toBe(order.fingerprint);
 });
 
 test.each([
@@ -145,59 +198,62 @@
     decision: {kind: 'duplicate', outcome: {kind: 'unknown'}},
     expected: 'duplicate unknown',
   },
-] as const)('claim $decision.kind: nothing is sent', async each => {
-  const world = new ServiceWorld([], 2);
-  world.claims.decision = each.decision;
-  expect(summary(await dispatch(world, order))).toBe(each.expected);
-  expect(world.sent).toBe(0);
+] as const)('nothing is sent if the claim is $decision.kind', async each => {
+  const harness = new ServiceHarness([], 2);
+  harness.claims.decision = each.decision;
+  expect(summary(await dispatch(harness, order))).toBe(each.expected);
+  expect(harness.sent).toBe(0);
 });
 
 test.each([
   {request: order, claimed: false},
-  {request: misread, claimed: true},
+  {request: wronglyRepeatable, claimed: true},
   {request: repeatableCall, claimed: false},
-])('a handler that claims: $request.path claimed here $claimed', async each => {
-  const world = new ServiceWorld([], 2);
-  await world.dispatcher('handler').dispatch(each.request, neverCancelled);
-  expect(world.claims.outcomes.size).toBe(each.claimed ? 1 : 0);
-});
+])(
+  'with a claiming handler, the dispatcher claims the key of $request.path: $claimed',
+  async each => {
+    const harness = new ServiceHarness([], 2);
+    await harness.dispatcher('handler').dispatch(each.request, neverCancelled);
+    expect(harness.claims.outcomes.size).toBe(each.claimed ? 1 : 0);
+  },
+);
 
-test('a slow repeatable call is tried at a second replica past the 95th percentile', async () => {
-  const warm: readonly Behaviour[] = Array(30).fill('ok');
-  const world = new ServiceWorld([...warm, 'silent', 'ok'], 2);
-  const dispatcher = world.dispatcher();
+test('a repeatable call that exceeds the 95th percentile is hedged on a second replica', async () => {
+  const warm: readonly ReplicaBehaviour[] = Array(30).fill('ok');
+  const harness = new ServiceHarness([...warm, 'silent', 'ok'], 2);
+  const dispatcher = harness.dispatcher();
   for (let count = 0; count < 30; count++) {
     await dispatcher.dispatch(repeatableCall, neverCancelled);
   }
   const slow = dispatcher.dispatch(repeatableCall, neverCancelled);
-  await world.clock.advanceAsync(5);
+  await harness.clock.advanceAsync(5);
   const result = await slow;
   expect(result).toMatchObject({ok: true, value: {body: 'r1'}});
-  expect(world.released.slice(-2).sort()).toEqual([
+  expect(harness.released.slice(-2).sort()).toEqual([
     'r0 completed',
     'r1 completed',
   ]);
 });
 
-test('a caller that goes away: nothing more is sent', async () => {
-  const world = new ServiceWorld(['refused'], 2);
+test('nothing more is sent after the caller disconnects', async () => {
+  const harness = new ServiceHarness(['refused'], 2);
   const source = new CancellationSource();
-  const call = world.dispatcher().dispatch(order, source.token);
-  await world.clock.advanceAsync(0);
+  const call = harness.dispatcher().dispatch(order, source.token);
+  await harness.clock.advanceAsync(0);
   source.cancel('gone');
   expect(summary(await call)).toBe('callerGone no');
-  await world.clock.advanceAsync(10_000);
-  expect([world.sent, world.executions]).toEqual([1, 0]);
+  await harness.clock.advanceAsync(10_000);
+  expect([harness.sent, harness.executions]).toEqual([1, 0]);
 });
 
-test('one decision line for each call', async () => {
-  const world = new ServiceWorld(['unreachable', 'ok'], 2);
+test('each call writes one decision line', async () => {
+  const harness = new ServiceHarness(['unreachable', 'ok'], 2);
   const [first, second] = ['r0', 'r1'].map(upstream => ({
     upstream,
     address: upstream,
   }));
-  await dispatch(world, order);
-  expect(world.decisions).toMatchObject([
+  await dispatch(harness, order);
+  expect(harness.decisions).toMatchObject([
     {
       requestId: 'request',
       clientAccount: 'desk',
@@ -208,20 +264,24 @@
       ],
     },
   ]);
-  expect(JSON.stringify(world.decisions)).not.toContain('"key"');
+  expect(JSON.stringify(harness.decisions)).not.toContain('"key"');
 });
 
-test('retries are a share of successes', () => {
+test('retries are limited to a fraction of successful calls', () => {
   const budget = new RetryBudget(0.1, 2);
-  const spent = [budget.take(), budget.take(), budget.take()];
+  const spent = [
+    budget.tryTakeRetry(),
+    budget.tryTakeRetry(),
+    budget.tryTakeRetry(),
+  ];
   expect(spent).toEqual([true, true, false]);
   for (let count = 0; count < 11; count++) {
-    budget.earn();
+    budget.recordSuccess();
   }
-  expect([budget.take(), budget.take()]).toEqual([true, false]);
+  expect([budget.tryTakeRetry(), budget.tryTakeRetry()]).toEqual([true, false]);
 });
 
-test('the 95th percentile of a bounded window', () => {
+test('the 95th percentile is taken over the latest calls only', () => {
   const window = new LatencyWindow();
   for (let value = 1; value <= 1000; value++) {
     window.add(value);
@@ -229,7 +289,7 @@
   expect(window.percentile95).toBe(990);
 });
 
-const behaviour = fc.constantFrom<Behaviour>(
+const behaviour = fc.constantFrom<ReplicaBehaviour>(
   'ok',
   'unreachable',
   'refused',
@@ -239,38 +299,41 @@
   'silent',
 );
 
-function atMostOnce(judge?: (error: ServiceError) => ServiceError) {
+function atMostOnceProperty(mapError?: (error: ServiceError) => ServiceError) {
   return fc.asyncProperty(
     fc.array(behaviour, {maxLength: 8}),
     fc.integer({min: 0, max: 4}),
     fc.integer({min: 1, max: 3}),
     async (replies, replicas, submissions) => {
-      const world = new ServiceWorld(replies, replicas, judge);
-      const dispatcher = world.dispatcher();
+      const harness = new ServiceHarness(replies, replicas, mapError);
+      const dispatcher = harness.dispatcher();
       let notRun = 0;
       for (let count = 0; count < submissions; count++) {
-        const deadlineAt = world.clock.monotonicMilliseconds() + 1000;
-        const call = dispatcher.dispatch(callOf({deadlineAt}), neverCancelled);
-        await world.clock.advanceAsync(2000);
+        const deadlineAt = harness.clock.monotonicMilliseconds() + 1000;
+        const call = dispatcher.dispatch(
+          createCall({deadlineAt}),
+          neverCancelled,
+        );
+        await harness.clock.advanceAsync(2000);
         const result = await call;
         notRun += !result.ok && result.error.executed === 'no' ? 1 : 0;
       }
-      const toldNo = notRun === submissions;
-      return world.executions <= 1 && !(toldNo && world.executions > 0);
+      const isNeverRun = notRun === submissions;
+      return harness.executions <= 1 && !(isNeverRun && harness.executions > 0);
     },
   );
 }
 
-test('a call that may not be repeated runs at most once, and not run means not run', async () => {
-  await fc.assert(atMostOnce(), {numRuns: 300, seed: SEED});
+test('a call that must not be repeated runs at most once and never ran if all failures state executed no', async () => {
+  await fc.assert(atMostOnceProperty(), {numRuns: 300, seed: SEED});
 });
 
-test('the property notices a lost answer taken for a refusal', async () => {
-  const trusting = (error: ServiceError): ServiceError =>
+test('the at-most-once property fails if a lost response is treated as a refusal', async () => {
+  const lostAsRefused = (error: ServiceError): ServiceError =>
     error.kind === 'lost'
       ? {kind: 'refused', retryAfterMilliseconds: 0}
       : error;
-  const details = await fc.check(atMostOnce(trusting), {
+  const details = await fc.check(atMostOnceProperty(lostAsRefused), {
     numRuns: 300,
     seed: SEED,
   });
--- a/src/features/services/test/serviceWorld.ts
+++ b/src/features/services/test/serviceHarness.ts
@@ -24,14 +24,14 @@
 import {ServiceChoice} from '../../routing/common/routing.js';
 import {CallRunParts} from '../common/serviceCallRun.js';
 import {
-  ClaimPlace,
+  ClaimOwner,
   DefaultServiceDispatcher,
 } from '../common/defaultServiceDispatcher.js';
 
-/** A service whose replicas behave as told and keep the ledger that decides. */
+/** A fake service whose replicas behave as scripted and which counts the calls that it ran. */
 
-/** What a replica does with its next call. */
-export type Behaviour =
+/** How the next call to reach any replica is handled; `lostBefore` and `lostAfter` refer to its execution. */
+export type ReplicaBehaviour =
   | 'ok'
   | 'unreachable'
   | 'refused'
@@ -40,7 +40,7 @@
   | 'mismatch'
   | 'silent';
 
-export const stock: PlainService = {
+export const stockService: PlainService = {
   name: 'stock',
   calls: [
     {method: 'GET', pathPrefix: '/', repeatable: true},
@@ -49,33 +49,36 @@
   ],
 };
 
-export class ServiceWorld extends ServiceConnector {
+export class ServiceHarness extends ServiceConnector {
   readonly clock = new FakeClock();
-  readonly claims = new LedgerClaims();
+  readonly claims = new InMemoryClaimService();
   readonly released: string[] = [];
   readonly decisions: unknown[] = [];
-  /** Calls that the service ran. */
+  /** Number of calls that the service executed. */
   executions = 0;
-  /** Calls that reached a replica or tried to. */
+  /** Number of calls sent, including those that failed to connect. */
   sent = 0;
-  private readonly behaviours: Behaviour[];
+  private readonly behaviours: ReplicaBehaviour[];
 
   constructor(
-    behaviours: readonly Behaviour[],
+    behaviours: readonly ReplicaBehaviour[],
     private readonly replicas: number,
-    private readonly judge: (error: ServiceError) => ServiceError = same,
+    private readonly mapError: (error: ServiceError) => ServiceError = identity,
   ) {
     super();
     this.behaviours = [...behaviours];
   }
 
-  dispatcher(claimPlace: ClaimPlace = 'dispatcher'): DefaultServiceDispatcher {
+  dispatcher(claimPlace: ClaimOwner = 'dispatcher'): DefaultServiceDispatcher {
     return new DefaultServiceDispatcher({
       broker: this.broker(),
       connector: this,
       claims: this.claims,
       claimPlace,
-      configuration: () => ({...emptyConfiguration, services: {stock}}),
+      configuration: () => ({
+        ...emptyConfiguration,
+        services: {stock: stockService},
+      }),
       addressOf: () => undefined,
       clock: this.clock,
       random: new SeededRandomSource(1),
@@ -86,13 +89,13 @@
 
   override connect(upstream: string): ServiceConnection {
     const call = (request: ServiceRequest, token: CancellationToken) =>
-      this.answer(upstream, request, token);
+      this.respond(upstream, request, token);
     return new (class extends ServiceConnection {
       override call = call;
     })();
   }
 
-  private answer(
+  private respond(
     upstream: string,
     request: ServiceRequest,
     token: CancellationToken,
@@ -100,7 +103,7 @@
     this.sent++;
     const behaviour = this.behaviours.shift() ?? 'ok';
     const fails = (error: ServiceError) =>
-      Promise.resolve(failure(this.judge(error)));
+      Promise.resolve(failure(this.mapError(error)));
     switch (behaviour) {
       case 'ok':
         this.executions++;
@@ -148,7 +151,7 @@
     };
     const releaseService = (upstream: string, outcome: string) =>
       void this.released.push(`${upstream} ${outcome}`);
-    // The dispatcher uses these two calls of the broker alone.
+    // The dispatcher uses only these two methods of the broker.
     return {chooseService, releaseService} as unknown as CallRunParts['broker'];
   }
 
@@ -162,8 +165,8 @@
   }
 }
 
-/** Grants each key once and keeps what was recorded. */
-export class LedgerClaims extends ClaimService {
+/** Grants each key once and stores the recorded outcomes; `decision` overrides the decision if set. */
+export class InMemoryClaimService extends ClaimService {
   readonly outcomes = new Map<string, RequestOutcome>();
   decision: ClaimDecision | undefined;
   fingerprint: string | undefined;
@@ -203,7 +206,7 @@
   }
 }
 
-export function callOf(
+export function createCall(
   changes: Partial<ServiceCallRequest> = {},
 ): ServiceCallRequest {
   return {
@@ -230,7 +233,7 @@
   };
 }
 
-export const repeatableCall = callOf({
+export const repeatableCall = createCall({
   method: 'GET',
   path: '/levels',
   repeatable: true,
@@ -242,6 +245,6 @@
   return {status: 200, contentType: 'text/plain', body: upstream, requestId};
 }
 
-function same(error: ServiceError): ServiceError {
+function identity(error: ServiceError): ServiceError {
   return error;
 }
