--- a/src/features/naive/common/naiveClaimService.ts
+++ b/src/features/naive/common/naiveClaimService.ts
@@ -1,7 +1,7 @@
 import {ClaimDecision, ClaimService} from '../../claims/common/claims.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 
-/** Grants every key and keeps no records, for comparison only. */
+/** Baseline for comparison: grants every key and stores no outcomes. */
 export class NaiveClaimService extends ClaimService {
   override claim(): Promise<ClaimDecision> {
     return Promise.resolve({kind: 'granted'});
--- a/src/features/naive/node/naiveBroker.ts
+++ b/src/features/naive/node/naiveBroker.ts
@@ -14,23 +14,23 @@
   WorkEstimate,
 } from '../../routing/common/routing.js';
 
-/** Milliseconds for which an engine's report is believed. */
-const REPORT_MILLISECONDS = 5000;
+/** How long an engine's report is reused. */
+const REPORT_LIFETIME_MILLISECONDS = 5000;
 
-/** Milliseconds that an engine has to report. */
-const REPORT_LIMIT_MILLISECONDS = 1000;
+/** Time-out of a report request to an engine. */
+const REPORT_TIMEOUT_MILLISECONDS = 1000;
 
-const RETRY_MILLISECONDS = 1000;
+const RETRY_AFTER_MILLISECONDS = 1000;
 
-interface KnownReport {
+interface CachedReport {
   readonly report: EngineReport;
-  readonly takenAt: number;
+  readonly receivedAt: number;
 }
 
-/** Round robin over the live upstreams, for comparison only: no admission, no limits, no health. */
+/** Baseline for comparison: round robin over the live upstreams without admission control, limits or health checks. */
 export class NaiveBroker extends CapacityBroker {
-  private readonly reports = new Map<string, KnownReport>();
-  private turn = 0;
+  private readonly reports = new Map<string, CachedReport>();
+  private nextReplicaIndex = 0;
   private count = 0;
 
   constructor(
@@ -46,9 +46,10 @@
     model: string,
   ): Promise<ReservationReply> {
     const replicas = await this.replicasOf(model);
-    const replica = replicas[this.turn++ % Math.max(1, replicas.length)];
+    const replica =
+      replicas[this.nextReplicaIndex++ % Math.max(1, replicas.length)];
     if (replica === undefined) {
-      return this.refusal();
+      return this.createRefusal();
     }
     this.count += 1;
     return {
@@ -71,7 +72,7 @@
   }
 
   override replan(): Promise<ReservationReply> {
-    return Promise.resolve(this.refusal());
+    return Promise.resolve(this.createRefusal());
   }
 
   override release(): void {}
@@ -82,9 +83,10 @@
     const replicas = this.live('service').filter(
       member => member.group === service,
     );
-    const replica = replicas[this.turn++ % Math.max(1, replicas.length)];
+    const replica =
+      replicas[this.nextReplicaIndex++ % Math.max(1, replicas.length)];
     return replica === undefined
-      ? {kind: 'none', retryAfterMilliseconds: RETRY_MILLISECONDS}
+      ? {kind: 'none', retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS}
       : {
           kind: 'chosen',
           upstream: replica.id,
@@ -95,15 +97,15 @@
 
   override releaseService(): void {}
 
-  private refusal(): ReservationReply {
+  private createRefusal(): ReservationReply {
     return {
       kind: 'refused',
       reason: 'noUpstream',
-      retryAfterMilliseconds: RETRY_MILLISECONDS,
+      retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS,
     };
   }
 
-  /** The stages of each replica that holds the whole model, in layer order. */
+  /** The stages, in layer order, of each replica that holds the complete model. */
   private async replicasOf(
     model: string,
   ): Promise<ReadonlyArray<readonly ChosenStage[]>> {
@@ -120,7 +122,7 @@
       }
     });
     return [...groups.values()]
-      .map(stages => chainOf(stages, wanted?.layerCount ?? 0))
+      .map(stages => findStageChain(stages, wanted?.layerCount ?? 0))
       .filter(stages => stages !== undefined);
   }
 
@@ -129,16 +131,16 @@
   ): Promise<EngineReport | undefined> {
     const now = this.clock.monotonicMilliseconds();
     const known = this.reports.get(engine.id);
-    if (known && now - known.takenAt < REPORT_MILLISECONDS) {
+    if (known && now - known.receivedAt < REPORT_LIFETIME_MILLISECONDS) {
       return known.report;
     }
     const source = new CancellationSource();
-    source.cancelAfter(REPORT_LIMIT_MILLISECONDS, 'no report in time');
+    source.cancelAfter(REPORT_TIMEOUT_MILLISECONDS, 'no report in time');
     const connection = this.connector.connect(engine.id, engine.address);
     const report = await connection.report(source.token);
     source.dispose();
     if (report.ok) {
-      this.reports.set(engine.id, {report: report.value, takenAt: now});
+      this.reports.set(engine.id, {report: report.value, receivedAt: now});
     }
     return report.ok ? report.value : undefined;
   }
@@ -149,8 +151,8 @@
   }
 }
 
-/** Stages that cover all layers once, in order; undefined when there are none. */
-function chainOf(
+/** Finds stages that cover all layers once, in order; undefined if there are none. */
+function findStageChain(
   stages: readonly ChosenStage[],
   layerCount: number,
 ): readonly ChosenStage[] | undefined {
--- a/src/features/naive/node/naivePipelineDriver.ts
+++ b/src/features/naive/node/naivePipelineDriver.ts
@@ -25,7 +25,7 @@
 const EPOCH = 1;
 const PRIORITY = 0;
 
-/** Runs a request through the stages it is given, for comparison only: no checks and no recovery. */
+/** Baseline for comparison: runs a request on its reserved stages without checks or recovery. */
 export class NaivePipelineDriver extends PipelineDriver {
   constructor(
     private readonly broker: CapacityBroker,
@@ -41,7 +41,7 @@
   ): Promise<Result<ModelReply, RequestFailure>> {
     const model = request.model.name;
     const reply = await this.broker.reserve(
-      estimateOf(request),
+      estimateWork(request),
       model,
       token.signal,
     );
@@ -55,7 +55,7 @@
     }
     const {stages} = reply.reservation;
     const outcome = await this.generate(request, stages, sink, token);
-    void this.free(request.requestId, stages);
+    void this.freeEngines(request.requestId, stages);
     return outcome;
   }
 
@@ -65,20 +65,20 @@
     sink: TokenSink,
     token: CancellationToken,
   ): Promise<Result<ModelReply, RequestFailure>> {
-    const made: string[] = [];
+    const generated: string[] = [];
     let input = request.promptTokens;
     let positions: PositionRange = {from: 0, to: input.length};
     let finishReason: FinishReason = 'length';
-    while (made.length < request.maximumOutputTokens) {
+    while (generated.length < request.maximumOutputTokens) {
       const pass = {input, positions};
-      const output = await this.pass(request, stages, pass, token);
+      const output = await this.runPass(request, stages, pass, token);
       if (!output.ok) {
-        return failure(lost(output.error));
+        return failure(upstreamFailure(output.error));
       }
       const {token: text, endOfText} = output.value;
       if (text !== '' || !endOfText) {
-        await sink(text, made.length);
-        made.push(text);
+        await sink(text, generated.length);
+        generated.push(text);
       }
       if (endOfText) {
         finishReason = 'stop';
@@ -88,11 +88,11 @@
       positions = {from: positions.to, to: positions.to + 1};
     }
     const {requestId} = request;
-    return success({requestId, tokens: made, finishReason});
+    return success({requestId, tokens: generated, finishReason});
   }
 
-  /** One token through all stages. */
-  private async pass(
+  /** Runs one pass through all stages, which produces one token. */
+  private async runPass(
     request: ModelRequest,
     stages: readonly ChosenStage[],
     pass: TokenPass,
@@ -133,8 +133,8 @@
     return failure({kind: 'mismatch', detail});
   }
 
-  /** Lets the engines drop what they keep of a request that has ended. */
-  private async free(
+  /** Makes the engines free the KV cache of a request that has ended. */
+  private async freeEngines(
     requestId: string,
     stages: readonly ChosenStage[],
   ): Promise<void> {
@@ -155,7 +155,7 @@
 
 type TokenOutput = Extract<StepOutput, {readonly kind: 'token'}>;
 
-function estimateOf(request: ModelRequest) {
+function estimateWork(request: ModelRequest) {
   const {classOfWork} = request;
   return {
     requestId: request.requestId,
@@ -172,7 +172,7 @@
   };
 }
 
-function lost(error: EngineError): RequestFailure {
+function upstreamFailure(error: EngineError): RequestFailure {
   return {
     error: {kind: 'upstreamFailed', detail: error.kind},
     executed: 'unknown',
--- a/src/features/naive/node/naiveServiceDispatcher.ts
+++ b/src/features/naive/node/naiveServiceDispatcher.ts
@@ -11,7 +11,7 @@
 import {RequestFailure} from '../../requests/common/failure.js';
 import {CapacityBroker} from '../../routing/common/routing.js';
 
-/** Sends each call once to the next replica, for comparison only. */
+/** Baseline for comparison: sends each call once, to the next replica. */
 export class NaiveServiceDispatcher extends ServiceDispatcher {
   constructor(
     private readonly broker: CapacityBroker,
@@ -34,12 +34,12 @@
       });
     }
     const connection = this.connector.connect(choice.upstream, choice.address);
-    const answer = await connection.call(request, token);
-    if (answer.ok) {
-      return answer;
+    const response = await connection.call(request, token);
+    if (response.ok) {
+      return response;
     }
     return failure({
-      error: {kind: 'upstreamFailed', detail: answer.error.kind},
+      error: {kind: 'upstreamFailed', detail: response.error.kind},
       executed: 'unknown',
       retryAfterMilliseconds: undefined,
       addresses: [],
--- a/src/features/naive/test/naivePolicy.test.ts
+++ b/src/features/naive/test/naivePolicy.test.ts
@@ -21,7 +21,7 @@
 
 const model = configuration.models['assistant']!;
 const promptTokens = ['[reply:5]', 'twelve', 'cubic', 'metres'];
-const halves: readonly LayerRange[] = [
+const layerRanges: readonly LayerRange[] = [
   {from: 0, to: 2},
   {from: 2, to: 4},
 ];
@@ -31,7 +31,7 @@
 let views: FakeViews;
 let members: readonly UpstreamMember[];
 
-/** Two replicas `r0` and `r1` of two engines each. */
+/** Starts the replicas `r0` and `r1` with two engines each. */
 beforeEach(async () => {
   const [faultAddress, ...addresses] = await freeAddresses(5);
   members = addresses.map((address, index) => ({
@@ -48,7 +48,7 @@
     engines: members.map(({id, address}, index) => ({
       id,
       address,
-      layers: halves[index % 2]!,
+      layers: layerRanges[index % 2]!,
       decodeMilliseconds: 1,
       reportLagMilliseconds: 0,
     })),
@@ -62,7 +62,7 @@
   engines.dispose();
 });
 
-function request(requestId: string): ModelRequest {
+function createRequest(requestId: string): ModelRequest {
   return {
     requestId,
     idempotencyKey: undefined,
@@ -79,44 +79,51 @@
   };
 }
 
-function listed(ids: readonly number[]): void {
+function listUpstreams(ids: readonly number[]): void {
   const upstreams = ids.map(index => members[index]!);
   views.current = {...views.current!, upstreams};
 }
 
 test.each([
-  {name: 'both replicas', ids: [0, 1, 2, 3], refused: false},
-  {name: 'one replica', ids: [2, 3], refused: false},
-  {name: 'half of a replica', ids: [0], refused: true},
-  {name: 'nothing', ids: [], refused: true},
-])('$name', async ({ids, refused}) => {
-  listed(ids);
-  const broker = new NaiveBroker(views, connector, new SystemClock());
-  const driver = new NaivePipelineDriver(broker, connector);
-  const expected = expectedReply(promptTokens, model.layerCount, 20);
-  for (const requestId of ['first', 'second', 'third']) {
-    const seen: string[] = [];
-    const sink = (token: string) => void seen.push(token);
-    const reply = await driver.run(request(requestId), sink, neverCancelled);
-    if (refused) {
-      expect(reply).toMatchObject({
-        ok: false,
-        error: {error: {kind: 'noUpstream'}, executed: 'no'},
-      });
-    } else {
-      expect(reply).toEqual({ok: true, value: {requestId, ...expected}});
-      expect(seen).toEqual(expected.tokens);
+  {name: 'two complete replicas', ids: [0, 1, 2, 3], refused: false},
+  {name: 'one complete replica', ids: [2, 3], refused: false},
+  {name: 'half of a replica only', ids: [0], refused: true},
+  {name: 'no engine', ids: [], refused: true},
+])(
+  'with $name listed, requests are refused: $refused',
+  async ({ids, refused}) => {
+    listUpstreams(ids);
+    const broker = new NaiveBroker(views, connector, new SystemClock());
+    const driver = new NaivePipelineDriver(broker, connector);
+    const expected = expectedReply(promptTokens, model.layerCount, 20);
+    for (const requestId of ['first', 'second', 'third']) {
+      const seen: string[] = [];
+      const sink = (token: string) => void seen.push(token);
+      const reply = await driver.run(
+        createRequest(requestId),
+        sink,
+        neverCancelled,
+      );
+      if (refused) {
+        expect(reply).toMatchObject({
+          ok: false,
+          error: {error: {kind: 'noUpstream'}, executed: 'no'},
+        });
+      } else {
+        expect(reply).toEqual({ok: true, value: {requestId, ...expected}});
+        expect(seen).toEqual(expected.tokens);
+      }
     }
-  }
-});
+  },
+);
 
-test('a cancelled request leaves no sequence at its engines', async () => {
-  listed([0, 1]);
+test('a cancelled request leaves no sequence on its engines', async () => {
+  listUpstreams([0, 1]);
   const broker = new NaiveBroker(views, connector, new SystemClock());
   const driver = new NaivePipelineDriver(broker, connector);
   const source = new CancellationSource();
   const sink = () => source.cancel('callerGone');
-  const reply = await driver.run(request('left'), sink, source.token);
+  const reply = await driver.run(createRequest('left'), sink, source.token);
   expect(reply).toMatchObject({ok: false, error: {executed: 'unknown'}});
   for (const {id, address} of members.slice(0, 2)) {
     const engine = connector.connect(id, address);
@@ -128,8 +135,8 @@
   }
 });
 
-test('replicas take turns', async () => {
-  listed([0, 1, 2, 3]);
+test('replicas are chosen in turn', async () => {
+  listUpstreams([0, 1, 2, 3]);
   const broker = new NaiveBroker(views, connector, new SystemClock());
   const chosen: string[] = [];
   for (let turn = 0; turn < 4; turn += 1) {
