--- a/src/features/pipeline/node/capacityClient.ts
+++ b/src/features/pipeline/node/capacityClient.ts
@@ -79,7 +79,7 @@
   }
 
   /**
-   * Reports, once per reservation, that the stages on probe have responded, so that they are given more work soon.
+   * Reports, once per reservation, that the probing stages have responded, so that they are given more work soon.
    */
   reportProbeSuccess(): void {
     const {reservation} = this.state;
--- a/src/features/services/common/defaultServiceDispatcher.ts
+++ b/src/features/services/common/defaultServiceDispatcher.ts
@@ -142,7 +142,7 @@
     const result = await runUntilCancelled(run, source.token, token);
     timer.dispose();
     source.dispose();
-    this.logCall(request, isRepeatable, run, result);
+    this.log(request, isRepeatable, run, result);
     return result;
   }
 
@@ -174,7 +174,7 @@
     return state;
   }
 
-  private logCall(
+  private log(
     request: ServiceCallRequest,
     isRepeatable: boolean,
     run: ServiceCallRun,
--- a/src/features/services/test/serviceHarness.ts
+++ b/src/features/services/test/serviceHarness.ts
@@ -89,13 +89,13 @@
 
   override connect(upstream: string): ServiceConnection {
     const call = (request: ServiceRequest, token: CancellationToken) =>
-      this.respond(upstream, request, token);
+      this.answer(upstream, request, token);
     return new (class extends ServiceConnection {
       override call = call;
     })();
   }
 
-  private respond(
+  private answer(
     upstream: string,
     request: ServiceRequest,
     token: CancellationToken,
