--- a/src/features/pipeline/common/executionTracker.ts
+++ b/src/features/pipeline/common/executionTracker.ts
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Records the engine's report that nothing runs or will run at this and lower epochs. `begun: false` clears
-   * lost steps only if it comes from the process that was running before they were sent: a restarted engine
+   * Records the engine's report that nothing runs or will run at this and lower epochs. `begun: false` proves that no
+   * lost step started only if it comes from the process that was running before the steps were sent: a restarted engine
    * does not know what its predecessor executed.
    */
   idle(epoch: number, report: Omit<CancelReport, 'state'>): void {
--- a/src/features/pipeline/node/cacheTransfer.ts
+++ b/src/features/pipeline/node/cacheTransfer.ts
@@ -60,7 +60,7 @@
   private async restoreStage(
     session: StageSession,
   ): Promise<Result<void, StageFailure>> {
-    const reference = this.stages.latestExportFor(session.chosen);
+    const reference = this.stages.longestExportFor(session.chosen);
     if (reference === undefined) {
       return success(undefined);
     }
--- a/src/features/pipeline/node/pipelineRecovery.ts
+++ b/src/features/pipeline/node/pipelineRecovery.ts
@@ -44,7 +44,7 @@
   /** Recovers from a failed stage. Raises the epoch first, so that responses to the old attempt are ignored. */
   async recover(failed: StageFailure): Promise<RecoveryOutcome> {
     const formerEpoch = this.state.epoch;
-    if (this.isOwnedByAnotherDriver(failed, formerEpoch)) {
+    if (this.mustYieldToOtherDriver(failed, formerEpoch)) {
       this.report(failed);
       return {kind: 'exhausted'};
     }
@@ -80,7 +80,7 @@
   }
 
   /** Work that must not be repeated is left to the driver that runs it under a foreign epoch, without cancelling it. */
-  private isOwnedByAnotherDriver(failed: StageFailure, epoch: number): boolean {
+  private mustYieldToOtherDriver(failed: StageFailure, epoch: number): boolean {
     return (
       hasForeignEpoch(failed.error, epoch) &&
       !this.request.classOfWork.repeatable
--- a/src/features/pipeline/node/stageSet.ts
+++ b/src/features/pipeline/node/stageSet.ts
@@ -60,7 +60,7 @@
   }
 
   /** The longest stored export that can restore a stage. */
-  latestExportFor(chosen: ChosenStage): CacheReference | undefined {
+  longestExportFor(chosen: ChosenStage): CacheReference | undefined {
     const reference = this.exports.get(layersKey(chosen.layers));
     const isUsable = reference && isExportUsable(reference, chosen.layers);
     return isUsable ? reference : undefined;
