--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -1,6 +1,6 @@
 import {SeededRandomSource} from '../src/base/common/randomSource.js';
 import {CellOwnership} from '../src/features/routing/common/cellOwnership.js';
-import {divideIntoCells} from '../src/features/routing/common/cells.js';
+import {partitionIntoCells} from '../src/features/routing/common/cells.js';
 import {UpstreamMember} from '../src/infrastructure/membership/common/membershipList.js';
 import {hashKey} from '../test/support/launcher.js';
 import {sleep} from '../test/support/sleep.js';
@@ -396,7 +396,7 @@
 
 function ownerOf({system}: MeasuredSystem): number {
   const members = system.engines.map(engine => engine.member);
-  const cells = divideIntoCells(members, system.options.cellSize);
+  const cells = partitionIntoCells(members, system.options.cellSize);
   const views = system.instances.map(({member}) => ({
     member,
     incarnation: undefined,
@@ -429,7 +429,7 @@
   const repeats = 20;
   const from = performance.now();
   for (let count = 0; count < repeats; count++) {
-    divideIntoCells(engines, CELL_SIZE);
+    partitionIntoCells(engines, CELL_SIZE);
   }
   return (performance.now() - from) / repeats;
 }
--- a/src/features/naive/node/naivePipelineDriver.ts
+++ b/src/features/naive/node/naivePipelineDriver.ts
@@ -165,9 +165,9 @@
     promptTokens: request.promptTokens.length,
     outputTokens: request.maximumOutputTokens,
     prefixKey: undefined,
-    firstTokenWithin: classOfWork.firstTokenMilliseconds,
-    betweenTokensTarget: classOfWork.betweenTokensMilliseconds,
-    deadlineWithin: classOfWork.deadlineMilliseconds,
+    firstTokenWithinMilliseconds: classOfWork.firstTokenMilliseconds,
+    betweenTokensTargetMilliseconds: classOfWork.betweenTokensMilliseconds,
+    deadlineWithinMilliseconds: classOfWork.deadlineMilliseconds,
     priority: PRIORITY,
   };
 }
--- a/src/features/pipeline/common/workEstimate.ts
+++ b/src/features/pipeline/common/workEstimate.ts
@@ -33,9 +33,9 @@
     prefixKey,
     prefixTokens: prefixKey === undefined ? 0 : PREFIX_TOKEN_COUNT,
     ...(releasedTokens > 0 && version !== undefined ? {version} : {}),
-    firstTokenWithin: nextTokenWithin,
-    betweenTokensTarget: targets.betweenTokensMilliseconds,
-    deadlineWithin: request.deadlineAt - nowMilliseconds,
+    firstTokenWithinMilliseconds: nextTokenWithin,
+    betweenTokensTargetMilliseconds: targets.betweenTokensMilliseconds,
+    deadlineWithinMilliseconds: request.deadlineAt - nowMilliseconds,
     priority: Math.max(0, Math.round(nextTokenWithin)),
   };
 }
--- a/src/features/placement/common/dataCentreReplicas.ts
+++ b/src/features/placement/common/dataCentreReplicas.ts
@@ -1,5 +1,5 @@
 import {UpstreamMember} from '../../../infrastructure/membership/common/membershipList.js';
-import {divideIntoCells} from '../../routing/common/cells.js';
+import {partitionIntoCells} from '../../routing/common/cells.js';
 
 /**
  * Returns the engines of a data centre's replicas by group. A replica that spans data centres belongs to the one that
@@ -10,7 +10,7 @@
   dataCentre: string,
 ): ReadonlyMap<string, readonly UpstreamMember[]> {
   const groups = new Map<string, UpstreamMember[]>();
-  for (const cell of divideIntoCells(upstreams, upstreams.length).values()) {
+  for (const cell of partitionIntoCells(upstreams, upstreams.length).values()) {
     if (cell.dataCentre === dataCentre) {
       for (const engine of cell.engines) {
         const others = groups.get(engine.group) ?? [];
--- a/src/features/routing/common/cellCodec.ts
+++ b/src/features/routing/common/cellCodec.ts
@@ -1,12 +1,12 @@
 import {z} from 'zod';
 
 import {
-  FailureNote,
-  ReleaseNote,
-  ReplanCall,
-  ReserveAnswer,
-  ReserveCall,
-  SummaryNote,
+  FailureMessage,
+  ReleaseMessage,
+  ReplanRequest,
+  ReserveResponse,
+  ReserveRequest,
+  SummaryMessage,
 } from './cellMessages.js';
 import {
   ChosenStage,
@@ -15,13 +15,13 @@
   WorkEstimate,
 } from './routing.js';
 import {
-  answerRow,
-  failureRow,
+  responseRowSchema,
+  failureRowSchema,
   stageOutcomes,
   refusalReasons,
   releaseRowSchema,
-  replanRow,
-  reserveRow,
+  replanRowSchema,
+  reserveRowSchema,
   summaryRowSchema,
   workRowSchema,
 } from './cellSchemas.js';
@@ -40,22 +40,22 @@
  */
 
 /** A call for capacity, as sent on the wire. */
-export type ReserveRow = z.input<typeof reserveRow>;
+export type ReserveRow = z.input<typeof reserveRowSchema>;
 /** A call for replacement stages, as sent on the wire. */
-export type ReplanRow = z.input<typeof replanRow>;
+export type ReplanRow = z.input<typeof replanRowSchema>;
 /** A release, as sent on the wire. */
 export type ReleaseRow = z.input<typeof releaseRowSchema>;
 /** A stage's failure or first answer, as sent on the wire. */
-export type FailureRow = z.input<typeof failureRow>;
+export type FailureRow = z.input<typeof failureRowSchema>;
 /** An owner's answer, as sent on the wire. */
-export type AnswerRow = z.input<typeof answerRow>;
+export type ResponseRow = z.input<typeof responseRowSchema>;
 /** A summary of one model in one cell, as sent on the wire. */
 export type SummaryRow = z.input<typeof summaryRowSchema>;
 
 /** Names in a call that its releases are front-coded against. */
-type ReleaseBase = Pick<ReserveCall, 'cell' | 'reservationId'>;
+type ReleaseBase = Pick<ReserveRequest, 'cell' | 'reservationId'>;
 /** Names in a call that the summaries in its answer are front-coded against. */
-type SummaryBase = Pick<ReserveCall, 'cell' | 'model'>;
+type SummaryBase = Pick<ReserveRequest, 'cell' | 'model'>;
 
 const emptyBase: ReleaseBase & SummaryBase = {
   cell: '',
@@ -63,11 +63,11 @@
   model: '',
 };
 
-type ReservedRow = Extract<AnswerRow, readonly [0, ...unknown[]]>;
+type ReservedRow = Extract<ResponseRow, readonly [0, ...unknown[]]>;
 type StageRow = ReservedRow[1][number];
 type PredictionRow = ReservedRow[2];
 
-export function encodeReserve(call: ReserveCall): ReserveRow {
+export function encodeReserve(call: ReserveRequest): ReserveRow {
   return [
     call.cell,
     call.model,
@@ -79,7 +79,9 @@
 }
 
 /** Decodes a row that its schema has accepted, as do the functions below. */
-export function decodeReserve(row: z.output<typeof reserveRow>): ReserveCall {
+export function decodeReserve(
+  row: z.output<typeof reserveRowSchema>,
+): ReserveRequest {
   const [cell, model, reservationId, work, excluded, releases] = row;
   return {
     cell,
@@ -91,18 +93,20 @@
   };
 }
 
-export function encodeReplan(call: ReplanCall): ReplanRow {
+export function encodeReplan(call: ReplanRequest): ReplanRow {
   return [call.replaces, encodeReserve(call)];
 }
 
-export function decodeReplan(row: z.output<typeof replanRow>): ReplanCall {
+export function decodeReplan(
+  row: z.output<typeof replanRowSchema>,
+): ReplanRequest {
   const [replaces, reserve] = row;
   return {...decodeReserve(reserve), replaces};
 }
 
 /** Encodes releases; `base` is the call that they are sent with, if any. */
 export function encodeReleases(
-  releases: readonly ReleaseNote[],
+  releases: readonly ReleaseMessage[],
   base: ReleaseBase = emptyBase,
 ): ReleaseRow[] {
   const cells = new FrontCoder(base.cell);
@@ -119,7 +123,7 @@
 export function decodeReleases(
   rows: ReadonlyArray<z.output<typeof releaseRowSchema>>,
   base: ReleaseBase = emptyBase,
-): ReleaseNote[] {
+): ReleaseMessage[] {
   const cells = new FrontCoder(base.cell);
   const ids = new FrontCoder(base.reservationId);
   const upstreams = new FrontCoder();
@@ -132,13 +136,15 @@
   }));
 }
 
-export function encodeFailure(failure: FailureNote): FailureRow {
+export function encodeFailure(failure: FailureMessage): FailureRow {
   const {cell, reservationId, observation} = failure;
   const upstreams = new FrontCoder();
   return [cell, reservationId, encodeObservation(observation, upstreams)];
 }
 
-export function decodeFailure(row: z.output<typeof failureRow>): FailureNote {
+export function decodeFailure(
+  row: z.output<typeof failureRowSchema>,
+): FailureMessage {
   const [cell, reservationId, observation] = row;
   const upstreams = new FrontCoder();
   return {
@@ -150,7 +156,7 @@
 
 /** Encodes summaries; `base` is the call that they answer, if it names a cell and model. */
 export function encodeSummaries(
-  summaries: readonly SummaryNote[],
+  summaries: readonly SummaryMessage[],
   base: SummaryBase = emptyBase,
 ): SummaryRow[] {
   const cells = new FrontCoder(base.cell);
@@ -168,7 +174,7 @@
 export function decodeSummaries(
   rows: ReadonlyArray<z.output<typeof summaryRowSchema>>,
   base: SummaryBase = emptyBase,
-): SummaryNote[] {
+): SummaryMessage[] {
   const cells = new FrontCoder(base.cell);
   const models = new FrontCoder(base.model);
   return rows.map(([cell, model, freeSlots, earliestStart, age]) => ({
@@ -181,10 +187,10 @@
 }
 
 /** Encodes an answer without the cell and the reservation id, which the requester knows from its call. */
-export function encodeAnswer(
-  call: ReserveCall,
-  answer: ReserveAnswer,
-): AnswerRow {
+export function encodeResponse(
+  call: ReserveRequest,
+  answer: ReserveResponse,
+): ResponseRow {
   const summaries = encodeSummaries(answer.summaries, call);
   if (answer.kind === 'refused') {
     const reason = refusalReasons.indexOf(answer.reason);
@@ -202,10 +208,10 @@
 }
 
 /** Decodes the answer to `call`, which supplies the omitted fields. */
-export function decodeAnswer(
-  call: ReserveCall,
-  row: z.output<typeof answerRow>,
-): ReserveAnswer {
+export function decodeResponse(
+  call: ReserveRequest,
+  row: z.output<typeof responseRowSchema>,
+): ReserveResponse {
   if (row[0] === 1) {
     const [, reason, retryAfterMilliseconds, summaryRows] = row;
     return {
@@ -238,9 +244,9 @@
     work.clientAccount,
     work.promptTokens,
     work.outputTokens,
-    work.firstTokenWithin,
-    work.betweenTokensTarget,
-    work.deadlineWithin,
+    work.firstTokenWithinMilliseconds,
+    work.betweenTokensTargetMilliseconds,
+    work.deadlineWithinMilliseconds,
     work.priority,
     ...trimTrailingNulls([
       work.prefixKey ?? null,
@@ -268,9 +274,9 @@
     prefixKey: prefixKey ?? undefined,
     prefixTokens: prefixTokens ?? undefined,
     version: version ?? undefined,
-    firstTokenWithin,
-    betweenTokensTarget,
-    deadlineWithin,
+    firstTokenWithinMilliseconds: firstTokenWithin,
+    betweenTokensTargetMilliseconds: betweenTokensTarget,
+    deadlineWithinMilliseconds: deadlineWithin,
     priority,
     inProgress: inProgress ?? undefined,
   };
--- a/src/features/routing/common/cellMap.ts
+++ b/src/features/routing/common/cellMap.ts
@@ -1,7 +1,7 @@
 import {InstanceMember} from '../../../infrastructure/membership/common/membershipList.js';
 import {SystemView} from '../../membership/common/systemView.js';
 import {CellOwnership} from './cellOwnership.js';
-import {Cell, divideIntoCells} from './cells.js';
+import {Cell, partitionIntoCells} from './cells.js';
 
 /** The cells of one system view and their owners. */
 export class CellMap {
@@ -15,7 +15,7 @@
 
   /** Partitions a view's engines into cells. Owners are ranked when a cell is first looked up. */
   static of(view: SystemView, cellSize: number): CellMap {
-    const cells = divideIntoCells(view.upstreams, cellSize);
+    const cells = partitionIntoCells(view.upstreams, cellSize);
     return new CellMap(cells, new CellOwnership(view.instances));
   }
 
--- a/src/features/routing/common/cellMessages.ts
+++ b/src/features/routing/common/cellMessages.ts
@@ -4,7 +4,7 @@
 /** Messages between a requester and the owner of a cell. Times are relative, because processes share no clock. */
 
 /** The free capacity for one model in one cell, as reported by the cell's owner. */
-export interface SummaryNote {
+export interface SummaryMessage {
   readonly cell: string;
   readonly model: string;
   readonly freeSlots: number;
@@ -14,14 +14,14 @@
 }
 
 /** Releases one reservation. */
-export interface ReleaseNote {
+export interface ReleaseMessage {
   readonly cell: string;
   readonly reservationId: string;
   readonly observations: readonly StageObservation[];
 }
 
 /** Requests capacity in one cell. */
-export interface ReserveCall {
+export interface ReserveRequest {
   readonly cell: string;
   readonly model: string;
   /** Chosen by the requester, so that a retried call doesn't create a second reservation. */
@@ -30,31 +30,31 @@
   /** Ids of upstreams that must not be used. */
   readonly excluded: readonly string[];
   /** Releases of other reservations, sent along to save a call. */
-  readonly releases: readonly ReleaseNote[];
+  readonly releases: readonly ReleaseMessage[];
 }
 
 /** Requests other stages to replace a reservation. The reservation ends only if they are found. */
-export interface ReplanCall extends ReserveCall {
+export interface ReplanRequest extends ReserveRequest {
   /** Id of the reservation to replace. */
   readonly replaces: string;
 }
 
 /** The owner's answer to a request for capacity. */
-export type ReserveAnswer =
+export type ReserveResponse =
   | {
       readonly kind: 'reserved';
       readonly reservation: Reservation;
-      readonly summaries: readonly SummaryNote[];
+      readonly summaries: readonly SummaryMessage[];
     }
   | {
       readonly kind: 'refused';
       readonly reason: 'cannotMeetTarget' | 'overShare' | 'noUpstream';
       readonly retryAfterMilliseconds: number;
-      readonly summaries: readonly SummaryNote[];
+      readonly summaries: readonly SummaryMessage[];
     };
 
 /** Reports a stage's failure, or a probed stage's first answer, before the reservation is released. */
-export interface FailureNote {
+export interface FailureMessage {
   readonly cell: string;
   readonly reservationId: string;
   readonly observation: StageObservation;
@@ -63,22 +63,22 @@
 /** Handles requests for cells, either in this process or by forwarding them to a peer. */
 export abstract class CellAuthority extends DisposableOwner {
   abstract reserve(
-    call: ReserveCall,
+    call: ReserveRequest,
     signal: AbortSignal,
-  ): Promise<ReserveAnswer>;
+  ): Promise<ReserveResponse>;
 
   abstract replan(
-    call: ReplanCall,
+    call: ReplanRequest,
     signal: AbortSignal,
-  ): Promise<ReserveAnswer>;
+  ): Promise<ReserveResponse>;
 
-  abstract release(notes: readonly ReleaseNote[]): void;
+  abstract release(notes: readonly ReleaseMessage[]): void;
 
-  abstract reportFailure(note: FailureNote): void;
+  abstract reportFailure(note: FailureMessage): void;
 
   /** Summaries of the cells that the authority holds or has learned of; those of `model` come first if it is given. */
   abstract summaries(
     model: string | undefined,
     signal: AbortSignal,
-  ): Promise<readonly SummaryNote[]>;
+  ): Promise<readonly SummaryMessage[]>;
 }
--- a/src/features/routing/common/cellSchemas.ts
+++ b/src/features/routing/common/cellSchemas.ts
@@ -64,23 +64,25 @@
 ]);
 
 /** The releases in one message. */
-export const releaseRows = z.array(releaseRowSchema).max(MAXIMUM_RELEASES);
+export const releaseRowsSchema = z
+  .array(releaseRowSchema)
+  .max(MAXIMUM_RELEASES);
 
 /** Cell, model, reservation id, work, excluded upstreams and releases. */
-export const reserveRow = z.tuple([
+export const reserveRowSchema = z.tuple([
   z.string(),
   z.string(),
   z.string(),
   workRowSchema,
   z.array(z.string()),
-  releaseRows,
+  releaseRowsSchema,
 ]);
 
 /** Id of the reservation to replace, then the call that replaces it. */
-export const replanRow = z.tuple([z.string(), reserveRow]);
+export const replanRowSchema = z.tuple([z.string(), reserveRowSchema]);
 
 /** Cell, reservation id and the observation of one stage. */
-export const failureRow = z.tuple([
+export const failureRowSchema = z.tuple([
   z.string(),
   z.string(),
   observationRowSchema,
@@ -95,7 +97,7 @@
   z.number(),
 ]);
 
-export const summaryRows = z.array(summaryRowSchema);
+export const summaryRowsSchema = z.array(summaryRowSchema);
 
 /** Upstream, address, first layer, end layer (exclusive), flags (`StageFlag` of the codec) and version. */
 const stageRowSchema = z.tuple([
@@ -117,16 +119,21 @@
 ]);
 
 /** 0, stages, prediction, candidates, reason and summaries; or 1, refusal reason, retry delay and summaries. */
-export const answerRow = z.union([
+export const responseRowSchema = z.union([
   z.tuple([
     z.literal(0),
     z.array(stageRowSchema),
     predictionRowSchema,
     z.number().nullable(),
     z.string().nullable(),
-    summaryRows,
+    summaryRowsSchema,
+  ]),
+  z.tuple([
+    z.literal(1),
+    indexSchema(refusalReasons),
+    z.number(),
+    summaryRowsSchema,
   ]),
-  z.tuple([z.literal(1), indexSchema(refusalReasons), z.number(), summaryRows]),
 ]);
 
 /** A request for summaries; those of `model` come first in the answer. */
--- a/src/features/routing/common/cells.ts
+++ b/src/features/routing/common/cells.ts
@@ -22,7 +22,7 @@
  * Partitions replicas into cells of about `cellSize` replicas. Each replica goes to the bucket of its
  * data centre with the highest rendezvous weight for it, so that adding a replica moves few others.
  */
-export function divideIntoCells(
+export function partitionIntoCells(
   upstreams: readonly UpstreamMember[],
   cellSize: number,
 ): ReadonlyMap<string, Cell> {
--- a/src/features/routing/common/chooseCells.ts
+++ b/src/features/routing/common/chooseCells.ts
@@ -87,10 +87,12 @@
   const far = candidates.filter(summary => summary.dataCentre !== dataCentre);
   const order = [...sampleTwo(near, random), ...sampleTwo(far, random)];
   const inTime = order.filter(
-    summary => expectedDelayMilliseconds(summary) < work.firstTokenWithin,
+    summary =>
+      expectedDelayMilliseconds(summary) < work.firstTokenWithinMilliseconds,
   );
   const late = order.filter(
-    summary => expectedDelayMilliseconds(summary) >= work.firstTokenWithin,
+    summary =>
+      expectedDelayMilliseconds(summary) >= work.firstTokenWithinMilliseconds,
   );
   return [...inTime, ...late]
     .slice(0, MAXIMUM_CELLS)
--- a/src/features/routing/common/laxityPolicy.ts
+++ b/src/features/routing/common/laxityPolicy.ts
@@ -1,7 +1,7 @@
 import {admit, PipelinePolicy, refuse} from './pipelinePolicy.js';
 import {Pipeline} from './pipelineSearch.js';
 import {CellView, RoutingDecision, ShareView, WorkEstimate} from './routing.js';
-import {FairShareStatus, assessFairShare} from './shareStanding.js';
+import {FairShareStatus, assessFairShare} from './fairShareStatus.js';
 import {isReservedForOthers} from './slotReserve.js';
 
 /** Rule by which one of several pipelines that meet the targets is chosen. */
@@ -43,9 +43,11 @@
   const usableShare = 1 - SAFETY_MARGIN;
   const addedWait = (waitFactor - 1) * prediction.startsInMilliseconds;
   const firstTokenSlack =
-    work.firstTokenWithin * usableShare - prediction.firstTokenMilliseconds;
+    work.firstTokenWithinMilliseconds * usableShare -
+    prediction.firstTokenMilliseconds;
   const deadlineSlack =
-    work.deadlineWithin * usableShare - prediction.wholeMilliseconds;
+    work.deadlineWithinMilliseconds * usableShare -
+    prediction.wholeMilliseconds;
   return Math.min(firstTokenSlack, deadlineSlack) - addedWait;
 }
 
@@ -134,7 +136,7 @@
       pipeline.prediction.wholeMilliseconds;
     const candidates = pipelines.length;
     const beforeDeadline = pipelines.filter(
-      pipeline => totalTime(pipeline) <= work.deadlineWithin,
+      pipeline => totalTime(pipeline) <= work.deadlineWithinMilliseconds,
     );
     if (beforeDeadline.length === 0) {
       return refuse(
@@ -186,7 +188,7 @@
 
 function hasLooseTarget(pipeline: Pipeline, work: WorkEstimate): boolean {
   const step = pipeline.prediction.betweenTokensMilliseconds;
-  return work.betweenTokensTarget >= LOOSE_TARGET_RATIO * step;
+  return work.betweenTokensTargetMilliseconds >= LOOSE_TARGET_RATIO * step;
 }
 
 /** Whether an account has used more than its share while other requests are refused. */
@@ -204,7 +206,7 @@
 
 function meetsTokenTarget(pipeline: Pipeline, work: WorkEstimate): boolean {
   const step = pipeline.prediction.betweenTokensMilliseconds;
-  return step <= work.betweenTokensTarget;
+  return step <= work.betweenTokensTargetMilliseconds;
 }
 
 /** The members that pass `test`, or all members if none does. */
@@ -241,7 +243,7 @@
 /** Time until the first sequence of the cell is expected to finish. */
 function millisecondsToNextFinish(view: CellView, now: number): number {
   const finishes = view.stages
-    .map(stage => stage.busyUntil.find(finish => finish > now))
+    .map(stage => stage.expectedFinishTimes.find(finish => finish > now))
     .filter(finish => finish !== undefined);
   const next = finishes.length === 0 ? 0 : Math.min(...finishes) - now;
   return Math.max(MINIMUM_RETRY_MILLISECONDS, next);
--- a/src/features/routing/common/leastLoadedPolicy.ts
+++ b/src/features/routing/common/leastLoadedPolicy.ts
@@ -4,7 +4,7 @@
 
 /** Ratio of sequences to slots at a stage. */
 function stageLoad(stage: StageView): number {
-  return stage.busyUntil.length / Math.max(1, stage.sequenceLimit);
+  return stage.expectedFinishTimes.length / Math.max(1, stage.sequenceLimit);
 }
 
 /** Load of the busiest stage of a pipeline. */
--- a/src/features/routing/common/pipelineSearch.ts
+++ b/src/features/routing/common/pipelineSearch.ts
@@ -31,7 +31,7 @@
   if (stage.leaving || stage.health === 'quarantined') {
     return false;
   }
-  return stage.health === 'healthy' || stage.busyUntil.length === 0;
+  return stage.health === 'healthy' || stage.expectedFinishTimes.length === 0;
 }
 
 /**
@@ -45,16 +45,18 @@
 ): number {
   const isProbing = stage.health === 'probing';
   const limit = isProbing ? 1 : Math.max(1, Math.floor(stage.sequenceLimit));
-  const freeingIndex = stage.busyUntil.length - limit;
+  const freeingIndex = stage.expectedFinishTimes.length - limit;
   if (freeingIndex < 0) {
     return 0;
   }
-  const overdueCount = stage.busyUntil.filter(finish => finish <= now).length;
+  const overdueCount = stage.expectedFinishTimes.filter(
+    finish => finish <= now,
+  ).length;
   if (freeingIndex < overdueCount) {
     return (overrunMilliseconds * (freeingIndex + 1)) / (overdueCount + 1);
   }
   const minimumWait = overdueCount === 0 ? 0 : overrunMilliseconds;
-  return Math.max(minimumWait, stage.busyUntil[freeingIndex]! - now);
+  return Math.max(minimumWait, stage.expectedFinishTimes[freeingIndex]! - now);
 }
 
 /** Factor by which predicted wait and compute times grow with the age of the load report. */
--- a/src/features/routing/common/routing.ts
+++ b/src/features/routing/common/routing.ts
@@ -23,7 +23,7 @@
   /** Sequences that may be resident at once: the engine's limit, reduced by the adaptive limit and the ramp-up. */
   readonly sequenceLimit: number;
   /** Expected finish times of the resident and queued sequences, ascending. */
-  readonly busyUntil: readonly number[];
+  readonly expectedFinishTimes: readonly number[];
   readonly decodeMilliseconds: number;
   readonly prefillMillisecondsPerToken: number;
   /** Measured time of one hop to this stage, excluding compute and queueing. */
@@ -56,10 +56,10 @@
   /** Model version that began the reply; if absent, any version may serve it, preferably the configured one. */
   readonly version?: string;
   /** Milliseconds left until the next token is due, at first the first-token target. */
-  readonly firstTokenWithin: number;
-  readonly betweenTokensTarget: number;
+  readonly firstTokenWithinMilliseconds: number;
+  readonly betweenTokensTargetMilliseconds: number;
   /** Milliseconds left until the deadline. */
-  readonly deadlineWithin: number;
+  readonly deadlineWithinMilliseconds: number;
   /** Engines run lower numbers first. */
   readonly priority: number;
   /** Whether the work was admitted before and lost its stages; it is then refused only if its deadline can't be met. */
--- a/src/features/routing/common/serviceChooser.ts
+++ b/src/features/routing/common/serviceChooser.ts
@@ -5,7 +5,7 @@
 import {UpstreamHealthTracker} from './upstreamHealthTracker.js';
 
 /** Location of a process; replicas near it are preferred. */
-export interface Place {
+export interface ProcessLocation {
   readonly dataCentre: string;
   readonly region: string;
 }
@@ -34,7 +34,7 @@
   private meanLatencyMilliseconds = INITIAL_LATENCY_MILLISECONDS;
 
   constructor(
-    private readonly place: Place,
+    private readonly place: ProcessLocation,
     private readonly clock: Clock,
     private readonly random: RandomSource,
   ) {}
@@ -165,7 +165,7 @@
 /** Replicas in the same data centre, else in the same region, else all. */
 function nearestReplicas(
   replicas: readonly Replica[],
-  place: Place,
+  place: ProcessLocation,
 ): readonly Replica[] {
   const inDataCentre = replicas.filter(
     replica => replica.member.dataCentre === place.dataCentre,
--- a/src/features/routing/common/shareAccounts.ts
+++ b/src/features/routing/common/shareAccounting.ts
@@ -56,7 +56,7 @@
 }
 
 /** Exponentially decayed accounting of slot time by class and client account at one cell owner. */
-export class ShareAccounts {
+export class ShareAccounting {
   private readonly usage = new DecayingSums();
   private readonly usageByClass = new DecayingSums();
   private readonly demand = new DecayingSums();
@@ -70,7 +70,7 @@
    * Records slot time demanded, once for each request whether granted or not. A later correction
    * of the amount passes 0 for `requests`.
    */
-  recordWant(
+  addDemand(
     classOfWork: string,
     clientAccount: string,
     slotMilliseconds: number,
@@ -84,7 +84,7 @@
   }
 
   /** Records slot time granted; a negative amount returns what was not used. */
-  recordUse(
+  addUsage(
     classOfWork: string,
     clientAccount: string,
     slotMilliseconds: number,
--- a/src/features/routing/common/slotReserve.ts
+++ b/src/features/routing/common/slotReserve.ts
@@ -1,6 +1,6 @@
 import {Pipeline} from './pipelineSearch.js';
 import {ClassTargets, ShareView, StageView, WorkEstimate} from './routing.js';
-import {FairShareStatus} from './shareStanding.js';
+import {FairShareStatus} from './fairShareStatus.js';
 
 /** Slots reserved for accounts within their share when an account over its share requests one. */
 
@@ -24,7 +24,11 @@
   horizonEnd: number,
 ): RangeSlots {
   const ranges = new Map<number, RangeSlots>();
-  for (const {layers, sequenceLimit, busyUntil} of stages) {
+  for (const {
+    layers,
+    sequenceLimit,
+    expectedFinishTimes: busyUntil,
+  } of stages) {
     const range = ranges.get(layers.from) ?? {available: 0, total: 0};
     const limit = Math.max(1, Math.floor(sequenceLimit));
     const occupied = busyUntil.filter(
@@ -46,8 +50,8 @@
   work: WorkEstimate,
   stepMilliseconds: number,
 ): ClassTargets {
-  let firstToken = work.firstTokenWithin;
-  let betweenTokens = work.betweenTokensTarget;
+  let firstToken = work.firstTokenWithinMilliseconds;
+  let betweenTokens = work.betweenTokensTargetMilliseconds;
   for (const [name, targets] of shares.timesByClass ?? []) {
     if (!shares.usedByClass.has(name)) {
       continue;
--- a/src/features/routing/common/slotSummary.ts
+++ b/src/features/routing/common/slotSummary.ts
@@ -19,7 +19,7 @@
 }
 
 /** Summarizes the stages of one model: a rough guide for choosing which cell to ask, not a decision. */
-export function slotSummary(
+export function summarizeSlots(
   stages: readonly StageView[],
   now: number,
 ): SlotSummary {
@@ -53,13 +53,17 @@
 }
 
 function freeSlotsOf(stage: StageView): number {
-  return Math.max(0, Math.floor(stage.sequenceLimit) - stage.busyUntil.length);
+  return Math.max(
+    0,
+    Math.floor(stage.sequenceLimit) - stage.expectedFinishTimes.length,
+  );
 }
 
 /** Time until the sequence finishes that frees a slot; 0 if one is free. */
 function waitMillisecondsOf(stage: StageView, now: number): number {
-  const freeingIndex = stage.busyUntil.length - Math.floor(stage.sequenceLimit);
-  const finish = stage.busyUntil[freeingIndex];
+  const freeingIndex =
+    stage.expectedFinishTimes.length - Math.floor(stage.sequenceLimit);
+  const finish = stage.expectedFinishTimes[freeingIndex];
   if (finish === undefined) {
     return 0;
   }
--- a/src/features/routing/common/stageLedger.ts
+++ b/src/features/routing/common/stageLedger.ts
@@ -88,7 +88,7 @@
   }
 
   /** Applies a load report; returns whether the engine has restarted since the previous one. */
-  takeReport(
+  applyReport(
     report: EngineReport,
     roundTripMilliseconds: number,
     now: number,
@@ -110,7 +110,7 @@
   }
 
   /** Adds mean times that a dispatcher measured over a number of steps. */
-  learn(
+  addMeasurements(
     decodeMilliseconds: number | undefined,
     linkMilliseconds: number | undefined,
     steps: number,
@@ -149,7 +149,7 @@
   }
 
   /** Expected finish times of all reserved or reported sequences, ascending; in the past if overdue. */
-  busyUntil(now: number): readonly number[] {
+  predictFinishTimes(now: number): readonly number[] {
     this.removeExpired(now);
     const own = this.ownFinishTimes();
     const unattributed = this.unattributedFinishTimes(own.length, now);
--- a/src/features/routing/common/upstreamJoins.ts
+++ b/src/features/routing/common/upstreamJoinTracker.ts
@@ -7,7 +7,7 @@
  * Distinguishes upstreams that have just joined the system from those that are new only to this
  * process, for instance after it started or took over a cell.
  */
-export class UpstreamJoins {
+export class UpstreamJoinTracker {
   private joinedAt: ReadonlyMap<string, number> | undefined;
 
   /** Applies a list. Upstreams in the first list count as having joined earlier. */
@@ -20,7 +20,7 @@
   }
 
   /** Whether an upstream joined recently; true for unlisted ones. */
-  isNew(upstream: string, now: number): boolean {
+  hasJoinedRecently(upstream: string, now: number): boolean {
     const joinedAt = this.joinedAt?.get(upstream) ?? now;
     return now - joinedAt < RECENT_JOIN_MILLISECONDS;
   }
--- a/src/features/routing/node/cellDirectory.ts
+++ b/src/features/routing/node/cellDirectory.ts
@@ -1,11 +1,11 @@
 import {Clock} from '../../../base/common/clock.js';
-import {SummaryNote} from '../common/cellMessages.js';
+import {SummaryMessage} from '../common/cellMessages.js';
 import {CellMap} from '../common/cellMap.js';
 import {CellSummary} from '../common/chooseCells.js';
 import {Cell} from '../common/cells.js';
 
 interface DirectoryEntry {
-  readonly note: SummaryNote;
+  readonly note: SummaryMessage;
   /** Local monotonic milliseconds at which the owner made the summary, from the age that came with it. */
   readonly madeAt: number;
 }
@@ -26,7 +26,7 @@
   ) {}
 
   /** Records summaries; an older one never replaces a newer one. */
-  recordSummaries(notes: readonly SummaryNote[]): void {
+  recordSummaries(notes: readonly SummaryMessage[]): void {
     const now = this.clock.monotonicMilliseconds();
     for (const note of notes) {
       const key = `${note.cell} ${note.model}`;
@@ -87,7 +87,7 @@
   summariesToShare(
     model: string | undefined,
     limit: number,
-  ): readonly SummaryNote[] {
+  ): readonly SummaryMessage[] {
     const now = this.clock.monotonicMilliseconds();
     const chosen: DirectoryEntry[] = [];
     for (const entry of this.entries.values()) {
@@ -117,7 +117,7 @@
   }
 
   /** Replaces a cell's summaries by its owner's answer: the cell doesn't serve models that are missing there. */
-  replaceSummaries(cell: string, notes: readonly SummaryNote[]): void {
+  replaceSummaries(cell: string, notes: readonly SummaryMessage[]): void {
     for (const [key, {note}] of this.entries) {
       if (note.cell === cell) {
         this.entries.delete(key);
--- a/src/features/routing/node/cellOwner.ts
+++ b/src/features/routing/node/cellOwner.ts
@@ -2,10 +2,10 @@
 import {Metrics} from '../../../infrastructure/metrics/common/metrics.js';
 import {Configuration} from '../../configuration/common/configuration.js';
 import {
-  ReplanCall,
-  ReserveAnswer,
-  ReserveCall,
-  SummaryNote,
+  ReplanRequest,
+  ReserveResponse,
+  ReserveRequest,
+  SummaryMessage,
 } from '../common/cellMessages.js';
 import {Cell} from '../common/cells.js';
 import {
@@ -19,8 +19,8 @@
   StageView,
   WorkEstimate,
 } from '../common/routing.js';
-import {ShareAccounts} from '../common/shareAccounts.js';
-import {slotSummary} from '../common/slotSummary.js';
+import {ShareAccounting} from '../common/shareAccounting.js';
+import {summarizeSlots} from '../common/slotSummary.js';
 import {DecayedMean} from '../common/decayedMean.js';
 import {StageRegistry} from './stageRegistry.js';
 
@@ -56,7 +56,7 @@
 /** Makes the routing decisions for one cell and tracks its outstanding reservations. */
 export class CellOwner {
   private readonly records = new Map<string, ReservationRecord>();
-  private readonly shareAccounts = new ShareAccounts();
+  private readonly shareAccounts = new ShareAccounting();
   private readonly meanWorkByClass = new Map<string, DecayedMean>();
   private sweptAt = 0;
 
@@ -72,10 +72,10 @@
 
   /** Decides on one request. A repeated call replaces the reservation made by the earlier one. */
   reserve(
-    call: ReserveCall,
+    call: ReserveRequest,
     configuration: Configuration,
     now: number,
-  ): ReserveAnswer {
+  ): ReserveResponse {
     this.removeExpired(now);
     const earlier = this.records.get(call.reservationId);
     if (earlier !== undefined) {
@@ -101,7 +101,7 @@
 
   /** Tries each candidate version: during a rolling update, replicas with the previous version serve too. */
   private decide(
-    call: ReserveCall,
+    call: ReserveRequest,
     configuration: Configuration,
     shares: ShareView,
     now: number,
@@ -127,7 +127,7 @@
 
   /** The version that began the reply; otherwise the configured version, then others that the cell's engines hold. */
   private candidateVersions(
-    {model, work}: ReserveCall,
+    {model, work}: ReserveRequest,
     configuration: Configuration,
   ): readonly string[] {
     if (work.version !== undefined) {
@@ -145,10 +145,10 @@
 
   /** Decides again without the excluded upstreams. The old reservation ends only if a new one is made. */
   replan(
-    call: ReplanCall,
+    call: ReplanRequest,
     configuration: Configuration,
     now: number,
-  ): ReserveAnswer {
+  ): ReserveResponse {
     const replaced = this.records.get(call.replaces);
     if (replaced !== undefined) {
       this.removeFromLedgers(call.replaces, replaced, now);
@@ -174,7 +174,7 @@
   }
 
   /** Summaries for other instances, one for each model in the cell. */
-  summaries(now: number): readonly SummaryNote[] {
+  summaries(now: number): readonly SummaryMessage[] {
     const byModel = new Map<string, StageView[]>();
     for (const {view, model} of this.stages(now)) {
       byModel.set(model, [...(byModel.get(model) ?? []), view]);
@@ -182,7 +182,7 @@
     return [...byModel].map(([model, stages]) => ({
       cell: this.cell.id,
       model,
-      ...slotSummary(stages, now),
+      ...summarizeSlots(stages, now),
       ageMilliseconds: 0,
     }));
   }
@@ -202,7 +202,7 @@
   }
 
   private viewFor(
-    call: ReserveCall,
+    call: ReserveRequest,
     configuration: Configuration,
     version: string,
     now: number,
@@ -224,7 +224,7 @@
   }
 
   /** Whether an engine holds the model version and adapter and may both prefill and decode. */
-  private serves(id: string, call: ReserveCall, version: string): boolean {
+  private serves(id: string, call: ReserveRequest, version: string): boolean {
     const report = this.dependencies.registry.get(id)?.ledger.report?.report;
     if (report === undefined || report.loading || report.role !== 'both') {
       return false;
@@ -238,7 +238,7 @@
   }
 
   private createReservation(
-    call: ReserveCall,
+    call: ReserveRequest,
     decision: RoutingDecision & {kind: 'admit'},
     version: string,
     now: number,
@@ -246,7 +246,10 @@
     const {work} = call;
     const {prediction, candidates, reason} = decision;
     const expectedMilliseconds = prediction.wholeMilliseconds;
-    const longest = Math.max(work.deadlineWithin, expectedMilliseconds);
+    const longest = Math.max(
+      work.deadlineWithinMilliseconds,
+      expectedMilliseconds,
+    );
     const record: ReservationRecord = {
       stages: decision.stages,
       classOfWork: work.classOfWork,
@@ -317,7 +320,7 @@
     const excessMilliseconds = heldMilliseconds - record.expectedMilliseconds;
     const {classOfWork, clientAccount} = record;
     this.recordUse(record, excessMilliseconds, now);
-    this.shareAccounts.recordWant(
+    this.shareAccounts.addDemand(
       classOfWork,
       clientAccount,
       excessMilliseconds,
@@ -351,8 +354,11 @@
     const wanted =
       decision.kind === 'admit'
         ? decision.prediction.wholeMilliseconds
-        : this.meanWorkOf(work.classOfWork).value(work.deadlineWithin / 2, now);
-    this.shareAccounts.recordWant(
+        : this.meanWorkOf(work.classOfWork).value(
+            work.deadlineWithinMilliseconds / 2,
+            now,
+          );
+    this.shareAccounts.addDemand(
       work.classOfWork,
       work.clientAccount,
       wanted,
@@ -366,7 +372,7 @@
     now: number,
   ): void {
     const {classOfWork, clientAccount} = record;
-    this.shareAccounts.recordUse(classOfWork, clientAccount, amount, now);
+    this.shareAccounts.addUsage(classOfWork, clientAccount, amount, now);
   }
 
   private meanWorkOf(classOfWork: string): DecayedMean {
@@ -426,7 +432,7 @@
   }
 
   private log(
-    call: ReserveCall,
+    call: ReserveRequest,
     view: CellView,
     decision: RoutingDecision,
   ): void {
--- a/src/features/routing/node/cellRouter.ts
+++ b/src/features/routing/node/cellRouter.ts
@@ -7,15 +7,15 @@
   decodeReleases,
   decodeReplan,
   decodeReserve,
-  encodeAnswer,
+  encodeResponse,
   encodeSummaries,
 } from '../common/cellCodec.js';
 import {CellAuthority} from '../common/cellMessages.js';
 import {
-  failureRow,
-  releaseRows,
-  replanRow,
-  reserveRow,
+  failureRowSchema,
+  releaseRowsSchema,
+  replanRowSchema,
+  reserveRowSchema,
   summariesCallSchema,
 } from '../common/cellSchemas.js';
 
@@ -24,21 +24,21 @@
 /** Creates the RPC procedures by which peers call a process's cells, under the name `cells`. */
 export function createCellRouter(authority: CellAuthority) {
   const cells = createRpcRouter({
-    reserve: peerProcedure.input(reserveRow).mutation(async request => {
+    reserve: peerProcedure.input(reserveRowSchema).mutation(async request => {
       const signal = request.signal ?? neverAborted;
       const call = decodeReserve(request.input);
-      return encodeAnswer(call, await authority.reserve(call, signal));
+      return encodeResponse(call, await authority.reserve(call, signal));
     }),
-    replan: peerProcedure.input(replanRow).mutation(async request => {
+    replan: peerProcedure.input(replanRowSchema).mutation(async request => {
       const signal = request.signal ?? neverAborted;
       const call = decodeReplan(request.input);
-      return encodeAnswer(call, await authority.replan(call, signal));
+      return encodeResponse(call, await authority.replan(call, signal));
     }),
     release: peerProcedure
-      .input(releaseRows)
+      .input(releaseRowsSchema)
       .mutation(({input}) => authority.release(decodeReleases(input))),
     reportFailure: peerProcedure
-      .input(failureRow)
+      .input(failureRowSchema)
       .mutation(({input}) => authority.reportFailure(decodeFailure(input))),
     summaries: peerProcedure
       .input(summariesCallSchema)
--- a/src/features/routing/node/cellSearch.ts
+++ b/src/features/routing/node/cellSearch.ts
@@ -5,7 +5,7 @@
   Logger,
 } from '../../../infrastructure/logging/common/logger.js';
 import {Metrics} from '../../../infrastructure/metrics/common/metrics.js';
-import {ReserveAnswer, ReserveCall} from '../common/cellMessages.js';
+import {ReserveResponse, ReserveRequest} from '../common/cellMessages.js';
 import {CellMap} from '../common/cellMap.js';
 import {chooseCells} from '../common/chooseCells.js';
 import {
@@ -32,7 +32,7 @@
   readonly metrics: Metrics;
 }
 
-type Refusal = ReserveAnswer & {kind: 'refused'};
+type Refusal = ReserveResponse & {kind: 'refused'};
 
 interface SearchRequest {
   readonly work: WorkEstimate;
@@ -159,7 +159,7 @@
   private async ask(
     cell: string,
     search: SearchRequest,
-  ): Promise<OwnerAnswer<ReserveAnswer> | undefined> {
+  ): Promise<OwnerAnswer<ReserveResponse> | undefined> {
     const call = this.createReserveCall(cell, search);
     const {replaced} = search;
     const isReplacedCell = replaced !== undefined && replaced.cell === cell;
@@ -188,7 +188,7 @@
     unanswered: readonly string[],
     search: SearchRequest,
     refusals: Refusal[],
-  ): Promise<OwnerAnswer<ReserveAnswer> | undefined> {
+  ): Promise<OwnerAnswer<ReserveResponse> | undefined> {
     const {localCells, instanceId, metrics} = this.dependencies;
     metrics.count('routing.decision.withoutOwner', 1);
     for (const cell of unanswered.slice(0, MAX_LOCAL_DECISIONS)) {
@@ -216,18 +216,20 @@
     cell: string,
     search: SearchRequest,
     margin = 0,
-  ): ReserveCall {
+  ): ReserveRequest {
     const {work, model, excluded} = search;
     const elapsed = this.now() - search.startedAt;
-    const remaining = (work.firstTokenWithin - elapsed) * (1 - margin);
+    const remaining =
+      (work.firstTokenWithinMilliseconds - elapsed) * (1 - margin);
     return {
       cell,
       model,
       reservationId: this.dependencies.ids.next(),
       work: {
         ...work,
-        firstTokenWithin: Math.round(remaining * 10) / 10,
-        deadlineWithin: Math.round((work.deadlineWithin - elapsed) * 10) / 10,
+        firstTokenWithinMilliseconds: Math.round(remaining * 10) / 10,
+        deadlineWithinMilliseconds:
+          Math.round((work.deadlineWithinMilliseconds - elapsed) * 10) / 10,
       },
       excluded,
       releases: [],
@@ -236,7 +238,7 @@
 
   private accept(
     search: SearchRequest,
-    ownerAnswer: OwnerAnswer<ReserveAnswer>,
+    ownerAnswer: OwnerAnswer<ReserveResponse>,
     refusedBefore: number,
   ): ReservationReply {
     const {answer, instanceId} = ownerAnswer;
--- a/src/features/routing/node/defaultCapacityBroker.ts
+++ b/src/features/routing/node/defaultCapacityBroker.ts
@@ -6,7 +6,7 @@
 import {Metrics} from '../../../infrastructure/metrics/common/metrics.js';
 import {SystemView} from '../../membership/common/systemView.js';
 import {SystemViewSource} from '../../membership/common/systemViewSource.js';
-import {CellAuthority, ReleaseNote} from '../common/cellMessages.js';
+import {CellAuthority, ReleaseMessage} from '../common/cellMessages.js';
 import {CellMap} from '../common/cellMap.js';
 import {LaxityPolicy} from '../common/laxityPolicy.js';
 import {
@@ -18,7 +18,7 @@
   StageObservation,
   WorkEstimate,
 } from '../common/routing.js';
-import {Place, ServiceChooser} from '../common/serviceChooser.js';
+import {ProcessLocation, ServiceChooser} from '../common/serviceChooser.js';
 import {CellOwnerClient, PeerAuthorityFactory} from './cellOwnerClient.js';
 import {CellDirectory} from './cellDirectory.js';
 import {CellSearch} from './cellSearch.js';
@@ -39,7 +39,7 @@
   readonly instanceId: string;
   /** Identifies this run of the process, so that its reservation ids differ from those of an earlier run. */
   readonly incarnation: string;
-  readonly place: Place;
+  readonly place: ProcessLocation;
   /** Approximate number of replicas in a cell. */
   readonly cellSize: number;
   /** Defaults to `LaxityPolicy`. */
@@ -127,7 +127,7 @@
   ): void {
     const {cell} = reservation;
     const {localId, grantedBy} = this.ids.parse(reservation.reservationId);
-    const note: ReleaseNote = {
+    const note: ReleaseMessage = {
       cell,
       reservationId: localId,
       observations: observations.map(roundObservation),
--- a/src/features/routing/node/localCells.ts
+++ b/src/features/routing/node/localCells.ts
@@ -11,12 +11,12 @@
 import {SystemView} from '../../membership/common/systemView.js';
 import {
   CellAuthority,
-  FailureNote,
-  ReleaseNote,
-  ReplanCall,
-  ReserveAnswer,
-  ReserveCall,
-  SummaryNote,
+  FailureMessage,
+  ReleaseMessage,
+  ReplanRequest,
+  ReserveResponse,
+  ReserveRequest,
+  SummaryMessage,
 } from '../common/cellMessages.js';
 import {CellMap} from '../common/cellMap.js';
 import {RoutingPolicy} from '../common/routing.js';
@@ -25,7 +25,7 @@
 import {CellOwner} from './cellOwner.js';
 import {ReportPoller} from './reportPoller.js';
 import {StageRegistry} from './stageRegistry.js';
-import {UpstreamJoins} from '../common/upstreamJoins.js';
+import {UpstreamJoinTracker} from '../common/upstreamJoinTracker.js';
 
 /** Collaborators of the local cells. */
 export interface LocalCellsDependencies {
@@ -61,7 +61,7 @@
   private readonly held = new Map<string, HeldCell>();
   private readonly registry: StageRegistry;
   private readonly poller: ReportPoller;
-  private readonly upstreamJoins = new UpstreamJoins();
+  private readonly upstreamJoins = new UpstreamJoinTracker();
   private cells = CellMap.empty;
   private configuration: Configuration = emptyConfiguration;
   private housekeepingTimer: Disposable | undefined;
@@ -99,21 +99,21 @@
     this.trackEngines(now);
   }
 
-  override async reserve(call: ReserveCall): Promise<ReserveAnswer> {
+  override async reserve(call: ReserveRequest): Promise<ReserveResponse> {
     const owner = await this.prepareOwner(call);
     return owner === undefined
       ? refuseUnknownCell()
       : this.answer(call, owner.reserve(call, this.configuration, this.now()));
   }
 
-  override async replan(call: ReplanCall): Promise<ReserveAnswer> {
+  override async replan(call: ReplanRequest): Promise<ReserveResponse> {
     const owner = await this.prepareOwner(call);
     return owner === undefined
       ? refuseUnknownCell()
       : this.answer(call, owner.replan(call, this.configuration, this.now()));
   }
 
-  override release(notes: readonly ReleaseNote[]): void {
+  override release(notes: readonly ReleaseMessage[]): void {
     const now = this.now();
     for (const {cell, reservationId, observations} of notes) {
       for (const observation of observations) {
@@ -123,13 +123,13 @@
     }
   }
 
-  override reportFailure(note: FailureNote): void {
+  override reportFailure(note: FailureMessage): void {
     this.registry.observe(note.observation, this.now());
   }
 
   override async summaries(
     model: string | undefined,
-  ): Promise<readonly SummaryNote[]> {
+  ): Promise<readonly SummaryMessage[]> {
     this.updateDirectory();
     return this.dependencies.directory.summariesToShare(model, MAX_SUMMARIES);
   }
@@ -149,7 +149,10 @@
   }
 
   /** Adds a few summaries of other cells, so that requesters learn of them without another call. */
-  private answer(call: ReserveCall, answer: ReserveAnswer): ReserveAnswer {
+  private answer(
+    call: ReserveRequest,
+    answer: ReserveResponse,
+  ): ReserveResponse {
     const {directory} = this.dependencies;
     directory.recordSummaries(answer.summaries);
     const others = directory
@@ -195,7 +198,7 @@
     return owner;
   }
 
-  private prepareOwner(call: ReserveCall): Promise<CellOwner | undefined> {
+  private prepareOwner(call: ReserveRequest): Promise<CellOwner | undefined> {
     this.release(call.releases);
     return this.prepareCell(call.cell);
   }
@@ -234,7 +237,9 @@
     const engines = [...this.held.keys()].flatMap(
       id => this.cells.get(id)?.engines ?? [],
     );
-    this.registry.track(engines, now, id => this.upstreamJoins.isNew(id, now));
+    this.registry.track(engines, now, id =>
+      this.upstreamJoins.hasJoinedRecently(id, now),
+    );
   }
 
   private scheduleHousekeeping(): void {
@@ -295,7 +300,7 @@
 
 const UNKNOWN_CELL_RETRY_MILLISECONDS = 1000;
 
-function refuseUnknownCell(): ReserveAnswer {
+function refuseUnknownCell(): ReserveResponse {
   return {
     kind: 'refused',
     reason: 'noUpstream',
--- a/src/features/routing/node/peerCells.ts
+++ b/src/features/routing/node/peerCells.ts
@@ -3,7 +3,7 @@
 import {Metrics} from '../../../infrastructure/metrics/common/metrics.js';
 import {createRpcClient} from '../../../infrastructure/rpc/node/rpc.js';
 import {
-  decodeAnswer,
+  decodeResponse,
   decodeSummaries,
   encodeFailure,
   encodeReleases,
@@ -12,14 +12,14 @@
 } from '../common/cellCodec.js';
 import {
   CellAuthority,
-  FailureNote,
-  ReleaseNote,
-  ReplanCall,
-  ReserveAnswer,
-  ReserveCall,
-  SummaryNote,
+  FailureMessage,
+  ReleaseMessage,
+  ReplanRequest,
+  ReserveResponse,
+  ReserveRequest,
+  SummaryMessage,
 } from '../common/cellMessages.js';
-import {answerRow, summaryRows} from '../common/cellSchemas.js';
+import {responseRowSchema, summaryRowsSchema} from '../common/cellSchemas.js';
 import {CellRouter} from './cellRouter.js';
 
 /** Time for which releases are batched if no other call carries them. */
@@ -31,7 +31,7 @@
 /** Client for the cells of one peer. Calls reject if the peer is unreachable or the signal is aborted. */
 export class PeerCells extends CellAuthority {
   private readonly client;
-  private releases: ReleaseNote[] = [];
+  private releases: ReleaseMessage[] = [];
   private flushTimer: Disposable | undefined;
 
   constructor(
@@ -46,25 +46,25 @@
   }
 
   override async reserve(
-    call: ReserveCall,
+    call: ReserveRequest,
     signal: AbortSignal,
-  ): Promise<ReserveAnswer> {
+  ): Promise<ReserveResponse> {
     const row = encodeReserve(this.withPendingReleases(call));
     const answer = await this.client.call.cells.reserve.mutate(row, {signal});
-    return decodeAnswer(call, answerRow.parse(answer));
+    return decodeResponse(call, responseRowSchema.parse(answer));
   }
 
   override async replan(
-    call: ReplanCall,
+    call: ReplanRequest,
     signal: AbortSignal,
-  ): Promise<ReserveAnswer> {
+  ): Promise<ReserveResponse> {
     const row = encodeReplan(this.withPendingReleases(call));
     const answer = await this.client.call.cells.replan.mutate(row, {signal});
-    return decodeAnswer(call, answerRow.parse(answer));
+    return decodeResponse(call, responseRowSchema.parse(answer));
   }
 
   /** Batches releases; they are sent with the next call or, soon after, on their own. */
-  override release(notes: readonly ReleaseNote[]): void {
+  override release(notes: readonly ReleaseMessage[]): void {
     this.releases.push(...notes);
     const excess = this.releases.length - MAX_PENDING_RELEASES;
     if (excess > 0) {
@@ -76,7 +76,7 @@
     );
   }
 
-  override reportFailure(note: FailureNote): void {
+  override reportFailure(note: FailureMessage): void {
     this.notice(signal =>
       this.client.call.cells.reportFailure.mutate(encodeFailure(note), {
         signal,
@@ -87,13 +87,13 @@
   override async summaries(
     model: string | undefined,
     signal: AbortSignal,
-  ): Promise<readonly SummaryNote[]> {
+  ): Promise<readonly SummaryMessage[]> {
     const {summaries} = this.client.call.cells;
     const rows = await summaries.mutate({model}, {signal});
-    return decodeSummaries(summaryRows.parse(rows));
+    return decodeSummaries(summaryRowsSchema.parse(rows));
   }
 
-  private withPendingReleases<Call extends ReserveCall>(call: Call): Call {
+  private withPendingReleases<Call extends ReserveRequest>(call: Call): Call {
     return {
       ...call,
       releases: [...call.releases, ...this.takePendingReleases()],
@@ -111,7 +111,7 @@
     }
   }
 
-  private takePendingReleases(): readonly ReleaseNote[] {
+  private takePendingReleases(): readonly ReleaseMessage[] {
     this.flushTimer?.dispose();
     this.flushTimer = undefined;
     const releases = this.releases;
--- a/src/features/routing/node/stageRegistry.ts
+++ b/src/features/routing/node/stageRegistry.ts
@@ -73,7 +73,12 @@
       return;
     }
     const {decodeMilliseconds, linkMilliseconds, steps} = observation;
-    stage.ledger.learn(decodeMilliseconds, linkMilliseconds, steps, now);
+    stage.ledger.addMeasurements(
+      decodeMilliseconds,
+      linkMilliseconds,
+      steps,
+      now,
+    );
     this.updateConcurrencyLimit(stage, decodeMilliseconds, now);
     if (observation.outcome === 'refused') {
       const until = now + REFUSAL_BACKOFF_MILLISECONDS;
@@ -112,7 +117,7 @@
     }
     this.consecutiveReportFailures.delete(report.upstream);
     const previousReport = stage.ledger.report?.report;
-    const hasRestarted = stage.ledger.takeReport(
+    const hasRestarted = stage.ledger.applyReport(
       report,
       roundTripMilliseconds,
       now,
@@ -157,7 +162,7 @@
         learnedLimit,
         now,
       ),
-      busyUntil: ledger.busyUntil(now),
+      expectedFinishTimes: ledger.predictFinishTimes(now),
       decodeMilliseconds: ledger.decodeMilliseconds(now),
       prefillMillisecondsPerToken: report.prefillMillisecondsPerToken,
       linkMilliseconds: ledger.linkMilliseconds(now),
@@ -181,7 +186,7 @@
       return;
     }
     const {id} = stage.member;
-    const resident = stage.ledger.busyUntil(now).length;
+    const resident = stage.ledger.predictFinishTimes(now).length;
     this.limits.observe(id, decodeMilliseconds, resident, reportedLimit, now);
   }
 
--- a/src/features/routing/test/brokerCluster.ts
+++ b/src/features/routing/test/brokerCluster.ts
@@ -7,12 +7,12 @@
 import {FakeClock, settle} from '../../../../test/support/fakeClock.js';
 import {
   CellAuthority,
-  FailureNote,
-  ReleaseNote,
-  ReplanCall,
-  ReserveAnswer,
-  ReserveCall,
-  SummaryNote,
+  FailureMessage,
+  ReleaseMessage,
+  ReplanRequest,
+  ReserveResponse,
+  ReserveRequest,
+  SummaryMessage,
 } from '../common/cellMessages.js';
 import {DefaultCapacityBroker} from '../node/defaultCapacityBroker.js';
 import {
@@ -119,32 +119,32 @@
     super();
   }
 
-  override reserve(call: ReserveCall, signal: AbortSignal) {
-    return this.send<ReserveAnswer>(signal, target =>
+  override reserve(call: ReserveRequest, signal: AbortSignal) {
+    return this.send<ReserveResponse>(signal, target =>
       target.reserve(cloneAsJson(call), signal),
     );
   }
 
-  override replan(call: ReplanCall, signal: AbortSignal) {
-    return this.send<ReserveAnswer>(signal, target =>
+  override replan(call: ReplanRequest, signal: AbortSignal) {
+    return this.send<ReserveResponse>(signal, target =>
       target.replan(cloneAsJson(call), signal),
     );
   }
 
-  override release(notes: readonly ReleaseNote[]): void {
+  override release(notes: readonly ReleaseMessage[]): void {
     if (this.isUp && !this.cluster.dropsReleases) {
       this.target.release(cloneAsJson(notes));
     }
   }
 
-  override reportFailure(note: FailureNote): void {
+  override reportFailure(note: FailureMessage): void {
     if (this.isUp) {
       this.target.reportFailure(cloneAsJson(note));
     }
   }
 
   override summaries(model: string | undefined, signal: AbortSignal) {
-    return this.send<readonly SummaryNote[]>(signal, target =>
+    return this.send<readonly SummaryMessage[]>(signal, target =>
       target.summaries(model, signal),
     );
   }
--- a/src/features/routing/test/cells.test.ts
+++ b/src/features/routing/test/cells.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {CellOwnership} from '../common/cellOwnership.js';
-import {divideIntoCells} from '../common/cells.js';
+import {partitionIntoCells} from '../common/cells.js';
 import {engineMember, instanceMember, systemView} from './routingFakes.js';
 
 const replicaCount = fc.integer({min: 1, max: 120});
@@ -16,7 +16,10 @@
 
 function cellOfEach(count: number, prefix: string, size: number) {
   const found = new Map<string, string>();
-  for (const cell of divideIntoCells(replicas(count, prefix), size).values()) {
+  for (const cell of partitionIntoCells(
+    replicas(count, prefix),
+    size,
+  ).values()) {
     cell.engines.forEach(engine => found.set(engine.id, cell.id));
   }
   return found;
@@ -31,7 +34,7 @@
         fc.string(),
         (count, size, prefix) => {
           const cells = [
-            ...divideIntoCells(replicas(count, prefix), size).values(),
+            ...partitionIntoCells(replicas(count, prefix), size).values(),
           ];
           const ids = cells.flatMap(cell =>
             cell.engines.map(engine => engine.id),
@@ -76,7 +79,7 @@
     const engines = row.centres.map((dataCentre, index) =>
       engineMember(`e${index}`, {dataCentre, group: 'replica'}),
     );
-    expect([...divideIntoCells(engines, 8).keys()]).toEqual([row.home]);
+    expect([...partitionIntoCells(engines, 8).keys()]).toEqual([row.home]);
   });
 });
 
@@ -84,7 +87,7 @@
   const instances = Array.from({length: 40}, (_, index) =>
     instanceMember(`i${index}`),
   );
-  const cells = [...divideIntoCells(replicas(400, 'e'), 4).values()];
+  const cells = [...partitionIntoCells(replicas(400, 'e'), 4).values()];
 
   function owners(among: typeof instances): Map<string, string> {
     const {instances: views} = systemView(among, []);
--- a/src/features/routing/test/common/cellSchemas.test.ts
+++ b/src/features/routing/test/common/cellSchemas.test.ts
@@ -1,13 +1,13 @@
 import {expect, it} from 'vitest';
 
 import {
-  decodeAnswer,
+  decodeResponse,
   decodeReserve,
-  encodeAnswer,
+  encodeResponse,
   encodeReserve,
 } from '../../common/cellCodec.js';
-import {ReserveAnswer, ReserveCall} from '../../common/cellMessages.js';
-import {answerRow, reserveRow} from '../../common/cellSchemas.js';
+import {ReserveResponse, ReserveRequest} from '../../common/cellMessages.js';
+import {responseRowSchema, reserveRowSchema} from '../../common/cellSchemas.js';
 import {WorkEstimate} from '../../common/routing.js';
 
 const work: Required<WorkEstimate> = {
@@ -20,9 +20,9 @@
   prefixKey: 'p',
   prefixTokens: 32,
   version: '2',
-  firstTokenWithin: 500,
-  betweenTokensTarget: 60,
-  deadlineWithin: 4000,
+  firstTokenWithinMilliseconds: 500,
+  betweenTokensTargetMilliseconds: 60,
+  deadlineWithinMilliseconds: 4000,
   priority: 1,
   inProgress: true,
 };
@@ -40,7 +40,7 @@
     },
   ],
 };
-const call: ReserveCall = {
+const call: ReserveRequest = {
   cell: 'one',
   model: 'm',
   reservationId: 'i',
@@ -64,7 +64,9 @@
   (_, variant) => {
     const sent = {...call, work: variant};
     const text = JSON.stringify(encodeReserve(sent));
-    expect(decodeReserve(reserveRow.parse(JSON.parse(text)))).toEqual(sent);
+    expect(decodeReserve(reserveRowSchema.parse(JSON.parse(text)))).toEqual(
+      sent,
+    );
   },
 );
 
@@ -82,7 +84,7 @@
   earliestStartMilliseconds: 20,
   ageMilliseconds: 7,
 };
-const answers: readonly ReserveAnswer[] = [
+const answers: readonly ReserveResponse[] = [
   {
     kind: 'reserved',
     reservation: {
@@ -117,8 +119,8 @@
 it.each(answers)(
   'an answer of kind $kind is decoded as it was encoded',
   answer => {
-    const text = JSON.stringify(encodeAnswer(call, answer));
-    const row = answerRow.parse(JSON.parse(text));
-    expect(decodeAnswer(call, row)).toEqual(answer);
+    const text = JSON.stringify(encodeResponse(call, answer));
+    const row = responseRowSchema.parse(JSON.parse(text));
+    expect(decodeResponse(call, row)).toEqual(answer);
   },
 );
--- a/src/features/routing/test/common/chooseCells.test.ts
+++ b/src/features/routing/test/common/chooseCells.test.ts
@@ -3,7 +3,7 @@
 import {CellSummary, chooseCells} from '../../common/chooseCells.js';
 import {WorkEstimate} from '../../common/routing.js';
 
-const work = {firstTokenWithin: 500} as WorkEstimate;
+const work = {firstTokenWithinMilliseconds: 500} as WorkEstimate;
 
 function summary(
   cell: string,
--- a/src/features/routing/test/common/laxityPolicy.test.ts
+++ b/src/features/routing/test/common/laxityPolicy.test.ts
@@ -25,9 +25,9 @@
   promptTokens: 100,
   outputTokens: 11,
   prefixKey: undefined,
-  firstTokenWithin: 500,
-  betweenTokensTarget: 60,
-  deadlineWithin: 5000,
+  firstTokenWithinMilliseconds: 500,
+  betweenTokensTargetMilliseconds: 60,
+  deadlineWithinMilliseconds: 5000,
   priority: 0,
 };
 
@@ -47,7 +47,7 @@
     health: 'healthy',
     leaving: false,
     sequenceLimit: 2,
-    busyUntil: [],
+    expectedFinishTimes: [],
     decodeMilliseconds: 10,
     prefillMillisecondsPerToken: 1,
     linkMilliseconds: 1,
@@ -73,7 +73,7 @@
 const replicaY = (changes?: Partial<StageView>): StageView =>
   stage('y', 0, 8, changes);
 const busyFor = (...waits: readonly number[]): Partial<StageView> => ({
-  busyUntil: waits.map(wait => NOW + wait),
+  expectedFinishTimes: waits.map(wait => NOW + wait),
 });
 const slow = {decodeMilliseconds: 20};
 const quarantined = {health: 'quarantined' as const};
@@ -121,19 +121,19 @@
   [
     'takes the fast replica for a tight target',
     cellView(replicaX(slow), replicaY()),
-    {betweenTokensTarget: 30},
+    {betweenTokensTargetMilliseconds: 30},
     'y.0',
   ],
   [
     'takes the slow replica for a loose target',
     cellView(replicaX(slow), replicaY()),
-    {betweenTokensTarget: 300},
+    {betweenTokensTargetMilliseconds: 300},
     'x.0',
   ],
   [
     'refuses if the time between tokens is too long',
     cellView(replicaX(slow)),
-    {betweenTokensTarget: 20},
+    {betweenTokensTargetMilliseconds: 20},
     'cannotMeetTarget 5000',
   ],
   [
@@ -181,13 +181,13 @@
   [
     'refuses if the age of the load report raises the time between tokens past the target',
     cellView(replicaX({reportAgeMilliseconds: Infinity})),
-    {betweenTokensTarget: 11.4},
+    {betweenTokensTargetMilliseconds: 11.4},
     'cannotMeetTarget 5000',
   ],
   [
     'refuses if the first token would be late',
     cellView(replicaY()),
-    {firstTokenWithin: 9},
+    {firstTokenWithinMilliseconds: 9},
     'cannotMeetTarget 5000',
   ],
   [
@@ -211,13 +211,13 @@
   [
     'refuses work in progress that would miss its deadline',
     cellView(replicaX(slow)),
-    {...lostStages, deadlineWithin: 300},
+    {...lostStages, deadlineWithinMilliseconds: 300},
     'cannotMeetTarget 5000',
   ],
   [
     'admits at the same target if the load report is new',
     cellView(replicaX()),
-    {betweenTokensTarget: 11.4},
+    {betweenTokensTargetMilliseconds: 11.4},
     'x.0',
   ],
 ];
@@ -380,7 +380,7 @@
                   upstream: String(index),
                   health: drawnStage.health,
                   leaving: drawnStage.leaving,
-                  busyUntil: drawnStage.finishes
+                  expectedFinishTimes: drawnStage.finishes
                     .map(finish => NOW + finish)
                     .sort((a, b) => a - b),
                 },
--- a/src/features/routing/test/common/queueModel.ts
+++ b/src/features/routing/test/common/queueModel.ts
@@ -6,7 +6,7 @@
   RoutingPolicy,
   StageView,
 } from '../../common/routing.js';
-import {ShareAccounts} from '../../common/shareAccounts.js';
+import {ShareAccounting} from '../../common/shareAccounting.js';
 import {
   Arrival,
   betweenTargetOf,
@@ -85,15 +85,16 @@
       start + arrival.promptTokens * PREFILL_MILLISECONDS_PER_TOKEN * factor;
     const finish =
       first + (arrival.actualOutput - 1) * STEP_MILLISECONDS * factor;
-    const deadline = arrivedAt + arrival.deadlineWithin;
+    const deadline = arrivedAt + arrival.deadlineWithinMilliseconds;
     const actual = Math.min(finish, Math.max(deadline, start));
     chosen.forEach(({upstream}, index) => {
       const entry = {predicted: arrivedAt + predictedMilliseconds, actual};
       this.resident.set(upstream, [...residencies[index]!, entry]);
     });
-    const isFirstTokenInTime = first <= arrivedAt + arrival.firstTokenWithin;
+    const isFirstTokenInTime =
+      first <= arrivedAt + arrival.firstTokenWithinMilliseconds;
     const areTokensInTime =
-      STEP_MILLISECONDS * factor <= arrival.betweenTokensTarget;
+      STEP_MILLISECONDS * factor <= arrival.betweenTokensTargetMilliseconds;
     return isFirstTokenInTime && areTokensInTime && finish <= deadline;
   }
 
@@ -121,7 +122,7 @@
       health: 'healthy',
       leaving: false,
       sequenceLimit: this.one.slots,
-      busyUntil: finishes.sort((a, b) => a - b),
+      expectedFinishTimes: finishes.sort((a, b) => a - b),
       decodeMilliseconds: STEP_MILLISECONDS / share,
       linkMilliseconds: 0,
       prefillMillisecondsPerToken: PREFILL_MILLISECONDS_PER_TOKEN / share,
@@ -139,7 +140,7 @@
   const capacity = queueCase.slots * sumOf(speeds);
   const warmUpMilliseconds = WARM_UP_SHARE * queueCase.milliseconds;
   const model = new QueueModel(queueCase);
-  const accounts = new ShareAccounts();
+  const accounts = new ShareAccounting();
   const targets = new Map(
     CLASSES.map(trafficClass => [trafficClass.name, trafficClass.part]),
   );
@@ -174,12 +175,12 @@
       arrival,
       arrivedAt,
     );
-    accounts.recordWant(classOfWork, account, estimate, arrivedAt);
+    accounts.addDemand(classOfWork, account, estimate, arrivedAt);
     if (decision.kind === 'refuse') {
       continue;
     }
     admitted += 1;
-    accounts.recordUse(classOfWork, account, estimate, arrivedAt);
+    accounts.addUsage(classOfWork, account, estimate, arrivedAt);
     const predictedMilliseconds = decision.prediction.wholeMilliseconds;
     if (model.place(arrival, decision.stages, predictedMilliseconds)) {
       onTimeRequests += 1;
--- a/src/features/routing/test/common/queueWorkload.ts
+++ b/src/features/routing/test/common/queueWorkload.ts
@@ -83,9 +83,12 @@
       adapter: undefined,
       prefixKey: undefined,
       priority: 0,
-      firstTokenWithin: trafficClass.first,
-      betweenTokensTarget: betweenTargetOf(trafficClass.name, queueCase),
-      deadlineWithin:
+      firstTokenWithinMilliseconds: trafficClass.first,
+      betweenTokensTargetMilliseconds: betweenTargetOf(
+        trafficClass.name,
+        queueCase,
+      ),
+      deadlineWithinMilliseconds:
         trafficClass.fixed +
         trafficClass.own * slotMillisecondsOf(promptTokens, actualOutput),
     });
--- a/src/features/routing/test/common/shares.test.ts
+++ b/src/features/routing/test/common/shares.test.ts
@@ -4,9 +4,9 @@
 import {WorkEstimate} from '../../common/routing.js';
 import {
   SHARE_TIME_CONSTANT_MILLISECONDS,
-  ShareAccounts,
-} from '../../common/shareAccounts.js';
-import {assessFairShare} from '../../common/shareStanding.js';
+  ShareAccounting,
+} from '../../common/shareAccounting.js';
+import {assessFairShare} from '../../common/fairShareStatus.js';
 
 const claimants = fc.array(
   fc.record({
@@ -40,14 +40,14 @@
   });
 });
 
-describe('ShareAccounts', () => {
+describe('ShareAccounting', () => {
   it('decays usage and demand and computes the mean work of a class', () => {
-    const accounts = new ShareAccounts();
-    accounts.recordWant('c', 'a', 100, 0);
-    accounts.recordWant('c', 'b', 200, 0);
-    accounts.recordWant('c', 'b', 100, 0, 0);
-    accounts.recordUse('c', 'a', 100, 0);
-    accounts.recordUse('c', 'a', -40, 10);
+    const accounts = new ShareAccounting();
+    accounts.addDemand('c', 'a', 100, 0);
+    accounts.addDemand('c', 'b', 200, 0);
+    accounts.addDemand('c', 'b', 100, 0, 0);
+    accounts.addUsage('c', 'a', 100, 0);
+    accounts.addUsage('c', 'a', -40, 10);
     const view = accounts.view(new Map(), SHARE_TIME_CONSTANT_MILLISECONDS);
     expect(view.usedByAccount.get('c/a')).toBeCloseTo(60 / Math.E);
     expect(view.usedByClass.get('c')).toBeCloseTo(60 / Math.E);
@@ -56,11 +56,11 @@
   });
 
   it('drops small sums, and the smallest ones if there are too many', () => {
-    const accounts = new ShareAccounts();
+    const accounts = new ShareAccounting();
     for (let index = 0; index < 20000; index += 1) {
-      accounts.recordWant('c', `a${index}`, 10, 0);
+      accounts.addDemand('c', `a${index}`, 10, 0);
     }
-    accounts.recordWant('c', 'large', 1e6, 0);
+    accounts.addDemand('c', 'large', 1e6, 0);
     const early = accounts.view(new Map(), 0).demandByAccount;
     expect(early.size).toBeLessThanOrEqual(4096);
     expect(early.get('c/large')).toBe(1e6);
--- a/src/features/routing/test/routingFakes.ts
+++ b/src/features/routing/test/routingFakes.ts
@@ -100,9 +100,9 @@
     promptTokens: 10,
     outputTokens: 20,
     prefixKey: undefined,
-    firstTokenWithin: 500,
-    betweenTokensTarget: 50,
-    deadlineWithin: 5000,
+    firstTokenWithinMilliseconds: 500,
+    betweenTokensTargetMilliseconds: 50,
+    deadlineWithinMilliseconds: 5000,
     priority: 1,
   };
 }
--- a/src/features/routing/test/stageLedger.test.ts
+++ b/src/features/routing/test/stageLedger.test.ts
@@ -32,7 +32,7 @@
         ageMilliseconds: step.reportAge ?? 0,
         engineIncarnation: step.incarnation ?? 'first',
       };
-      ledger.takeReport(report, 1, step.at);
+      ledger.applyReport(report, 1, step.at);
     }
   }
   return ledger;
@@ -40,7 +40,7 @@
 
 test('the link time of an engine not used yet is its shortest recent round trip', () => {
   const ledger = new StageLedger();
-  [200, 2, 9].forEach(trip => ledger.takeReport(engineReport('e1'), trip, 0));
+  [200, 2, 9].forEach(trip => ledger.applyReport(engineReport('e1'), trip, 0));
   expect(ledger.linkMilliseconds(0)).toBe(2);
 });
 
@@ -117,7 +117,7 @@
     },
   ];
   test.each(cases)('$name', ({steps, now, count}) => {
-    expect(ledgerAfter(steps).busyUntil(now).length).toBe(count);
+    expect(ledgerAfter(steps).predictFinishTimes(now).length).toBe(count);
   });
 
   test('includes overdue reservations, in order of their expected finish', () => {
@@ -125,7 +125,7 @@
       {at: 100, reserve: 'b'},
       {at: 0, reserve: 'a'},
     ]);
-    expect(late.busyUntil(HOLD + 1000)).toEqual([HOLD, HOLD + 100]);
+    expect(late.predictFinishTimes(HOLD + 1000)).toEqual([HOLD, HOLD + 100]);
   });
 });
 
