--- a/src/features/claims/common/boundClaims.ts
+++ b/src/features/claims/common/boundKeyClaimer.ts
@@ -1,25 +1,26 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Clock} from '../../../base/common/clock.js';
 import {RequestOutcome} from '../../requests/common/request.js';
-import {BoundKeys} from './boundKeys.js';
-import {AskAnswer} from './claimPeers.js';
-import {boundOutcome, isNotRun} from './claimRecord.js';
+import {BoundKeyRegistry} from './boundKeys.js';
+import {AskResponse} from './claimPeers.js';
+import {isNotRun, limitBodySize} from './claimRecord.js';
 import {ClaimDecision} from './claims.js';
-import {refuseReuse} from './fingerprints.js';
+import {checkKeyReuse} from './fingerprints.js';
 import {ClaimSettings} from './claimSettings.js';
-import {BoundBinding, ForeignOutcome, OutcomeFinder} from './outcomeFinder.js';
+import {
+  BoundKeyBinding,
+  RemoteOutcome,
+  OutcomeFinder,
+} from './outcomeFinder.js';
 import {OutcomeRecorder} from './outcomeRecorder.js';
 
 const UNKNOWN: RequestOutcome = {kind: 'unknown'};
 
-/**
- * Claims of keys that are bound to an incarnation. This incarnation decides about its own from
- * memory; about others it asks.
- */
-export class BoundClaims {
-  private readonly keys: BoundKeys;
-  /** Wall time at monotonic zero, taken once: the own time must not go back. */
-  private readonly wallOffset: number;
+/** Claims keys that are bound to an incarnation: from memory for this incarnation, else by asking the other one. */
+export class BoundKeyClaimer {
+  private readonly keys: BoundKeyRegistry;
+  /** Wall time at monotonic zero. Taken only once, because the time that is derived from it must not go back. */
+  private readonly wallOffsetMilliseconds: number;
 
   constructor(
     private readonly finder: OutcomeFinder,
@@ -28,30 +29,31 @@
     private readonly incarnation: string,
     private readonly settings: ClaimSettings,
   ) {
-    this.keys = new BoundKeys(settings);
-    this.wallOffset = clock.wallMilliseconds() - clock.monotonicMilliseconds();
+    this.keys = new BoundKeyRegistry(settings);
+    this.wallOffsetMilliseconds =
+      clock.wallMilliseconds() - clock.monotonicMilliseconds();
   }
 
-  /** Wall time as this incarnation counts it: it issues and judges its own grants by it. */
-  ownTime(): number {
-    return this.wallOffset + this.clock.monotonicMilliseconds();
+  /** Start time plus elapsed monotonic time; used to set and check the expiry of this incarnation's grants. */
+  steadyWallMilliseconds(): number {
+    return this.wallOffsetMilliseconds + this.clock.monotonicMilliseconds();
   }
 
   claim(
     keyHash: string,
-    binding: BoundBinding,
+    binding: BoundKeyBinding,
     token: CancellationToken,
     fingerprint?: string,
   ): Promise<ClaimDecision> {
     return binding.incarnation === this.incarnation
-      ? this.claimOwn(keyHash, binding, token, fingerprint)
-      : this.claimForeign(keyHash, binding, token, fingerprint);
+      ? this.claimLocal(keyHash, binding, token, fingerprint)
+      : this.claimRemote(keyHash, binding, token, fingerprint);
   }
 
-  /** Ends a running key; false when it isn't running here. */
+  /** Sets the outcome of a running key; false when the key is not running here. */
   complete(
     keyHash: string,
-    binding: BoundBinding,
+    binding: BoundKeyBinding,
     outcome: RequestOutcome,
   ): boolean {
     const expiresAt = binding.expiresAtWallMilliseconds;
@@ -70,27 +72,31 @@
 
   async lookUp(
     keyHash: string,
-    binding: BoundBinding,
+    binding: BoundKeyBinding,
     token: CancellationToken,
   ): Promise<RequestOutcome | undefined> {
     if (binding.incarnation !== this.incarnation) {
-      const foreign = await this.finder.foreignOutcome(keyHash, binding, token);
-      return lookedUp(foreign);
+      const remote = await this.finder.findRemoteOutcome(
+        keyHash,
+        binding,
+        token,
+      );
+      return toLookUpResult(remote);
     }
     const expiresAt = binding.expiresAtWallMilliseconds;
     const known = this.keys.get(keyHash, expiresAt);
     if (known !== undefined) {
-      return this.finder.withKeptReply(keyHash, known.outcome, token);
+      return this.finder.withRecordedResponse(keyHash, known.outcome, token);
     }
-    if (!this.keys.isForgotten(expiresAt, this.ownTime())) {
+    if (!this.keys.isRetentionOver(expiresAt, this.steadyWallMilliseconds())) {
       return undefined;
     }
-    const recorded = await this.finder.recorded(keyHash, token);
+    const recorded = await this.finder.readRecorded(keyHash, token);
     return recorded?.outcome ?? UNKNOWN;
   }
 
-  /** Whether the key is this incarnation's own and surely nothing ran or is running under it. */
-  isSurelyNotRun(keyHash: string, binding: BoundBinding): boolean {
+  /** Whether the key is bound to this incarnation and nothing ran or is running under it. */
+  isSurelyNotRun(keyHash: string, binding: BoundKeyBinding): boolean {
     if (binding.incarnation !== this.incarnation) {
       return false;
     }
@@ -101,37 +107,37 @@
     );
   }
 
-  /** What this incarnation says of one of its own keys. */
-  answer(keyHash: string, grantExpiresAt: number): AskAnswer {
-    const now = this.ownTime();
+  /** Answers a query about a key bound to this incarnation. */
+  answer(keyHash: string, grantExpiresAt: number): AskResponse {
+    const now = this.steadyWallMilliseconds();
     const known = this.keys.get(keyHash, grantExpiresAt);
     if (known !== undefined) {
       return {kind: 'seen', ...known};
     }
-    return this.keys.isForgotten(grantExpiresAt, now)
+    return this.keys.isRetentionOver(grantExpiresAt, now)
       ? {kind: 'forgotten'}
       : {kind: 'notSeen', closed: now >= grantExpiresAt};
   }
 
-  private async claimOwn(
+  private async claimLocal(
     keyHash: string,
-    binding: BoundBinding,
+    binding: BoundKeyBinding,
     token: CancellationToken,
     fingerprint: string | undefined,
   ): Promise<ClaimDecision> {
     const expiresAt = binding.expiresAtWallMilliseconds;
-    const now = this.ownTime();
-    const take = this.keys.take(keyHash, expiresAt, now, fingerprint);
-    switch (take.kind) {
+    const now = this.steadyWallMilliseconds();
+    const result = this.keys.tryClaim(keyHash, expiresAt, now, fingerprint);
+    switch (result.kind) {
       case 'granted':
       case 'keyReused':
-        return take;
+        return result;
       case 'seen':
         return {
           kind: 'duplicate',
-          outcome: await this.finder.withKeptReply(
+          outcome: await this.finder.withRecordedResponse(
             keyHash,
-            take.outcome,
+            result.outcome,
             token,
           ),
         };
@@ -141,36 +147,36 @@
         return {
           kind: 'noRoom',
           detail: 'this instance remembers as many keys as it may',
-          retryAfterMilliseconds: take.retryAfterMilliseconds,
+          retryAfterMilliseconds: result.retryAfterMilliseconds,
         };
       case 'forgotten':
-        return this.claimForgotten(keyHash, token, fingerprint);
+        return this.decideAfterRetention(keyHash, token, fingerprint);
     }
   }
 
-  private async claimForgotten(
+  private async decideAfterRetention(
     keyHash: string,
     token: CancellationToken,
     fingerprint: string | undefined,
   ): Promise<ClaimDecision> {
-    const recorded = await this.finder.recorded(keyHash, token);
+    const recorded = await this.finder.readRecorded(keyHash, token);
     return (
-      refuseReuse(recorded?.fingerprint, fingerprint) ?? {
+      checkKeyReuse(recorded?.fingerprint, fingerprint) ?? {
         kind: 'duplicate',
         outcome: recorded?.outcome ?? UNKNOWN,
       }
     );
   }
 
-  private async claimForeign(
+  private async claimRemote(
     keyHash: string,
-    binding: BoundBinding,
+    binding: BoundKeyBinding,
     token: CancellationToken,
     fingerprint: string | undefined,
   ): Promise<ClaimDecision> {
     const {incarnation} = binding;
-    const foreign = await this.finder.foreignOutcome(keyHash, binding, token);
-    switch (foreign.kind) {
+    const remote = await this.finder.findRemoteOutcome(keyHash, binding, token);
+    switch (remote.kind) {
       case 'closed':
         return {kind: 'refusedNotRun', detail: 'the grant has expired'};
       case 'notSeen':
@@ -178,18 +184,18 @@
         return {kind: 'heldElsewhere', incarnation, outcome: undefined};
       case 'outcome':
         return (
-          refuseReuse(foreign.fingerprint, fingerprint) ?? {
+          checkKeyReuse(remote.fingerprint, fingerprint) ?? {
             kind: 'heldElsewhere',
             incarnation,
-            outcome: unlessNotRun(foreign.outcome),
+            outcome: omitNotRun(remote.outcome),
           }
         );
     }
   }
 
   /**
-   * Outcomes that say `not run` are kept out of the table: the key may be granted again here, and
-   * the row would be out of date if this process then ended.
+   * Must not be called with a `not run` outcome: the key can be granted again, and the row would then be
+   * stale if this process ended before the new outcome was recorded.
    */
   private record(
     keyHash: string,
@@ -205,7 +211,7 @@
         incarnation,
         expiresAt: clock.wallMilliseconds() + rowRetentionMilliseconds,
         fingerprint,
-        outcome: boundOutcome(outcome, recordedBodyLimit),
+        outcome: limitBodySize(outcome, recordedBodyLimit),
       },
       condition: {kind: 'any'},
       done: () => undefined,
@@ -213,16 +219,16 @@
   }
 }
 
-/** Its incarnation may grant the key again, so that `not run` may be out of date when it arrives. */
-function unlessNotRun(outcome: RequestOutcome): RequestOutcome | undefined {
+/** Drops a `not run` outcome: the other incarnation may have granted the key again since it answered. */
+function omitNotRun(outcome: RequestOutcome): RequestOutcome | undefined {
   return isNotRun(outcome) ? undefined : outcome;
 }
 
-/** Undefined only when the incarnation itself says that it has not dispatched the key. */
-function lookedUp(foreign: ForeignOutcome): RequestOutcome | undefined {
-  switch (foreign.kind) {
+/** Undefined only when the key's incarnation answered that it has not dispatched the key. */
+function toLookUpResult(remote: RemoteOutcome): RequestOutcome | undefined {
+  switch (remote.kind) {
     case 'outcome':
-      return foreign.outcome;
+      return remote.outcome;
     case 'notAsked':
       return UNKNOWN;
     case 'notSeen':
--- a/src/features/claims/common/boundKeys.ts
+++ b/src/features/claims/common/boundKeys.ts
@@ -1,78 +1,79 @@
 import {RequestOutcome} from '../../requests/common/request.js';
-import {bodyLength, isNotRun, KnownKey} from './claimRecord.js';
-import {refuseReuse} from './fingerprints.js';
-import {HeldBodies} from './heldBodies.js';
+import {bodyLength, isNotRun, KeyState} from './claimRecord.js';
+import {checkKeyReuse} from './fingerprints.js';
+import {BodyMemoryBudget} from './bodyMemoryBudget.js';
 
-/** What came of taking a bound key. */
-export type BoundTake =
+/** The result of claiming a bound key of this incarnation. */
+export type BoundClaimResult =
   | {readonly kind: 'granted'}
   | {readonly kind: 'seen'; readonly outcome: RequestOutcome}
-  /** Granted for another request. */
+  /** The key was granted for a different request. */
   | {readonly kind: 'keyReused'; readonly sameWork: boolean}
   /** Never dispatched, and the grant has expired. */
   | {readonly kind: 'expired'}
-  /** So long expired that it may have been dispatched and forgotten. */
+  /** The retention is over: the key may have been dispatched and evicted since. */
   | {readonly kind: 'forgotten'}
-  /** Never dispatched, and there is no room to remember it until the time has passed. */
+  /** Never dispatched, and the registry has no capacity for the key until the next eviction. */
   | {readonly kind: 'full'; readonly retryAfterMilliseconds: number};
 
-/** Bounds of the memory; times in milliseconds. */
+/** Limits of the registry. */
 export interface BoundKeyLimits {
   readonly boundKeyLimit: number;
   readonly rememberAfterExpiryMilliseconds: number;
   readonly heldBodyLimit: number;
 }
 
-/** A bucket spans this share of the time that expired keys are remembered. */
-const BUCKET_SHARE = 0.1;
+/** Time span of a bucket as a fraction of the retention after expiry. */
+const BUCKET_RETENTION_RATIO = 0.1;
 const RUNNING: RequestOutcome = {kind: 'running'};
 
 /**
- * The bound keys that this incarnation has granted. A key is remembered until its grant has expired
- * and a margin has passed, and is never forgotten earlier: what isn't here before that time was
- * never dispatched. `now` is this incarnation's own time, which issued the grants and never goes back.
+ * The bound keys for which this incarnation has granted claims. A key is retained for a fixed time after its
+ * grant expires and is never evicted earlier, so a key that is missing before that time was never dispatched.
+ * `now` must come from the monotonic clock of this incarnation that also sets the expiry of grants.
  */
-export class BoundKeys {
-  /** By key hash, in buckets by expiry, so that forgetting is cheap. */
-  private readonly buckets = new Map<number, Map<string, KnownKey>>();
-  private readonly bodies: HeldBodies;
+export class BoundKeyRegistry {
+  /** Key states by key hash, in buckets by expiry, so that a whole bucket can be evicted at once. */
+  private readonly buckets = new Map<number, Map<string, KeyState>>();
+  private readonly bodyBudget: BodyMemoryBudget;
   private readonly bucketMilliseconds: number;
   private count = 0;
 
   constructor(private readonly limits: BoundKeyLimits) {
-    const span = limits.rememberAfterExpiryMilliseconds * BUCKET_SHARE;
-    this.bucketMilliseconds = Math.max(1, span);
-    this.bodies = new HeldBodies(limits.heldBodyLimit);
+    const bucketSpan =
+      limits.rememberAfterExpiryMilliseconds * BUCKET_RETENTION_RATIO;
+    this.bucketMilliseconds = Math.max(1, bucketSpan);
+    this.bodyBudget = new BodyMemoryBudget(limits.heldBodyLimit);
   }
 
-  /** Keys remembered now. */
+  /** Number of retained keys. */
   get size(): number {
     return this.count;
   }
 
-  /** Replies whose text is counted. */
-  get heldReplies(): number {
-    return this.bodies.size;
+  /** Number of keys whose response body is in memory. */
+  get retainedBodyCount(): number {
+    return this.bodyBudget.size;
   }
 
   /**
-   * Takes a key; granted at most once, and again only after an outcome that says that nothing ran.
-   * A key stands for the request that it was first granted for, whatever came of it.
+   * Claims a key. A claim is granted once, and again only after an outcome that says that nothing ran.
+   * A key stays tied to the first request that it was granted for, whatever its outcome.
    */
-  take(
+  tryClaim(
     keyHash: string,
     expiresAt: number,
     now: number,
     fingerprint?: string,
-  ): BoundTake {
-    this.forgetExpired(now);
-    if (now >= this.forgottenAt(expiresAt)) {
+  ): BoundClaimResult {
+    this.evictExpired(now);
+    if (now >= this.evictionTimeOf(expiresAt)) {
       return {kind: 'forgotten'};
     }
     const known = this.get(keyHash, expiresAt);
-    const reused = refuseReuse(known?.fingerprint, fingerprint);
-    if (reused !== undefined) {
-      return reused;
+    const refusal = checkKeyReuse(known?.fingerprint, fingerprint);
+    if (refusal !== undefined) {
+      return refusal;
     }
     const outcome = known?.outcome;
     if (outcome !== undefined && !isNotRun(outcome)) {
@@ -84,7 +85,10 @@
         : {kind: 'seen', outcome};
     }
     if (outcome === undefined && this.count >= this.limits.boundKeyLimit) {
-      return {kind: 'full', retryAfterMilliseconds: this.roomAt() - now};
+      return {
+        kind: 'full',
+        retryAfterMilliseconds: this.nextEvictionTime() - now,
+      };
     }
     this.set(keyHash, expiresAt, {
       outcome: RUNNING,
@@ -93,17 +97,17 @@
     return {kind: 'granted'};
   }
 
-  /** A key that was granted here. */
-  get(keyHash: string, expiresAt: number): KnownKey | undefined {
-    return this.buckets.get(this.bucketOf(expiresAt))?.get(keyHash);
+  /** The state of a key whose claim was granted here. */
+  get(keyHash: string, expiresAt: number): KeyState | undefined {
+    return this.buckets.get(this.bucketIndexOf(expiresAt))?.get(keyHash);
   }
 
-  /** Whether a key may have been granted here and forgotten. */
-  isForgotten(expiresAt: number, now: number): boolean {
-    return now >= this.forgottenAt(expiresAt);
+  /** Whether a key may have been granted here and evicted since. */
+  isRetentionOver(expiresAt: number, now: number): boolean {
+    return now >= this.evictionTimeOf(expiresAt);
   }
 
-  /** Ends a running key; false when it isn't running here. */
+  /** Sets the outcome of a running key; false when the key is not running here. */
   end(keyHash: string, expiresAt: number, outcome: RequestOutcome): boolean {
     const known = this.get(keyHash, expiresAt);
     if (known?.outcome.kind !== 'running') {
@@ -112,48 +116,48 @@
     const {fingerprint} = known;
     this.set(keyHash, expiresAt, {outcome, fingerprint});
     const length = bodyLength(outcome);
-    this.bodies.hold(keyHash, length, left => {
+    this.bodyBudget.track(keyHash, length, replacement => {
       if (this.get(keyHash, expiresAt) !== undefined) {
-        this.set(keyHash, expiresAt, {outcome: left, fingerprint});
+        this.set(keyHash, expiresAt, {outcome: replacement, fingerprint});
       }
     });
     return true;
   }
 
-  private forgottenAt(expiresAt: number): number {
+  private evictionTimeOf(expiresAt: number): number {
     return expiresAt + this.limits.rememberAfterExpiryMilliseconds;
   }
 
-  private set(keyHash: string, expiresAt: number, known: KnownKey): void {
-    const number = this.bucketOf(expiresAt);
-    const bucket = this.buckets.get(number) ?? new Map();
-    this.buckets.set(number, bucket);
+  private set(keyHash: string, expiresAt: number, known: KeyState): void {
+    const index = this.bucketIndexOf(expiresAt);
+    const bucket = this.buckets.get(index) ?? new Map();
+    this.buckets.set(index, bucket);
     this.count += bucket.has(keyHash) ? 0 : 1;
     bucket.set(keyHash, known);
   }
 
-  private forgetExpired(now: number): void {
-    for (const [number, bucket] of this.buckets) {
-      if (now >= this.bucketForgottenAt(number)) {
-        this.buckets.delete(number);
+  private evictExpired(now: number): void {
+    for (const [index, bucket] of this.buckets) {
+      if (now >= this.bucketEvictionTimeOf(index)) {
+        this.buckets.delete(index);
         this.count -= bucket.size;
         for (const keyHash of bucket.keys()) {
-          this.bodies.release(keyHash);
+          this.bodyBudget.release(keyHash);
         }
       }
     }
   }
 
-  /** When the first keys are forgotten. */
-  private roomAt(): number {
-    return this.bucketForgottenAt(Math.min(...this.buckets.keys()));
+  /** When the bucket with the earliest expiry is evicted. */
+  private nextEvictionTime(): number {
+    return this.bucketEvictionTimeOf(Math.min(...this.buckets.keys()));
   }
 
-  private bucketForgottenAt(number: number): number {
-    return this.forgottenAt((number + 1) * this.bucketMilliseconds);
+  private bucketEvictionTimeOf(index: number): number {
+    return this.evictionTimeOf((index + 1) * this.bucketMilliseconds);
   }
 
-  private bucketOf(expiresAt: number): number {
+  private bucketIndexOf(expiresAt: number): number {
     return Math.floor(expiresAt / this.bucketMilliseconds);
   }
 }
--- a/src/features/claims/common/claimInserter.ts
+++ b/src/features/claims/common/claimInserter.ts
@@ -10,31 +10,31 @@
   isNotRun,
   parseClaimRecord,
 } from './claimRecord.js';
-import {matchFingerprints} from './fingerprints.js';
+import {compareFingerprints} from './fingerprints.js';
 import {ClaimSettings} from './claimSettings.js';
 import {RowWriter} from './rowWriter.js';
 
-/** One attempt to claim; its nonce tells its own row from those of others. */
-export interface Attempt {
+/** One attempt to claim a plain key; the nonce identifies the row that it wrote. */
+export interface ClaimAttempt {
   readonly keyHash: string;
   readonly record: ClaimRecord;
   condition: RowCondition;
-  /** The claimant was answered without waiting: the attempt must not be granted any more. */
+  /** The caller already got an answer, so the attempt must not be granted any more. */
   givenUp: boolean;
-  /** A write was sent whose outcome isn't known. */
-  mayHaveLanded: boolean;
+  /** The result of a write is unknown, so the row may exist. */
+  mayHaveBeenWritten: boolean;
 }
 
-/** What came of writing the row of an attempt. */
-export type Insertion =
+/** The result of inserting the row of an attempt: `other` is the row of another attempt. */
+export type InsertionResult =
   | {readonly kind: 'held'; readonly version: number}
   | {readonly kind: 'other'; readonly row: TableRow}
   | {readonly kind: 'failed'; readonly detail: string};
 
-/** The condition of a first attempt. */
-export const ABSENT: RowCondition = {kind: 'absent'};
+/** The condition of the first write of an attempt. */
+export const ROW_ABSENT: RowCondition = {kind: 'absent'};
 
-/** Writes the rows of attempts to claim. */
+/** Inserts claim rows. */
 export class ClaimInserter {
   constructor(
     private readonly writer: RowWriter,
@@ -42,8 +42,8 @@
     private readonly settings: ClaimSettings,
   ) {}
 
-  /** Repeats one write with one nonce until it is decided, given up or tried often enough. */
-  async insert(attempt: Attempt): Promise<Insertion> {
+  /** Retries the write with the same nonce until it is decided, abandoned or out of attempts. */
+  async insert(attempt: ClaimAttempt): Promise<InsertionResult> {
     const {insertAttempts, insertBackoffMilliseconds} = this.settings;
     let detail = 'given up';
     for (let count = 0; count < insertAttempts; count++) {
@@ -59,36 +59,36 @@
         condition: attempt.condition,
       });
       if (!result.ok) {
-        attempt.mayHaveLanded ||= result.error.kind === 'outcomeUnknown';
+        attempt.mayHaveBeenWritten ||= result.error.kind === 'outcomeUnknown';
         detail = `table: ${result.error.kind}`;
         continue;
       }
       if (result.value.kind === 'written') {
         return {kind: 'held', version: result.value.version};
       }
-      const judged = this.judgeConflict(attempt, result.value.current);
-      if (judged !== undefined) {
-        return judged;
+      const resolved = this.resolveConflict(attempt, result.value.current);
+      if (resolved !== undefined) {
+        return resolved;
       }
       detail = 'the row changed meanwhile';
     }
     return {kind: 'failed', detail};
   }
 
-  /** Undefined: try again, with the attempt's new condition. */
-  private judgeConflict(
-    attempt: Attempt,
+  /** Returns undefined if the write is to be retried with the updated condition of the attempt. */
+  private resolveConflict(
+    attempt: ClaimAttempt,
     current: TableRow | undefined,
-  ): Insertion | undefined {
+  ): InsertionResult | undefined {
     if (current === undefined) {
-      attempt.condition = ABSENT;
+      attempt.condition = ROW_ABSENT;
       return undefined;
     }
-    const found = parseClaimRecord(current);
-    if (found?.nonce === attempt.record.nonce) {
+    const existing = parseClaimRecord(current);
+    if (existing?.nonce === attempt.record.nonce) {
       return {kind: 'held', version: current.version};
     }
-    if (found === undefined || !mayClaimAgain(found, attempt.record)) {
+    if (existing === undefined || !canClaimAgain(existing, attempt.record)) {
       return {kind: 'other', row: current};
     }
     attempt.condition = {kind: 'version', version: current.version};
@@ -102,8 +102,11 @@
   }
 }
 
-/** A key that was not run may be claimed again, for the same request. */
-function mayClaimAgain(found: ClaimRecord, wanted: ClaimRecord): boolean {
-  const match = matchFingerprints(found.fingerprint, wanted.fingerprint);
-  return isNotRun(found.outcome) && match === 'same';
+/** A key under which nothing ran can be claimed again for the same request. */
+function canClaimAgain(existing: ClaimRecord, requested: ClaimRecord): boolean {
+  const match = compareFingerprints(
+    existing.fingerprint,
+    requested.fingerprint,
+  );
+  return isNotRun(existing.outcome) && match === 'same';
 }
--- a/src/features/claims/common/claimPeers.ts
+++ b/src/features/claims/common/claimPeers.ts
@@ -3,41 +3,41 @@
 import {RequestOutcome} from '../../requests/common/request.js';
 import {RowResult} from './rowWriter.js';
 
-/** Messages between claim services. */
+/** Requests between the claim services of different instances. */
 
-/** Asks an incarnation about a key. */
-export interface AskMessage {
-  /** Whom the question is for; any other process declines it. */
+/** Asks an incarnation for the state of a key. */
+export interface AskRequest {
+  /** The addressee; any other process answers `otherIncarnation`. */
   readonly incarnation: string;
   readonly keyHash: string;
-  /** Expiry of the grant; undefined for a plain key. */
+  /** Expiry of the grant in wall clock milliseconds; undefined for a plain key. */
   readonly grantExpiresAt: number | undefined;
 }
 
-/** What an incarnation knows of a key. */
-export type AskAnswer =
+/** The state of a key at an incarnation. */
+export type AskResponse =
   | {
       readonly kind: 'seen';
       readonly outcome: RequestOutcome;
-      /** What the key stands for; undefined when the claim named none. */
+      /** Identifies the request; undefined when the claim had none. */
       readonly fingerprint?: string | undefined;
     }
-  /** Never dispatched here. `closed`: nor will it be, since its grant has expired. */
+  /** Not dispatched so far. With `closed` it never will be, because the grant has expired. */
   | {readonly kind: 'notSeen'; readonly closed: boolean}
-  /** It may have been dispatched and forgotten since. */
+  /** Not in memory; it may have been dispatched and evicted since. */
   | {readonly kind: 'forgotten'}
-  /** The process at this address is not the one that was asked for. */
+  /** The process at this address is not the requested incarnation. */
   | {readonly kind: 'otherIncarnation'};
 
-/** Reaches the claim services of other instances, as a port; both calls reject when no answer came. */
+/** Calls the claim services of other instances. Both calls reject when there is no response. */
 export abstract class ClaimPeers {
   abstract ask(
     address: string,
-    message: AskMessage,
+    request: AskRequest,
     token: CancellationToken,
-  ): Promise<AskAnswer>;
+  ): Promise<AskResponse>;
 
-  /** Writes rows at a gatherer; the results are in the order of the writes. */
+  /** Writes rows through a gatherer; the results are in the order of the writes. */
   abstract gather(
     address: string,
     writes: readonly RowWrite[],
--- a/src/features/claims/common/claimRecord.ts
+++ b/src/features/claims/common/claimRecord.ts
@@ -3,21 +3,21 @@
 import {TableRow} from '../../../infrastructure/table/common/tableService.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 
-/** The row that a claim and its outcome share. */
+/** The table row that holds a claim and, once known, its outcome. */
 
-/** Rows of claims start with this, then the hash of account and key. */
-export const CLAIM_PREFIX = 'claim/';
+/** Prefix of claim row keys; the hash of client account and key follows. */
+export const CLAIM_ROW_PREFIX = 'claim/';
 
-/** The value of a claim row. */
+/** The value of a claim row; stored as JSON. */
 export interface ClaimRecord {
-  /** Names one attempt to claim; two attempts never share it. */
+  /** Unique for each claim attempt. */
   readonly nonce: string;
   readonly incarnation: string;
-  /** Wall milliseconds after which the row may be deleted. */
+  /** Wall clock milliseconds after which the row can be deleted. */
   readonly expiresAt: number;
-  /** What the key stands for; undefined in rows of earlier versions. */
+  /** Identifies the request; undefined in rows of earlier versions. */
   readonly fingerprint?: string | undefined;
-  /** Undefined until the outcome was recorded. */
+  /** Undefined until the outcome is recorded. */
   readonly outcome?: RequestOutcome;
 }
 
@@ -29,17 +29,15 @@
   outcome: z.custom<RequestOutcome>(isOutcome).optional(),
 });
 
-/** The row's key. */
 export function claimRowKey(keyHash: string): string {
-  return CLAIM_PREFIX + keyHash;
+  return CLAIM_ROW_PREFIX + keyHash;
 }
 
-/** The row's JSON text. */
 export function formatClaimRecord(record: ClaimRecord): string {
   return JSON.stringify(record);
 }
 
-/** Reads a row; undefined when it isn't a claim record. */
+/** Parses the value of a row; undefined when it is not a valid claim record. */
 export function parseClaimRecord(row: TableRow): ClaimRecord | undefined {
   try {
     const parsed = recordSchema.safeParse(JSON.parse(row.value));
@@ -49,19 +47,19 @@
   }
 }
 
-/** What became of a key, and what it stands for. */
-export interface KnownKey {
+/** The outcome of a key and the request that it was claimed for. */
+export interface KeyState {
   readonly outcome: RequestOutcome;
-  /** Undefined when the claim named none. */
+  /** Undefined when the claim had none. */
   readonly fingerprint: string | undefined;
 }
 
-/** Whether an outcome says that nothing ran, so that the key may be claimed again. */
+/** Whether nothing ran, so that the key can be claimed again. */
 export function isNotRun(outcome: RequestOutcome | undefined): boolean {
   return outcome?.kind === 'failed' && outcome.failure.executed === 'no';
 }
 
-/** The outcome of an attempt that was given up before anything was dispatched. */
+/** The outcome of a claim attempt that was abandoned before dispatch. */
 export const abandonedOutcome: RequestOutcome = {
   kind: 'failed',
   failure: {
@@ -72,8 +70,8 @@
   },
 };
 
-/** Stands for a reply that ran and is too large to be kept. */
-export const replyNotKept: RequestOutcome = {
+/** Replaces the outcome of a completed request whose response body is not retained. */
+export const responseNotRetained: RequestOutcome = {
   kind: 'failed',
   failure: {
     error: {kind: 'duplicate'},
@@ -83,8 +81,8 @@
   },
 };
 
-/** Whether an outcome stands for a reply that was not kept; another place may still hold it. */
-export function isReplyNotKept(outcome: RequestOutcome): boolean {
+/** Whether the response body was not retained here; the table may still have it. */
+export function isResponseNotRetained(outcome: RequestOutcome): boolean {
   return (
     outcome.kind === 'failed' &&
     outcome.failure.error.kind === 'duplicate' &&
@@ -92,15 +90,15 @@
   );
 }
 
-/** The outcome with its reply text bounded: a text over the limit is left out whole, never cut. */
-export function boundOutcome(
+/** Omits the whole response body if it is longer than the limit; a body is never truncated. */
+export function limitBodySize(
   outcome: RequestOutcome,
   limit: number,
 ): RequestOutcome {
-  return bodyLength(outcome) > limit ? replyNotKept : outcome;
+  return bodyLength(outcome) > limit ? responseNotRetained : outcome;
 }
 
-/** Characters of reply text; the content type counts, since an upstream chooses it. */
+/** Characters of the response body and content type, both of which the upstream controls. */
 export function bodyLength(outcome: RequestOutcome): number {
   return outcome.kind === 'completed'
     ? outcome.body.length + outcome.contentType.length
--- a/src/features/claims/common/claimAgeing.ts
+++ b/src/features/claims/common/claimRowSweeper.ts
@@ -11,59 +11,60 @@
   TableRow,
   TableService,
 } from '../../../infrastructure/table/common/tableService.js';
-import {CLAIM_PREFIX, parseClaimRecord} from './claimRecord.js';
-import {AgeingSettings} from './claimSettings.js';
+import {CLAIM_ROW_PREFIX, parseClaimRecord} from './claimRecord.js';
+import {SweepSettings} from './claimSettings.js';
 
-/** Key hashes are hexadecimal; two digits name a slice. */
-const SLICES = 256;
+/** A slice is the set of rows whose hexadecimal key hash starts with the same two digits. */
+const SLICE_COUNT = 256;
 
 /**
- * Deletes expired claim rows: each step reads one page of one hash slice and deletes what has
- * expired there in one transaction. Instances start at different slices, so that they share the work.
+ * Deletes expired claim rows. Each step reads one page of one slice and deletes its expired rows in
+ * one transaction. Instances start at different slices to distribute the work.
  */
-export class ClaimAgeing implements Disposable {
+export class ClaimRowSweeper implements Disposable {
   private readonly source = new CancellationSource();
   private timer: Disposable | undefined;
   private slice: number;
   private after: string | undefined;
-  private isRetired = false;
-  /** Wall time at monotonic zero when this process began. */
-  private readonly wallOffset: number;
+  private isDisposed = false;
+  /** Wall time at monotonic zero, taken when this process started. */
+  private readonly wallOffsetMilliseconds: number;
 
   constructor(
     private readonly table: TableService,
     private readonly clock: Clock,
     private readonly metrics: Metrics,
-    private readonly settings: AgeingSettings,
+    private readonly settings: SweepSettings,
     incarnation: string,
   ) {
-    this.wallOffset = clock.wallMilliseconds() - clock.monotonicMilliseconds();
-    this.slice = rendezvousScore('claim-ageing', incarnation) % SLICES;
+    this.wallOffsetMilliseconds =
+      clock.wallMilliseconds() - clock.monotonicMilliseconds();
+    this.slice = rendezvousScore('claim-ageing', incarnation) % SLICE_COUNT;
   }
 
-  /** Begins to take steps. */
+  /** Schedules the periodic steps. */
   start(): void {
     this.scheduleAfter(this.settings.intervalMilliseconds);
   }
 
   dispose(): void {
-    this.isRetired = true;
+    this.isDisposed = true;
     this.timer?.dispose();
     this.source.cancel('shutting down');
     this.source.dispose();
   }
 
-  /** Takes one step; the number of rows deleted. */
+  /** Runs one step and returns the number of deleted rows. */
   async step(): Promise<number> {
     const token = this.source.token;
-    const prefix = CLAIM_PREFIX + this.slice.toString(16).padStart(2, '0');
+    const prefix = CLAIM_ROW_PREFIX + this.slice.toString(16).padStart(2, '0');
     const {pageRows} = this.settings;
     const page = await this.table.scan(prefix, this.after, pageRows, token);
     if (!page.ok) {
       return 0;
     }
     const deleted = await this.deleteExpired(page.value, token);
-    this.moveOn(page.value, pageRows);
+    this.advanceCursor(page.value, pageRows);
     return deleted;
   }
 
@@ -71,12 +72,12 @@
     rows: readonly TableRow[],
     token: CancellationToken,
   ): Promise<number> {
-    const before = this.now() - this.settings.clockMarginMilliseconds;
-    const expired = rows.filter(row => hasExpired(row, before));
+    const cutoff = this.now() - this.settings.clockMarginMilliseconds;
+    const expired = rows.filter(row => hasExpired(row, cutoff));
     if (expired.length === 0) {
       return 0;
     }
-    const writes = expired.map(deletion);
+    const writes = expired.map(toDeletion);
     const result = await this.table.transact(writes, 'each', token);
     const deleted = result.ok
       ? result.value.filter(outcome => outcome.kind === 'written').length
@@ -85,15 +86,16 @@
     return deleted;
   }
 
-  /** A wall clock that was set forward must not delete rows too early. */
+  /** Wall time; never later than start time plus elapsed time, so that a clock set forward deletes no rows early. */
   private now(): number {
-    const steady = this.wallOffset + this.clock.monotonicMilliseconds();
-    return Math.min(this.clock.wallMilliseconds(), steady);
+    const steadyWall =
+      this.wallOffsetMilliseconds + this.clock.monotonicMilliseconds();
+    return Math.min(this.clock.wallMilliseconds(), steadyWall);
   }
 
-  private moveOn(rows: readonly TableRow[], pageRows: number): void {
+  private advanceCursor(rows: readonly TableRow[], pageRows: number): void {
     if (rows.length < pageRows) {
-      this.slice = (this.slice + 1) % SLICES;
+      this.slice = (this.slice + 1) % SLICE_COUNT;
       this.after = undefined;
     } else {
       this.after = rows[rows.length - 1]!.key;
@@ -101,7 +103,7 @@
   }
 
   private scheduleAfter(milliseconds: number): void {
-    if (this.isRetired) {
+    if (this.isDisposed) {
       return;
     }
     this.timer = this.clock.setTimer(milliseconds, () => void this.run());
@@ -122,8 +124,8 @@
   return record !== undefined && record.expiresAt <= beforeWallMilliseconds;
 }
 
-/** The version keeps a row that was claimed again meanwhile. */
-function deletion(row: TableRow): RowWrite {
+/** The version condition protects a row that was claimed again in the meantime. */
+function toDeletion(row: TableRow): RowWrite {
   return {
     key: row.key,
     value: undefined,
--- a/src/features/claims/common/claimSettings.ts
+++ b/src/features/claims/common/claimSettings.ts
@@ -1,90 +1,89 @@
-/** Bounds and times of the claim service; times in milliseconds, sizes in characters. */
+/** Limits and times of the claim service; sizes of texts are in characters. */
 export interface ClaimSettings {
-  /** How long keys may be formed with a grant. */
+  /** Lifetime of a grant; new keys with the grant are refused after it. */
   readonly grantMilliseconds: number;
-  /** How long a bound key is remembered after its grant's expiry. */
+  /** Retention of bound keys after their grant expires. */
   readonly rememberAfterExpiryMilliseconds: number;
-  /** Bound keys remembered at once; beyond it new ones are refused. */
+  /** Maximum number of bound keys in memory; further keys are refused. */
   readonly boundKeyLimit: number;
-  /** Plain keys that are being claimed or run at once. */
+  /** Maximum number of plain keys that are being claimed or run concurrently. */
   readonly activePlainKeyLimit: number;
-  /** Ended plain keys kept to answer without the table. */
+  /** Maximum number of ended plain keys in memory, which are answered without reading the table. */
   readonly endedPlainKeyLimit: number;
-  /** Reply text kept in memory, for bound and for plain keys each. */
+  /** Response bodies in memory; applies to bound and plain keys separately. */
   readonly heldBodyLimit: number;
-  /** Largest reply text that is recorded. */
+  /** Largest response body that is recorded in the table. */
   readonly recordedBodyLimit: number;
-  /** Outcomes that wait to be recorded. */
+  /** Maximum number of outcomes that wait to be recorded. */
   readonly outcomeBufferLimit: number;
-  /** Reply text that waits to be recorded. */
+  /** Response bodies of outcomes that wait to be recorded. */
   readonly outcomeBufferCharacters: number;
-  /** How long rows are kept. */
+  /** Retention of claim rows in the table. */
   readonly rowRetentionMilliseconds: number;
-  /** Longest wait for the decision on a plain key. */
+  /** Timeout for the decision on a plain key. */
   readonly decideWithinMilliseconds: number;
-  /** Attempts to insert a claim row. */
+  /** Maximum number of attempts to insert a claim row. */
   readonly insertAttempts: number;
-  /** First pause between attempts; doubles with each. */
+  /** Backoff before the second attempt; doubles with each further attempt. */
   readonly insertBackoffMilliseconds: number;
-  /** Pause before outcomes are tried again; doubles up to `recordBackoffLimit`. */
+  /** Initial backoff before an outcome is written again; doubles up to `recordBackoffLimitMilliseconds`. */
   readonly recordBackoffMilliseconds: number;
   readonly recordBackoffLimitMilliseconds: number;
-  /** Longest wait for another instance's answer. */
+  /** Timeout for a request to another instance. */
   readonly askMilliseconds: number;
   readonly commit: CommitSettings;
   readonly gather: GatherSettings;
-  readonly ageing: AgeingSettings;
+  readonly ageing: SweepSettings;
 }
 
-/** How rows are gathered into transactions. */
+/** How rows are batched into transactions. */
 export interface CommitSettings {
-  /** How long the first row of a transaction waits for others. */
+  /** How long the first row of a transaction waits for further rows. */
   readonly gatherMilliseconds: number;
-  /** Transactions a second that all instances together may spend on claims. */
+  /** Rate limit for claim transactions, shared by all instances. */
   readonly transactionsPerSecond: number;
-  /** Upper bound on the spacing that follows from `transactionsPerSecond`. */
+  /** Upper limit of the interval between transactions that results from `transactionsPerSecond`. */
   readonly spacingLimitMilliseconds: number;
   readonly timeoutMilliseconds: number;
   readonly transactionRowLimit: number;
-  /** Text in one transaction. */
+  /** Maximum total length of the row values in a transaction. */
   readonly transactionCharacters: number;
   readonly queueLimit: number;
-  /** Text of the rows that wait; the row that passes it is the last taken. */
+  /** Total length of queued row values; the row that exceeds it is the last one accepted. */
   readonly queueCharacters: number;
-  /** Transactions under way at once. */
+  /** Maximum number of concurrent transactions. */
   readonly concurrency: number;
 }
 
-/** When and where rows are sent to a few instances instead of the table. */
+/** When rows are sent to gatherers: a few instances that write claim rows for all instances of their region. */
 export interface GatherSettings {
-  /** Gathering starts above this number of ready instances. */
+  /** Gatherers are used above this number of ready instances. */
   readonly aboveInstances: number;
   readonly gatherersPerRegion: number;
   readonly batchMilliseconds: number;
   readonly batchRowLimit: number;
   readonly timeoutMilliseconds: number;
-  /** Rows that wait for gatherers; beyond it rows go to the table directly. */
+  /** Maximum number of rows queued for gatherers; further rows are written to the table directly. */
   readonly queueLimit: number;
-  /** Text of the rows that wait; the row that passes it is the last taken. */
+  /** Total length of queued row values; the row that exceeds it is the last one accepted. */
   readonly queueCharacters: number;
 }
 
-/** How expired rows are deleted: one page of one hash slice a step. */
-export interface AgeingSettings {
+/** How expired rows are deleted: one page of one key hash slice per step. */
+export interface SweepSettings {
   readonly intervalMilliseconds: number;
   /** Interval after a step that deleted a full page. */
   readonly busyIntervalMilliseconds: number;
   readonly pageRows: number;
-  /** Allowance for wall clocks that differ between instances. */
+  /** Allowance for clock skew between instances. */
   readonly clockMarginMilliseconds: number;
 }
 
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 
-/** Settings for normal use. */
 export const defaultClaimSettings: ClaimSettings = {
-  grantMilliseconds: 10 * MINUTE,
-  rememberAfterExpiryMilliseconds: 10 * MINUTE,
+  grantMilliseconds: 10 * MINUTE_MILLISECONDS,
+  rememberAfterExpiryMilliseconds: 10 * MINUTE_MILLISECONDS,
   boundKeyLimit: 200_000,
   activePlainKeyLimit: 20_000,
   endedPlainKeyLimit: 20_000,
@@ -92,7 +91,7 @@
   recordedBodyLimit: 16_384,
   outcomeBufferLimit: 20_000,
   outcomeBufferCharacters: 16_000_000,
-  rowRetentionMilliseconds: 24 * 60 * MINUTE,
+  rowRetentionMilliseconds: 24 * 60 * MINUTE_MILLISECONDS,
   decideWithinMilliseconds: 2000,
   insertAttempts: 4,
   insertBackoffMilliseconds: 50,
@@ -123,6 +122,6 @@
     intervalMilliseconds: 5000,
     busyIntervalMilliseconds: 1000,
     pageRows: 100,
-    clockMarginMilliseconds: MINUTE,
+    clockMarginMilliseconds: MINUTE_MILLISECONDS,
   },
 };
--- a/src/features/claims/common/claims.ts
+++ b/src/features/claims/common/claims.ts
@@ -2,12 +2,12 @@
 import {RequestOutcome} from '../../requests/common/request.js';
 
 /**
- * At-most-once execution by key. A key is bound to an incarnation (it starts with a grant from
- * `GET /v1/entrypoints`) or plain. A bound key is only ever dispatched by its incarnation; a plain
- * key only after its claim row was inserted.
+ * At-most-once execution of requests with an idempotency key. A bound key starts with a grant from
+ * `GET /v1/entrypoints` and can only be dispatched by the incarnation (process run) that issued the
+ * grant. A plain key can only be dispatched after its claim row was inserted into the table.
  */
 
-/** How a key came to be owned. */
+/** Which instances can dispatch a key: the issuer of its grant, or any that inserts the claim row. */
 export type KeyBinding =
   | {
       readonly kind: 'bound';
@@ -16,41 +16,44 @@
     }
   | {readonly kind: 'plain'};
 
-/** Whether this instance may dispatch the request, once. */
+/** The result of a claim. */
 export type ClaimDecision =
   /** The caller of `claim` may dispatch, exactly once. */
   | {readonly kind: 'granted'}
-  /** The key was claimed before; its outcome, as far as known. */
+  /** The key was claimed before; the outcome is `unknown` if it could not be determined. */
   | {readonly kind: 'duplicate'; readonly outcome: RequestOutcome}
-  /** The key belongs to another incarnation; `outcome` is undefined when that could not be asked. */
+  /**
+   * The key is bound to another incarnation; `outcome` is undefined when that incarnation could not be reached or
+   * may still dispatch the key.
+   */
   | {
       readonly kind: 'heldElsewhere';
       readonly incarnation: string;
       readonly outcome: RequestOutcome | undefined;
     }
-  /** Surely never dispatched by anyone and not claimed here (bound key of this incarnation, expired grant). */
+  /** Never dispatched by any instance and not claimed here: the grant has expired or is invalid. */
   | {readonly kind: 'refusedNotRun'; readonly detail: string}
   /**
-   * The key stands for another request. Nothing of this one was or will be dispatched under it; with
-   * `sameWork` only the class of work differs, so that the work itself may have run.
+   * The key was claimed for a different request, so this one was not and will not be dispatched under it. With
+   * `sameWork` only the class of work differs, so the same work may have run.
    */
   | {readonly kind: 'keyReused'; readonly sameWork: boolean}
-  /** As `refusedNotRun`, for want of memory at present: there is room again after the time. */
+  /** Never dispatched by any instance; the key registry is full and frees capacity after `retryAfterMilliseconds`. */
   | {
       readonly kind: 'noRoom';
       readonly detail: string;
       readonly retryAfterMilliseconds: number;
     }
-  /** The claim could not be decided: another instance may have dispatched it. */
+  /** The claim could not be decided; another instance may have dispatched the request. */
   | {
       readonly kind: 'undecided';
       readonly detail: string;
       readonly retryAfterMilliseconds: number;
     };
 
-/** Decides who may dispatch a keyed request and remembers what became of it. */
+/** Decides which instance may dispatch a request with a key, and stores the outcome of the request. */
 export abstract class ClaimService {
-  /** `fingerprint` tells requests apart; without one a key is taken to stand for the same request. */
+  /** `fingerprint` identifies the request; without one, the key matches any request. */
   abstract claim(
     clientAccount: string,
     key: string,
@@ -58,14 +61,14 @@
     fingerprint?: string,
   ): Promise<ClaimDecision>;
 
-  /** Records the outcome of a key that was granted here. */
+  /** Records the outcome of a key whose claim this instance granted. */
   abstract complete(
     clientAccount: string,
     key: string,
     outcome: RequestOutcome,
   ): void;
 
-  /** What became of a key, asking its incarnation, then the table. */
+  /** Finds the outcome of a key in memory, at its incarnation or in the table; undefined if it was never claimed. */
   abstract lookUp(
     clientAccount: string,
     key: string,
@@ -73,11 +76,11 @@
   ): Promise<RequestOutcome | undefined>;
 
   /**
-   * Whether this process knows, without asking anyone, that nothing was dispatched under the key and nothing
-   * is being dispatched: only of keys bound to this incarnation, and of keys that nobody can run.
+   * Whether this process knows from memory that nothing was dispatched or is being dispatched under the key.
+   * This is known only for keys bound to this incarnation and for keys with an invalid grant.
    */
   abstract isSurelyNotRun(clientAccount: string, key: string): boolean;
 
-  /** A grant for keys bound to this incarnation. */
+  /** Issues a grant for keys bound to this incarnation. */
   abstract issueGrant(clientAccount: string): string;
 }
--- a/src/features/claims/common/fingerprints.ts
+++ b/src/features/claims/common/fingerprints.ts
@@ -1,14 +1,14 @@
-import {KnownKey} from './claimRecord.js';
+import {KeyState} from './claimRecord.js';
 import {ClaimDecision} from './claims.js';
 
-/** Comparison of what keys stand for. A fingerprint is a digest of the work, a dot and the class of work. */
+/** Identification of requests under a key. A fingerprint is a digest of the work, a dot and the class of work. */
 
-/** How two requests with one key compare: `otherClass` when the work is the same. */
+/** `otherClass`: the work is the same and only the class of work differs. */
 export type FingerprintMatch = 'same' | 'otherClass' | 'otherWork';
 
 const SEPARATOR = '.';
 
-/** Forms a fingerprint; the digest holds no dot. */
+/** The digest must not contain a dot. */
 export function formFingerprint(
   workDigest: string,
   classOfWork: string,
@@ -16,39 +16,44 @@
   return `${workDigest}${SEPARATOR}${classOfWork}`;
 }
 
-/** Compares fingerprints. Claims made before there were fingerprints have none, and match every request. */
-export function matchFingerprints(
+/** Compares fingerprints. Claims of earlier versions have none and match any request. */
+export function compareFingerprints(
   left: string | undefined,
   right: string | undefined,
 ): FingerprintMatch {
   if (left === undefined || right === undefined || left === right) {
     return 'same';
   }
-  return digestOf(left) === digestOf(right) ? 'otherClass' : 'otherWork';
+  return workDigestOf(left) === workDigestOf(right)
+    ? 'otherClass'
+    : 'otherWork';
 }
 
-/** A claim's refusal when its key stands for another request; undefined when the requests match. */
-export function refuseReuse(
+/** The refusal of a claim whose key belongs to a different request; undefined when the requests match. */
+export function checkKeyReuse(
   known: string | undefined,
   claimed: string | undefined,
 ): {readonly kind: 'keyReused'; readonly sameWork: boolean} | undefined {
-  const match = matchFingerprints(known, claimed);
+  const match = compareFingerprints(known, claimed);
   return match === 'same'
     ? undefined
     : {kind: 'keyReused', sameWork: match === 'otherClass'};
 }
 
-function digestOf(fingerprint: string): string {
+function workDigestOf(fingerprint: string): string {
   return fingerprint.split(SEPARATOR, 1)[0]!;
 }
 
-/** The decision on a key that was claimed before, by what is known of it. */
-export function duplicateOf(
-  known: KnownKey,
+/** The decision on a key that was claimed before. */
+export function decideDuplicate(
+  known: KeyState,
   fingerprint: string | undefined,
 ): Extract<ClaimDecision, {readonly kind: 'duplicate' | 'keyReused'}> {
   const {outcome} = known;
   return (
-    refuseReuse(known.fingerprint, fingerprint) ?? {kind: 'duplicate', outcome}
+    checkKeyReuse(known.fingerprint, fingerprint) ?? {
+      kind: 'duplicate',
+      outcome,
+    }
   );
 }
--- a/src/features/claims/common/gatheringWriter.ts
+++ b/src/features/claims/common/gatheringWriter.ts
@@ -8,15 +8,14 @@
 import {ClaimPeers} from './claimPeers.js';
 import {GatherSettings} from './claimSettings.js';
 import {PeerDirectory, PeerInstance} from './peerDirectory.js';
-import {RowResult, RowWriter, textLength} from './rowWriter.js';
+import {RowResult, RowWriter, valueLength} from './rowWriter.js';
 
-/** The name that all instances rank gatherers by, so that they agree without messages. */
+/** Rendezvous hashing key for gatherers, the same on all instances so that they choose alike without coordination. */
 const GATHERER_LABEL = 'claim-gatherer';
 
-/** What the writer needs. */
-export interface GatheringWriterParts {
-  /** The own way to the table. */
-  readonly direct: RowWriter;
+export interface GatheringWriterDependencies {
+  /** Writes to the table from this instance. */
+  readonly directWriter: RowWriter;
   readonly peers: ClaimPeers;
   readonly directory: PeerDirectory;
   readonly clock: Clock;
@@ -31,32 +30,32 @@
   readonly resolve: (result: RowResult) => void;
 }
 
-/** Rows that wait for one gatherer. */
+/** Rows queued for one gatherer. */
 interface Batch {
   rows: PendingRow[];
   readonly timer: Disposable;
 }
 
 /**
- * Sends rows to a few gatherers when there are many instances, so that transactions stay full. When
- * a gatherer fails the same row is written directly: the row's condition and nonce make the second
- * write harmless if the first took effect, and the first harmless if it comes late.
+ * With many instances, sends rows to a few gatherers, so that transactions contain many rows. When a
+ * gatherer fails, the same row is written directly. The row's condition and nonce make the second write
+ * harmless if the first took effect, and the first harmless if it arrives late.
  */
 export class GatheringWriter extends RowWriter implements Disposable {
   private readonly batches = new Map<string, Batch>();
-  private waiting = 0;
-  /** Text of the rows that wait. */
-  private characters = 0;
-  private disposed = false;
+  private queuedRows = 0;
+  /** Total length of queued row values. */
+  private queuedCharacters = 0;
+  private isDisposed = false;
 
-  constructor(private readonly parts: GatheringWriterParts) {
+  constructor(private readonly dependencies: GatheringWriterDependencies) {
     super();
   }
 
   override write(write: RowWrite): Promise<RowResult> {
     const gatherer = this.gathererOf(write.key);
-    if (gatherer === undefined || this.disposed || this.isFull()) {
-      return this.parts.direct.write(write);
+    if (gatherer === undefined || this.isDisposed || this.isFull()) {
+      return this.dependencies.directWriter.write(write);
     }
     return new Promise(resolve => {
       this.enqueue(gatherer.address, {write, resolve});
@@ -64,7 +63,7 @@
   }
 
   dispose(): void {
-    this.disposed = true;
+    this.isDisposed = true;
     for (const [address, batch] of this.batches) {
       batch.timer.dispose();
       this.batches.delete(address);
@@ -73,29 +72,31 @@
   }
 
   private isFull(): boolean {
-    const {queueLimit, queueCharacters} = this.parts.settings;
-    return this.waiting >= queueLimit || this.characters >= queueCharacters;
+    const {queueLimit, queueCharacters} = this.dependencies.settings;
+    return (
+      this.queuedRows >= queueLimit || this.queuedCharacters >= queueCharacters
+    );
   }
 
-  /** The gatherer of a key; undefined when this instance writes it itself. */
+  /** The gatherer of a row; undefined when this instance writes the row itself. */
   private gathererOf(key: string): PeerInstance | undefined {
-    const {directory, incarnation, settings} = this.parts;
+    const {directory, incarnation, settings} = this.dependencies;
     const chosen = chooseGatherer(directory, incarnation, key, settings);
     return chosen?.incarnation === incarnation ? undefined : chosen;
   }
 
   private enqueue(address: string, row: PendingRow): void {
-    this.waiting++;
-    this.characters += textLength(row.write);
+    this.queuedRows++;
+    this.queuedCharacters += valueLength(row.write);
     const batch = this.batches.get(address) ?? this.openBatch(address);
     batch.rows.push(row);
-    if (batch.rows.length >= this.parts.settings.batchRowLimit) {
+    if (batch.rows.length >= this.dependencies.settings.batchRowLimit) {
       this.flush(address);
     }
   }
 
   private openBatch(address: string): Batch {
-    const {clock, settings} = this.parts;
+    const {clock, settings} = this.dependencies;
     const timer = clock.setTimer(settings.batchMilliseconds, () =>
       this.flush(address),
     );
@@ -119,21 +120,21 @@
     rows: readonly PendingRow[],
   ): Promise<void> {
     const results = await this.gather(address, rows);
-    const undecided: PendingRow[] = [];
-    const untouched: PendingRow[] = [];
+    const maybeWritten: PendingRow[] = [];
+    const notWritten: PendingRow[] = [];
     rows.forEach((row, index) => {
       const result = results[index];
-      if (result?.ok === true || errorKind(result) === 'rateLimited') {
-        this.finish(row, result!);
-      } else if (errorKind(result) === 'unavailable') {
-        untouched.push(row);
+      if (result?.ok === true || errorKindOf(result) === 'rateLimited') {
+        this.resolveRow(row, result!);
+      } else if (errorKindOf(result) === 'unavailable') {
+        notWritten.push(row);
       } else {
-        undecided.push(row);
+        maybeWritten.push(row);
       }
     });
     await Promise.all([
-      this.writeDirectly(untouched, result => result),
-      this.writeDirectly(undecided, weaken),
+      this.writeDirectly(notWritten, result => result),
+      this.writeDirectly(maybeWritten, toOutcomeUnknown),
     ]);
   }
 
@@ -141,7 +142,7 @@
     address: string,
     rows: readonly PendingRow[],
   ): Promise<readonly RowResult[]> {
-    const {clock, peers, settings, metrics} = this.parts;
+    const {clock, peers, settings, metrics} = this.dependencies;
     const source = new CancellationSource();
     const timer = clock.setTimer(settings.timeoutMilliseconds, () =>
       source.cancel('gatherer timeout'),
@@ -160,24 +161,24 @@
 
   private async writeDirectly(
     rows: readonly PendingRow[],
-    judge: (result: RowResult) => RowResult,
+    mapResult: (result: RowResult) => RowResult,
   ): Promise<void> {
     await Promise.all(
       rows.map(async row => {
-        const result = await this.parts.direct.write(row.write);
-        this.finish(row, judge(result));
+        const result = await this.dependencies.directWriter.write(row.write);
+        this.resolveRow(row, mapResult(result));
       }),
     );
   }
 
-  private finish(row: PendingRow, result: RowResult): void {
-    this.waiting--;
-    this.characters -= textLength(row.write);
+  private resolveRow(row: PendingRow, result: RowResult): void {
+    this.queuedRows--;
+    this.queuedCharacters -= valueLength(row.write);
     row.resolve(result);
   }
 }
 
-/** The gatherer of a key in the region of an instance; undefined when there are too few instances. */
+/** The gatherer of a row in the region of an instance; undefined when there are too few instances. */
 function chooseGatherer(
   directory: PeerDirectory,
   incarnation: string,
@@ -189,16 +190,16 @@
     return undefined;
   }
   const region = directory.resolve(incarnation)?.region;
-  const near = ready.filter(peer => peer.region === region);
+  const peersInRegion = ready.filter(peer => peer.region === region);
   const gatherers = rankByRendezvous(
     GATHERER_LABEL,
-    near,
+    peersInRegion,
     peer => peer.id,
   ).slice(0, settings.gatherersPerRegion);
   return rankByRendezvous(key, gatherers, peer => peer.id)[0];
 }
 
-/** How many instances write claim rows to the table. */
+/** Number of instances that write claim rows to the table. */
 export function countCommitters(
   directory: PeerDirectory,
   settings: GatherSettings,
@@ -211,14 +212,14 @@
   return regions.size * settings.gatherersPerRegion;
 }
 
-/** After a lost call to a gatherer, a direct write without effect doesn't prove that there was none. */
-function weaken(result: RowResult): RowResult {
+/** After a failed call to a gatherer, the gatherer may have written the row even if the direct write failed. */
+function toOutcomeUnknown(result: RowResult): RowResult {
   if (result.ok || result.error.kind === 'outcomeUnknown') {
     return result;
   }
   return failure({kind: 'outcomeUnknown', detail: 'gatherer and table failed'});
 }
 
-function errorKind(result: RowResult | undefined): string | undefined {
+function errorKindOf(result: RowResult | undefined): string | undefined {
   return result === undefined || result.ok ? undefined : result.error.kind;
 }
--- a/src/features/claims/common/groupCommitter.ts
+++ b/src/features/claims/common/groupCommitter.ts
@@ -10,9 +10,9 @@
   WriteOutcome,
 } from '../../../infrastructure/table/common/tableService.js';
 import {CommitSettings} from './claimSettings.js';
-import {RowResult, RowWriter, textLength} from './rowWriter.js';
+import {RowResult, RowWriter, valueLength} from './rowWriter.js';
 
-/** Rows of one transaction are decided one by one, so strangers may share it. */
+/** Group commit of claim rows. Row conditions are checked independently, so unrelated rows can share a transaction. */
 
 interface PendingRow {
   readonly write: RowWrite;
@@ -21,103 +21,108 @@
 
 type TransactionResult = Result<readonly WriteOutcome[], StorageError>;
 
-/** Gathers rows for a few milliseconds into one transaction; transactions keep a spacing. */
+/** Batches rows for a few milliseconds into one transaction, and limits the rate of transactions. */
 export class GroupCommitter extends RowWriter implements Disposable {
-  private waiting: PendingRow[] = [];
-  /** Text of the rows that wait. */
-  private characters = 0;
+  private queue: PendingRow[] = [];
+  /** Total length of queued row values. */
+  private queuedCharacters = 0;
   private inFlight = 0;
   private timer: Disposable | undefined;
-  private disposed = false;
+  private isDisposed = false;
   private lastStartedAt = Number.NEGATIVE_INFINITY;
   private blockedUntil = Number.NEGATIVE_INFINITY;
 
-  /** `committers` tells how many instances share the bound on transactions a second. */
+  /** `countCommitters` returns the number of instances that share the limit of transactions per second. */
   constructor(
     private readonly table: TableService,
     private readonly clock: Clock,
     private readonly metrics: Metrics,
     private readonly settings: CommitSettings,
-    private readonly committers: () => number,
+    private readonly countCommitters: () => number,
   ) {
     super();
   }
 
   override write(write: RowWrite): Promise<RowResult> {
-    if (this.disposed || this.isFull()) {
+    if (this.isDisposed || this.isFull()) {
       const detail = 'shutting down, or too many rows wait';
       return Promise.resolve(failure({kind: 'unavailable', detail}));
     }
     return new Promise(resolve => {
-      this.waiting.push({write, resolve});
-      this.characters += textLength(write);
+      this.queue.push({write, resolve});
+      this.queuedCharacters += valueLength(write);
       this.schedule();
     });
   }
 
   dispose(): void {
-    this.disposed = true;
+    this.isDisposed = true;
     this.timer?.dispose();
     const detail = 'shutting down';
-    settleAll(this.waiting, failure({kind: 'unavailable', detail}));
-    this.waiting = [];
-    this.characters = 0;
+    resolveAll(this.queue, failure({kind: 'unavailable', detail}));
+    this.queue = [];
+    this.queuedCharacters = 0;
   }
 
   private isFull(): boolean {
     const {queueLimit, queueCharacters} = this.settings;
     return (
-      this.waiting.length >= queueLimit || this.characters >= queueCharacters
+      this.queue.length >= queueLimit ||
+      this.queuedCharacters >= queueCharacters
     );
   }
 
   private schedule(): void {
-    const idle = this.inFlight < this.settings.concurrency;
-    if (this.timer !== undefined || !idle || this.waiting.length === 0) {
+    const hasCapacity = this.inFlight < this.settings.concurrency;
+    if (this.timer !== undefined || !hasCapacity || this.queue.length === 0) {
       return;
     }
-    this.timer = this.clock.setTimer(this.delay(), () => {
+    this.timer = this.clock.setTimer(this.nextDelayMilliseconds(), () => {
       this.timer = undefined;
       void this.commit(this.takeBatch());
     });
   }
 
-  private delay(): number {
+  private nextDelayMilliseconds(): number {
     const now = this.clock.monotonicMilliseconds();
-    const spaced = this.lastStartedAt + this.spacing() - now;
-    const blocked = this.blockedUntil - now;
-    return Math.max(this.settings.gatherMilliseconds, spaced, blocked);
+    const untilSpaced = this.lastStartedAt + this.spacingMilliseconds() - now;
+    const untilUnblocked = this.blockedUntil - now;
+    return Math.max(
+      this.settings.gatherMilliseconds,
+      untilSpaced,
+      untilUnblocked,
+    );
   }
 
-  private spacing(): number {
+  private spacingMilliseconds(): number {
     const {transactionsPerSecond, spacingLimitMilliseconds} = this.settings;
-    const shared = (this.committers() * 1000) / transactionsPerSecond;
-    return Math.min(shared, spacingLimitMilliseconds);
+    const interval = (this.countCommitters() * 1000) / transactionsPerSecond;
+    return Math.min(interval, spacingLimitMilliseconds);
   }
 
-  /** Takes rows in order; a transaction names each key once. */
+  /** Removes a batch from the queue, in order; a transaction contains each key only once. */
   private takeBatch(): readonly PendingRow[] {
     const batch: PendingRow[] = [];
-    const left: PendingRow[] = [];
+    const remaining: PendingRow[] = [];
     const keys = new Set<string>();
     let characters = 0;
-    for (const row of this.waiting) {
-      const size = textLength(row.write);
+    for (const row of this.queue) {
+      const size = valueLength(row.write);
       const fits =
         batch.length < this.settings.transactionRowLimit &&
         !keys.has(row.write.key) &&
         (batch.length === 0 ||
           characters + size <= this.settings.transactionCharacters);
       if (!fits) {
-        left.push(row);
+        remaining.push(row);
         continue;
       }
       batch.push(row);
       keys.add(row.write.key);
       characters += size;
     }
-    this.waiting = left;
-    this.characters -= characters;
+    this.queue = remaining;
+    this.queuedCharacters -= characters;
     return batch;
   }
 
@@ -133,7 +138,7 @@
       const now = this.clock.monotonicMilliseconds();
       this.blockedUntil = now + result.error.retryAfterMilliseconds;
     }
-    settleAll(batch, result);
+    resolveAll(batch, result);
     this.schedule();
   }
 
@@ -155,14 +160,14 @@
   }
 }
 
-function settleAll(
+function resolveAll(
   batch: readonly PendingRow[],
   result: TransactionResult,
 ): void {
-  batch.forEach((row, index) => row.resolve(rowResult(result, index)));
+  batch.forEach((row, index) => row.resolve(toRowResult(result, index)));
 }
 
-function rowResult(result: TransactionResult, index: number): RowResult {
+function toRowResult(result: TransactionResult, index: number): RowResult {
   if (!result.ok) {
     return result;
   }
--- a/src/features/claims/common/outcomeFinder.ts
+++ b/src/features/claims/common/outcomeFinder.ts
@@ -6,31 +6,30 @@
 import {Metrics} from '../../../infrastructure/metrics/common/metrics.js';
 import {TableService} from '../../../infrastructure/table/common/tableService.js';
 import {RequestOutcome} from '../../requests/common/request.js';
-import {AskAnswer, AskMessage, ClaimPeers} from './claimPeers.js';
+import {AskRequest, AskResponse, ClaimPeers} from './claimPeers.js';
 import {
   claimRowKey,
-  isReplyNotKept,
-  KnownKey,
+  isResponseNotRetained,
+  KeyState,
   parseClaimRecord,
 } from './claimRecord.js';
 import {KeyBinding} from './claims.js';
 import {PeerDirectory} from './peerDirectory.js';
 
 /** A key that starts with a grant. */
-export type BoundBinding = Extract<KeyBinding, {readonly kind: 'bound'}>;
+export type BoundKeyBinding = Extract<KeyBinding, {readonly kind: 'bound'}>;
 
-/** What another incarnation or the table says of a bound key. */
-export type ForeignOutcome =
-  | ({readonly kind: 'outcome'} & KnownKey)
-  /** Never dispatched, nor will it be. */
+/** The state of a key bound to another incarnation, as found at that incarnation or in the table. */
+export type RemoteOutcome =
+  | ({readonly kind: 'outcome'} & KeyState)
+  /** Never dispatched and never will be, because the grant has expired. */
   | {readonly kind: 'closed'}
-  /** Not dispatched so far; it may be yet. */
+  /** Not dispatched so far, but still may be. */
   | {readonly kind: 'notSeen'}
-  /** Its incarnation may be alive and couldn't be asked. */
+  /** The incarnation may be running but did not respond. */
   | {readonly kind: 'notAsked'};
 
-/** What the finder needs. */
-export interface OutcomeFinderParts {
+export interface OutcomeFinderDependencies {
   readonly table: TableService;
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -39,79 +38,82 @@
   readonly askMilliseconds: number;
 }
 
-const NOTHING_KNOWN: KnownKey = {
+const UNKNOWN_STATE: KeyState = {
   outcome: {kind: 'unknown'},
   fingerprint: undefined,
 };
 
-/** Finds what became of keys that this instance didn't run: from their incarnation, then the table. */
+/** Finds the outcomes of keys that this instance did not run: asks their incarnation, then reads the table. */
 export class OutcomeFinder {
-  constructor(private readonly parts: OutcomeFinderParts) {}
+  constructor(private readonly dependencies: OutcomeFinderDependencies) {}
 
-  /** What is known of a key bound to another incarnation. */
-  async foreignOutcome(
+  /** Finds the state of a key bound to another incarnation. */
+  async findRemoteOutcome(
     keyHash: string,
-    binding: BoundBinding,
+    binding: BoundKeyBinding,
     token: CancellationToken,
-  ): Promise<ForeignOutcome> {
+  ): Promise<RemoteOutcome> {
     const {incarnation, expiresAtWallMilliseconds} = binding;
-    const message: AskMessage = {
+    const request: AskRequest = {
       incarnation,
       keyHash,
       grantExpiresAt: expiresAtWallMilliseconds,
     };
-    const answer = await this.ask(message, token);
-    if (answer?.kind === 'seen') {
-      const {outcome, fingerprint} = answer;
-      const kept = await this.withKeptReply(keyHash, outcome, token);
-      return {kind: 'outcome', outcome: kept, fingerprint};
+    const response = await this.ask(request, token);
+    if (response?.kind === 'seen') {
+      const {outcome, fingerprint} = response;
+      const withBody = await this.withRecordedResponse(keyHash, outcome, token);
+      return {kind: 'outcome', outcome: withBody, fingerprint};
     }
-    if (answer?.kind === 'notSeen') {
-      return {kind: answer.closed ? 'closed' : 'notSeen'};
+    if (response?.kind === 'notSeen') {
+      return {kind: response.closed ? 'closed' : 'notSeen'};
     }
-    const recorded = await this.recorded(keyHash, token);
+    const recorded = await this.readRecorded(keyHash, token);
     if (recorded !== undefined) {
       return {kind: 'outcome', ...recorded};
     }
-    const mayBeAlive = answer === undefined && this.isKnown(incarnation);
+    const mayBeAlive = response === undefined && this.isListed(incarnation);
     return mayBeAlive
       ? {kind: 'notAsked'}
-      : {kind: 'outcome', ...NOTHING_KNOWN};
+      : {kind: 'outcome', ...UNKNOWN_STATE};
   }
 
-  /** The outcome of a plain key whose row holds none; only its incarnation can know. */
-  async askPlain(
+  /** Asks the incarnation that claimed a plain key, when the claim row has no outcome. */
+  async askPlainKeyOwner(
     keyHash: string,
     incarnation: string,
     token: CancellationToken,
-  ): Promise<KnownKey> {
-    const message = {incarnation, keyHash, grantExpiresAt: undefined};
-    const answer = await this.ask(message, token);
-    if (answer?.kind !== 'seen') {
-      return NOTHING_KNOWN;
+  ): Promise<KeyState> {
+    const request = {incarnation, keyHash, grantExpiresAt: undefined};
+    const response = await this.ask(request, token);
+    if (response?.kind !== 'seen') {
+      return UNKNOWN_STATE;
     }
-    const {outcome, fingerprint} = answer;
+    const {outcome, fingerprint} = response;
     return {outcome, fingerprint};
   }
 
-  /** Fetches a reply whose text memory no longer holds. */
-  async withKeptReply(
+  /** Reads the response from the table if its body is no longer in memory. */
+  async withRecordedResponse(
     keyHash: string,
     outcome: RequestOutcome,
     token: CancellationToken,
   ): Promise<RequestOutcome> {
-    if (!isReplyNotKept(outcome)) {
+    if (!isResponseNotRetained(outcome)) {
       return outcome;
     }
-    return (await this.recorded(keyHash, token))?.outcome ?? outcome;
+    return (await this.readRecorded(keyHash, token))?.outcome ?? outcome;
   }
 
-  /** The outcome that stands in the table; undefined when there is none or it can't be read. */
-  async recorded(
+  /** The recorded outcome; undefined when the row has none or cannot be read. */
+  async readRecorded(
     keyHash: string,
     token: CancellationToken,
-  ): Promise<KnownKey | undefined> {
-    const rows = await this.parts.table.read([claimRowKey(keyHash)], token);
+  ): Promise<KeyState | undefined> {
+    const rows = await this.dependencies.table.read(
+      [claimRowKey(keyHash)],
+      token,
+    );
     const row = rows.ok ? rows.value[0] : undefined;
     const record = row && parseClaimRecord(row);
     return (
@@ -122,13 +124,14 @@
     );
   }
 
-  /** Undefined when the incarnation isn't known or didn't answer. */
+  /** Undefined when the incarnation is not listed or did not respond. */
   private async ask(
-    message: AskMessage,
+    request: AskRequest,
     token: CancellationToken,
-  ): Promise<AskAnswer | undefined> {
-    const {askMilliseconds, clock, directory, metrics, peers} = this.parts;
-    const peer = directory.resolve(message.incarnation);
+  ): Promise<AskResponse | undefined> {
+    const {askMilliseconds, clock, directory, metrics, peers} =
+      this.dependencies;
+    const peer = directory.resolve(request.incarnation);
     if (peer === undefined) {
       return undefined;
     }
@@ -137,7 +140,7 @@
       source.cancel('peer timeout'),
     );
     try {
-      return await peers.ask(peer.address, message, source.token);
+      return await peers.ask(peer.address, request, source.token);
     } catch {
       metrics.count('claims.ask_failed', 1);
       return undefined;
@@ -147,7 +150,7 @@
     }
   }
 
-  private isKnown(incarnation: string): boolean {
-    return this.parts.directory.resolve(incarnation) !== undefined;
+  private isListed(incarnation: string): boolean {
+    return this.dependencies.directory.resolve(incarnation) !== undefined;
   }
 }
--- a/src/features/claims/common/outcomeRecorder.ts
+++ b/src/features/claims/common/outcomeRecorder.ts
@@ -13,28 +13,29 @@
 import {ClaimSettings} from './claimSettings.js';
 import {RowResult, RowWriter} from './rowWriter.js';
 
-/** One outcome to record. */
+/** An outcome to be recorded. */
 export interface OutcomeEntry {
   readonly keyHash: string;
   readonly record: ClaimRecord;
-  /** What held of the row when it was claimed. */
+  /** The condition of the first write, from when the key was claimed. */
   readonly condition: RowCondition;
-  /** Called once: true when the outcome stands in the table, false when it was given up. */
+  /** Called once: true when the outcome is recorded, false when it was discarded. */
   readonly done: (recorded: boolean) => void;
 }
 
 interface BufferedEntry {
   readonly entry: OutcomeEntry;
   condition: RowCondition;
+  /** Milliseconds. */
   backoff: number;
   timer: Disposable | undefined;
 }
 
-/** Records outcomes in claim rows, again and again through an outage, with a bounded buffer. */
+/** Records outcomes in claim rows. Retries during an outage; the buffer is bounded and drops the oldest outcomes. */
 export class OutcomeRecorder implements Disposable {
-  /** By nonce, oldest first. */
+  /** Entries by nonce, oldest first. */
   private readonly buffer = new Map<string, BufferedEntry>();
-  private characters = 0;
+  private bufferedCharacters = 0;
   private dropped = 0;
   private waiters: Array<() => void> = [];
 
@@ -46,12 +47,12 @@
     private readonly settings: ClaimSettings,
   ) {}
 
-  /** Outcomes that wait. */
+  /** Number of buffered outcomes. */
   get size(): number {
     return this.buffer.size;
   }
 
-  /** Resolves when nothing waits, or after a time; for a planned stop. */
+  /** Resolves when the buffer is empty or the time has elapsed; used for a planned stop. */
   whenEmpty(milliseconds: number): Promise<void> {
     if (this.buffer.size === 0) {
       return Promise.resolve();
@@ -73,10 +74,10 @@
       timer: undefined,
     };
     this.buffer.set(entry.record.nonce, buffered);
-    this.characters += lengthOf(entry);
-    this.shrink();
+    this.bufferedCharacters += bodyLengthOf(entry);
+    this.dropOldest();
     if (this.buffer.has(entry.record.nonce)) {
-      void this.attempt(buffered);
+      void this.writeEntry(buffered);
     }
   }
 
@@ -86,7 +87,7 @@
     }
   }
 
-  private async attempt(buffered: BufferedEntry): Promise<void> {
+  private async writeEntry(buffered: BufferedEntry): Promise<void> {
     const {keyHash, record} = buffered.entry;
     const result = await this.writer.write({
       key: claimRowKey(keyHash),
@@ -96,10 +97,10 @@
     if (this.buffer.get(record.nonce) !== buffered) {
       return;
     }
-    this.settle(buffered, result);
+    this.handleResult(buffered, result);
   }
 
-  private settle(buffered: BufferedEntry, result: RowResult): void {
+  private handleResult(buffered: BufferedEntry, result: RowResult): void {
     if (!result.ok) {
       this.retryLater(buffered);
       return;
@@ -109,25 +110,25 @@
       return;
     }
     const {current} = result.value;
-    const found = current && parseClaimRecord(current);
-    const ours = found?.nonce === buffered.entry.record.nonce;
-    if (current === undefined || !ours) {
-      // Deleted by age, or held by another attempt.
+    const existing = current && parseClaimRecord(current);
+    const isOwnRow = existing?.nonce === buffered.entry.record.nonce;
+    if (current === undefined || !isOwnRow) {
+      // The row has expired or belongs to another attempt.
       this.remove(buffered, false);
       return;
     }
-    if (found.outcome !== undefined) {
+    if (existing.outcome !== undefined) {
       this.remove(buffered, true);
       return;
     }
     buffered.condition = {kind: 'version', version: current.version};
-    void this.attempt(buffered);
+    void this.writeEntry(buffered);
   }
 
   private retryLater(buffered: BufferedEntry): void {
     buffered.timer = this.clock.setTimer(buffered.backoff, () => {
       buffered.timer = undefined;
-      void this.attempt(buffered);
+      void this.writeEntry(buffered);
     });
     buffered.backoff = Math.min(
       buffered.backoff * 2,
@@ -135,18 +136,18 @@
     );
   }
 
-  private shrink(): void {
+  private dropOldest(): void {
     const {outcomeBufferLimit, outcomeBufferCharacters} = this.settings;
     for (const buffered of this.buffer.values()) {
       const fits =
         this.buffer.size <= outcomeBufferLimit &&
-        this.characters <= outcomeBufferCharacters;
+        this.bufferedCharacters <= outcomeBufferCharacters;
       if (fits) {
         return;
       }
       this.dropped++;
       this.metrics.count('claims.outcomes_dropped', 1);
-      this.logger.warn('outcome dropped: too many wait to be recorded', {
+      this.logger.warn('outcome dropped: record buffer is full', {
         dropped: this.dropped,
       });
       this.remove(buffered, false);
@@ -155,7 +156,7 @@
 
   private remove(buffered: BufferedEntry, recorded: boolean): void {
     this.buffer.delete(buffered.entry.record.nonce);
-    this.characters -= lengthOf(buffered.entry);
+    this.bufferedCharacters -= bodyLengthOf(buffered.entry);
     buffered.timer?.dispose();
     buffered.entry.done(recorded);
     if (this.buffer.size === 0) {
@@ -165,7 +166,7 @@
   }
 }
 
-function lengthOf(entry: OutcomeEntry): number {
+function bodyLengthOf(entry: OutcomeEntry): number {
   const {outcome} = entry.record;
   return outcome === undefined ? 0 : bodyLength(outcome);
 }
--- a/src/features/claims/common/peerDirectory.ts
+++ b/src/features/claims/common/peerDirectory.ts
@@ -1,30 +1,30 @@
 import {InstanceView, SystemView} from '../../membership/common/systemView.js';
 
-/** Where other instances of this system are. */
+/** Lookup of the instances of this system. */
 
-/** A running entry program. */
+/** A running entry process. */
 export interface PeerInstance {
   readonly id: string;
   readonly incarnation: string;
-  /** IP address and port for peers. */
+  /** IP address and port for requests between instances. */
   readonly address: string;
   readonly region: string;
 }
 
-/** Finds other instances by incarnation, and lists those that are ready. */
+/** Finds instances by incarnation and lists the ready ones. */
 export abstract class PeerDirectory {
-  /** The instance that runs an incarnation, ready or leaving; undefined when none is known. */
+  /** The instance of an incarnation, whether or not it is ready; undefined when unknown. */
   abstract resolve(incarnation: string): PeerInstance | undefined;
   /** Ready instances, this one included. */
   abstract readyInstances(): readonly PeerInstance[];
 }
 
-/** A directory fed from the system view. */
+/** Takes its entries from the system view. */
 export class ViewPeerDirectory extends PeerDirectory {
   private byIncarnation: ReadonlyMap<string, PeerInstance> = new Map();
   private ready: readonly PeerInstance[] = [];
 
-  /** Replaces what is known by a newer view. */
+  /** Replaces all entries by those of a newer view. */
   update(view: SystemView): void {
     const known = view.instances.flatMap(toPeers);
     this.byIncarnation = new Map(
--- a/src/features/claims/common/plainClaims.ts
+++ b/src/features/claims/common/plainKeyClaimer.ts
@@ -7,30 +7,30 @@
 import {RequestOutcome} from '../../requests/common/request.js';
 import {
   abandonedOutcome,
-  boundOutcome,
   ClaimRecord,
   isNotRun,
-  KnownKey,
+  KeyState,
+  limitBodySize,
   parseClaimRecord,
 } from './claimRecord.js';
-import {ABSENT, Attempt, ClaimInserter} from './claimInserter.js';
+import {ClaimAttempt, ClaimInserter, ROW_ABSENT} from './claimInserter.js';
 import {ClaimSettings} from './claimSettings.js';
-import {duplicateOf, refuseReuse} from './fingerprints.js';
-import {EndedKeys} from './endedKeys.js';
+import {checkKeyReuse, decideDuplicate} from './fingerprints.js';
+import {EndedKeyCache} from './endedKeyCache.js';
 import {OutcomeRecorder} from './outcomeRecorder.js';
 import {RowWriter} from './rowWriter.js';
 
-/** What came of claiming a plain key. */
-export type PlainDecision =
+/** The result of claiming a plain key. */
+export type PlainKeyDecision =
   | {readonly kind: 'granted'}
-  /** Known here. */
+  /** The key was claimed before and its outcome is in memory or in the claim row. */
   | {readonly kind: 'duplicate'; readonly outcome: RequestOutcome}
-  /** Claimed by an attempt of some incarnation; the row holds no outcome yet. */
+  /** Claimed by the given incarnation; the row has no outcome yet. */
   | {readonly kind: 'claimedBy'; readonly incarnation: string}
   | {readonly kind: 'keyReused'; readonly sameWork: boolean}
   | {readonly kind: 'undecided'; readonly detail: string};
 
-/** A key that this instance is working on. */
+/** A key that is being claimed, run or released by this instance. */
 type ActiveKey =
   | {readonly kind: 'claiming'}
   | {
@@ -38,18 +38,18 @@
       readonly record: ClaimRecord;
       readonly condition: RowCondition;
     }
-  /** Its end, without anything run, is being recorded; until then nobody can claim it again. */
+  /** The `not run` outcome is being recorded; until it is, no instance can claim the key again. */
   | {readonly kind: 'settling'};
 
 /**
- * Claims of plain keys by a row in the table. A claim is one conditional write that is repeated with
- * the same nonce until its outcome is known: a conflict with the own nonce means that an earlier
- * write took effect. An attempt that isn't decided in time is never granted afterwards; its row is
+ * Claims plain keys by inserting a row into the table. A claim is a conditional write that is retried with
+ * the same nonce until its result is known: a conflict with a row that has this nonce means that an earlier
+ * try took effect. An attempt that is not decided in time is never granted afterwards; its row is
  * closed as not run, so that the key can be claimed again.
  */
-export class PlainClaims {
+export class PlainKeyClaimer {
   private readonly active = new Map<string, ActiveKey>();
-  private readonly ended: EndedKeys;
+  private readonly ended: EndedKeyCache;
   private readonly inserter: ClaimInserter;
 
   constructor(
@@ -61,7 +61,7 @@
     private readonly settings: ClaimSettings,
   ) {
     this.inserter = new ClaimInserter(writer, clock, settings);
-    this.ended = new EndedKeys(
+    this.ended = new EndedKeyCache(
       settings.endedPlainKeyLimit,
       settings.heldBodyLimit,
     );
@@ -71,7 +71,7 @@
     keyHash: string,
     token: CancellationToken,
     fingerprint?: string,
-  ): Promise<PlainDecision> {
+  ): Promise<PlainKeyDecision> {
     const known = this.known(keyHash, fingerprint);
     if (known !== undefined) {
       return known;
@@ -81,11 +81,11 @@
     }
     this.active.set(keyHash, {kind: 'claiming'});
     const attempt = this.createAttempt(keyHash, fingerprint);
-    const decided = this.decide(attempt);
-    return this.waitFor(decided, attempt, token);
+    const decision = this.decide(attempt);
+    return this.awaitDecision(decision, attempt, token);
   }
 
-  /** Ends a running key; false when it isn't running here. */
+  /** Sets the outcome of a running key; false when the key is not running here. */
   complete(keyHash: string, outcome: RequestOutcome): boolean {
     const active = this.active.get(keyHash);
     if (active?.kind !== 'running') {
@@ -101,23 +101,23 @@
     const limit = this.settings.recordedBodyLimit;
     this.recorder.record({
       keyHash,
-      record: {...record, outcome: boundOutcome(outcome, limit)},
+      record: {...record, outcome: limitBodySize(outcome, limit)},
       condition,
       done: () => undefined,
     });
     return true;
   }
 
-  /** What another instance is told of a key: one that is decided or closed soon is worth asking for again. */
-  answerOf(keyHash: string): KnownKey | undefined {
-    const known = this.outcomeOf(keyHash);
+  /** As `stateOf`, but `running` while the key is being claimed or released, so that peers ask again later. */
+  stateForPeer(keyHash: string): KeyState | undefined {
+    const known = this.stateOf(keyHash);
     return known !== undefined && this.active.has(keyHash)
       ? {...known, outcome: {kind: 'running'}}
       : known;
   }
 
-  /** What is known here of a key; undefined when nothing is. */
-  outcomeOf(keyHash: string): KnownKey | undefined {
+  /** The state of a key in memory; undefined when there is none. */
+  stateOf(keyHash: string): KeyState | undefined {
     const active = this.active.get(keyHash);
     switch (active?.kind) {
       case 'running': {
@@ -132,11 +132,11 @@
     }
   }
 
-  /** While a key isn't surely held here, what it stands for isn't known either. */
+  /** Decides a claim from memory. Fingerprints are not compared unless this instance holds the claim. */
   private known(
     keyHash: string,
     fingerprint: string | undefined,
-  ): PlainDecision | undefined {
+  ): PlainKeyDecision | undefined {
     switch (this.active.get(keyHash)?.kind) {
       case 'claiming':
         return {kind: 'undecided', detail: 'being claimed'};
@@ -147,8 +147,8 @@
         };
       case 'running':
       case undefined: {
-        const known = this.outcomeOf(keyHash);
-        return known && duplicateOf(known, fingerprint);
+        const known = this.stateOf(keyHash);
+        return known && decideDuplicate(known, fingerprint);
       }
     }
   }
@@ -156,7 +156,7 @@
   private createAttempt(
     keyHash: string,
     fingerprint: string | undefined,
-  ): Attempt {
+  ): ClaimAttempt {
     const {rowRetentionMilliseconds} = this.settings;
     return {
       keyHash,
@@ -166,29 +166,29 @@
         expiresAt: this.clock.wallMilliseconds() + rowRetentionMilliseconds,
         fingerprint,
       },
-      condition: ABSENT,
+      condition: ROW_ABSENT,
       givenUp: false,
-      mayHaveLanded: false,
+      mayHaveBeenWritten: false,
     };
   }
 
-  /** Waits for the decision, but no longer than the claimant and the settings allow. */
-  private waitFor(
-    decided: Promise<PlainDecision>,
-    attempt: Attempt,
+  /** Waits for the decision until the caller cancels or the timeout elapses; the attempt is then abandoned. */
+  private awaitDecision(
+    pending: Promise<PlainKeyDecision>,
+    attempt: ClaimAttempt,
     token: CancellationToken,
-  ): Promise<PlainDecision> {
+  ): Promise<PlainKeyDecision> {
     return new Promise(resolve => {
-      const giveUp = (detail: string) => {
+      const abandon = (detail: string) => {
         attempt.givenUp = true;
         resolve({kind: 'undecided', detail});
       };
       const timer = this.clock.setTimer(
         this.settings.decideWithinMilliseconds,
-        () => giveUp('the table did not answer in time'),
+        () => abandon('the table did not answer in time'),
       );
-      const cancelled = token.onDidCancel(() => giveUp('no longer wanted'));
-      void decided.then(decision => {
+      const cancelled = token.onDidCancel(() => abandon('no longer wanted'));
+      void pending.then(decision => {
         timer.dispose();
         cancelled.dispose();
         resolve(decision);
@@ -196,13 +196,13 @@
     });
   }
 
-  private async decide(attempt: Attempt): Promise<PlainDecision> {
-    const insertion = await this.inserter.insert(attempt);
+  private async decide(attempt: ClaimAttempt): Promise<PlainKeyDecision> {
+    const result = await this.inserter.insert(attempt);
     const {keyHash, record} = attempt;
-    if (insertion.kind === 'held') {
+    if (result.kind === 'held') {
       const condition: RowCondition = {
         kind: 'version',
-        version: insertion.version,
+        version: result.version,
       };
       if (attempt.givenUp) {
         this.close(keyHash, record, condition, abandonedOutcome);
@@ -211,19 +211,19 @@
       this.active.set(keyHash, {kind: 'running', record, condition});
       return {kind: 'granted'};
     }
-    if (insertion.kind === 'other') {
+    if (result.kind === 'other') {
       this.active.delete(keyHash);
-      return decisionFor(insertion.row, record.fingerprint);
+      return decisionFor(result.row, record.fingerprint);
     }
-    if (attempt.mayHaveLanded) {
+    if (attempt.mayHaveBeenWritten) {
       this.close(keyHash, record, attempt.condition, abandonedOutcome);
     } else {
       this.active.delete(keyHash);
     }
-    return {kind: 'undecided', detail: insertion.detail};
+    return {kind: 'undecided', detail: result.detail};
   }
 
-  /** Records that nothing ran; until that is done the key stays occupied here. */
+  /** Records that nothing ran; until that is done, this instance grants no claim on the key. */
   private close(
     keyHash: string,
     record: ClaimRecord,
@@ -240,20 +240,20 @@
   }
 }
 
-/** What a row of another attempt says. */
+/** The decision when the row belongs to another attempt. */
 function decisionFor(
   row: TableRow,
   fingerprint: string | undefined,
-): PlainDecision {
+): PlainKeyDecision {
   const record = parseClaimRecord(row);
   if (record === undefined) {
     return {kind: 'duplicate', outcome: {kind: 'unknown'}};
   }
   const {incarnation, outcome} = record;
   return outcome === undefined
-    ? (refuseReuse(record.fingerprint, fingerprint) ?? {
+    ? (checkKeyReuse(record.fingerprint, fingerprint) ?? {
         kind: 'claimedBy',
         incarnation,
       })
-    : duplicateOf({outcome, fingerprint: record.fingerprint}, fingerprint);
+    : decideDuplicate({outcome, fingerprint: record.fingerprint}, fingerprint);
 }
--- a/src/features/claims/common/plainKeyAnswers.ts
+++ b/src/features/claims/common/plainKeyResolver.ts
@@ -3,22 +3,22 @@
 import {RequestOutcome} from '../../requests/common/request.js';
 import {claimRowKey, parseClaimRecord} from './claimRecord.js';
 import {ClaimDecision} from './claims.js';
-import {duplicateOf} from './fingerprints.js';
+import {decideDuplicate} from './fingerprints.js';
 import {OutcomeFinder} from './outcomeFinder.js';
-import {PlainClaims} from './plainClaims.js';
+import {PlainKeyClaimer} from './plainKeyClaimer.js';
 
 const UNKNOWN: RequestOutcome = {kind: 'unknown'};
-const RETRY_MILLISECONDS = 1000;
+const UNDECIDED_RETRY_MILLISECONDS = 1000;
 
-/** Answers for plain keys, with the outcomes that other instances know. */
-export class PlainKeyAnswers {
+/** Claims and looks up plain keys, and asks other instances for outcomes that are not in the table. */
+export class PlainKeyResolver {
   constructor(
-    private readonly claims: PlainClaims,
+    private readonly claims: PlainKeyClaimer,
     private readonly finder: OutcomeFinder,
     private readonly table: TableService,
   ) {}
 
-  /** Claims a key, and finds the outcome of one that was claimed before. */
+  /** Claims a key; for a key that was claimed before, finds its outcome. */
   async claim(
     keyHash: string,
     token: CancellationToken,
@@ -32,7 +32,7 @@
       case 'duplicate':
         return {
           kind: 'duplicate',
-          outcome: await this.finder.withKeptReply(
+          outcome: await this.finder.withRecordedResponse(
             keyHash,
             decision.outcome,
             token,
@@ -40,22 +40,29 @@
         };
       case 'claimedBy': {
         const {incarnation} = decision;
-        const held = await this.finder.askPlain(keyHash, incarnation, token);
-        return duplicateOf(held, fingerprint);
+        const state = await this.finder.askPlainKeyOwner(
+          keyHash,
+          incarnation,
+          token,
+        );
+        return decideDuplicate(state, fingerprint);
       }
       case 'undecided':
-        return {...decision, retryAfterMilliseconds: RETRY_MILLISECONDS};
+        return {
+          ...decision,
+          retryAfterMilliseconds: UNDECIDED_RETRY_MILLISECONDS,
+        };
     }
   }
 
-  /** What is known of a key; undefined if it was never claimed. */
+  /** The outcome of a key; undefined if the key was never claimed. */
   async lookUp(
     keyHash: string,
     token: CancellationToken,
   ): Promise<RequestOutcome | undefined> {
-    const known = this.claims.outcomeOf(keyHash)?.outcome;
+    const known = this.claims.stateOf(keyHash)?.outcome;
     if (known !== undefined && known.kind !== 'unknown') {
-      return this.finder.withKeptReply(keyHash, known, token);
+      return this.finder.withRecordedResponse(keyHash, known, token);
     }
     const rows = await this.table.read([claimRowKey(keyHash)], token);
     if (!rows.ok) {
@@ -73,6 +80,7 @@
       return record.outcome;
     }
     const {incarnation} = record;
-    return (await this.finder.askPlain(keyHash, incarnation, token)).outcome;
+    return (await this.finder.askPlainKeyOwner(keyHash, incarnation, token))
+      .outcome;
   }
 }
--- a/src/features/claims/common/rowWriter.ts
+++ b/src/features/claims/common/rowWriter.ts
@@ -5,16 +5,16 @@
   WriteOutcome,
 } from '../../../infrastructure/table/common/tableService.js';
 
-/** What became of one row: its outcome, or why the transaction that held it failed. */
+/** The result of writing one row: its outcome, or the error of its transaction. */
 export type RowResult = Result<WriteOutcome, StorageError>;
 
-/** Characters of a row's value. */
-export function textLength(write: RowWrite): number {
+/** Characters of the row's value; 0 for a deletion. */
+export function valueLength(write: RowWrite): number {
   return write.value?.length ?? 0;
 }
 
-/** Writes single rows; implementations gather them into larger transactions. */
+/** Writes single rows; implementations batch them into transactions. */
 export abstract class RowWriter {
-  /** Never rejects; `outcomeUnknown` means that the row may have been, or may yet be, written. */
+  /** Never rejects. `outcomeUnknown` means that the row may have been written or may still be. */
   abstract write(write: RowWrite): Promise<RowResult>;
 }
--- a/src/features/claims/node/claimRouter.ts
+++ b/src/features/claims/node/claimRouter.ts
@@ -5,14 +5,14 @@
   peerProcedure,
 } from '../../../infrastructure/rpc/node/rpc.js';
 import {RowWrite} from '../../../infrastructure/table/common/tableService.js';
-import {AskAnswer} from '../common/claimPeers.js';
-import {CLAIM_PREFIX} from '../common/claimRecord.js';
+import {AskResponse} from '../common/claimPeers.js';
+import {CLAIM_ROW_PREFIX} from '../common/claimRecord.js';
 import {RowResult} from '../common/rowWriter.js';
 import {DefaultClaimService} from './defaultClaimService.js';
 
-/** Calls between claim services. */
+/** RPC router for requests between claim services. */
 
-const MAXIMUM_ROWS = 100;
+const MAX_ROWS_PER_CALL = 100;
 
 const askSchema = z.object({
   incarnation: z.string(),
@@ -30,19 +30,19 @@
   writes: z
     .array(
       z.object({
-        key: z.string().startsWith(CLAIM_PREFIX),
+        key: z.string().startsWith(CLAIM_ROW_PREFIX),
         value: z.string(),
         condition: conditionSchema,
       }),
     )
-    .max(MAXIMUM_ROWS),
+    .max(MAX_ROWS_PER_CALL),
 });
 
-/** The procedures `claims.ask` and `claims.gather`; merge it into the entry program's root router. */
+/** Serves `claims.ask` and `claims.gather`; to be merged into the root router of the entry program. */
 export function createClaimRouter(service: DefaultClaimService) {
   return createRpcRouter({
     claims: createRpcRouter({
-      ask: peerProcedure.input(askSchema).query(({input}): AskAnswer =>
+      ask: peerProcedure.input(askSchema).query(({input}): AskResponse =>
         service.answer({
           incarnation: input.incarnation,
           keyHash: input.keyHash,
@@ -58,5 +58,5 @@
   });
 }
 
-/** The router's type, for clients. */
+/** Router type for RPC clients. */
 export type ClaimRouter = ReturnType<typeof createClaimRouter>;
--- a/src/features/claims/node/defaultClaimService.ts
+++ b/src/features/claims/node/defaultClaimService.ts
@@ -10,9 +10,9 @@
   TableService,
 } from '../../../infrastructure/table/common/tableService.js';
 import {RequestOutcome} from '../../requests/common/request.js';
-import {BoundClaims} from '../common/boundClaims.js';
-import {ClaimAgeing} from '../common/claimAgeing.js';
-import {AskAnswer, AskMessage, ClaimPeers} from '../common/claimPeers.js';
+import {BoundKeyClaimer} from '../common/boundKeyClaimer.js';
+import {ClaimRowSweeper} from '../common/claimRowSweeper.js';
+import {AskRequest, AskResponse, ClaimPeers} from '../common/claimPeers.js';
 import {ClaimDecision, ClaimService} from '../common/claims.js';
 import {ClaimSettings, defaultClaimSettings} from '../common/claimSettings.js';
 import {countCommitters, GatheringWriter} from '../common/gatheringWriter.js';
@@ -20,93 +20,106 @@
 import {OutcomeRecorder} from '../common/outcomeRecorder.js';
 import {OutcomeFinder} from '../common/outcomeFinder.js';
 import {PeerDirectory} from '../common/peerDirectory.js';
-import {PlainClaims} from '../common/plainClaims.js';
-import {PlainKeyAnswers} from '../common/plainKeyAnswers.js';
+import {PlainKeyClaimer} from '../common/plainKeyClaimer.js';
+import {PlainKeyResolver} from '../common/plainKeyResolver.js';
 import {RowResult} from '../common/rowWriter.js';
 import {GrantSigner, hashKey} from './grantSigner.js';
 
-/** What the claim service is built from. */
-export interface ClaimServiceParts {
+export interface ClaimServiceDependencies {
   readonly table: TableService;
   readonly clock: Clock;
-  /** This process: 1 to 64 of `A-Z a-z 0-9 _ -`, never used by another process. */
+  /** Identifies this process: 1 to 64 of `A-Z a-z 0-9 _ -`, never reused by another process. */
   readonly incarnation: string;
   readonly peerKey: string;
-  /** Peer keys used earlier whose grants may still be in use. */
+  /** Previous peer keys, whose grants may still be in use. */
   readonly formerPeerKeys?: readonly string[];
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly directory: PeerDirectory;
   readonly peers: ClaimPeers;
   readonly settings?: ClaimSettings;
-  /** A text that is never repeated; random by default. */
+  /** Must never return the same text twice; random UUIDs by default. */
   readonly createNonce?: () => string;
 }
 
-/** Claims keys: bound ones in memory, plain ones in the table. */
+/** Claims bound keys in memory and plain keys in the table. */
 export class DefaultClaimService extends ClaimService implements Disposable {
-  private readonly owned = new DisposableStore();
+  private readonly disposables = new DisposableStore();
   private readonly settings: ClaimSettings;
   private readonly signer: GrantSigner;
-  private readonly bound: BoundClaims;
-  private readonly plain: PlainClaims;
-  private readonly plainAnswers: PlainKeyAnswers;
+  private readonly bound: BoundKeyClaimer;
+  private readonly plain: PlainKeyClaimer;
+  private readonly plainKeyResolver: PlainKeyResolver;
   private readonly committer: GroupCommitter;
   private readonly recorder: OutcomeRecorder;
-  private readonly ageing: ClaimAgeing;
+  private readonly ageing: ClaimRowSweeper;
 
-  constructor(private readonly parts: ClaimServiceParts) {
+  constructor(private readonly dependencies: ClaimServiceDependencies) {
     super();
-    const {clock, incarnation, logger, metrics, table} = parts;
-    this.settings = parts.settings ?? defaultClaimSettings;
-    this.signer = new GrantSigner(parts.peerKey, parts.formerPeerKeys);
+    const {clock, incarnation, logger, metrics, table} = dependencies;
+    this.settings = dependencies.settings ?? defaultClaimSettings;
+    this.signer = new GrantSigner(
+      dependencies.peerKey,
+      dependencies.formerPeerKeys,
+    );
     this.committer = this.createCommitter();
     const writer = this.createWriter();
-    this.recorder = this.owned.add(
+    this.recorder = this.disposables.add(
       new OutcomeRecorder(writer, clock, logger, metrics, this.settings),
     );
     const finder = new OutcomeFinder({
-      ...parts,
+      ...dependencies,
       askMilliseconds: this.settings.askMilliseconds,
     });
-    this.bound = new BoundClaims(
+    this.bound = new BoundKeyClaimer(
       finder,
       this.recorder,
       clock,
       incarnation,
       this.settings,
     );
-    this.plain = new PlainClaims(
+    this.plain = new PlainKeyClaimer(
       writer,
       this.recorder,
       clock,
       incarnation,
-      parts.createNonce ?? randomUUID,
+      dependencies.createNonce ?? randomUUID,
       this.settings,
     );
-    this.plainAnswers = new PlainKeyAnswers(this.plain, finder, table);
-    this.ageing = this.owned.add(
-      new ClaimAgeing(table, clock, metrics, this.settings.ageing, incarnation),
+    this.plainKeyResolver = new PlainKeyResolver(this.plain, finder, table);
+    this.ageing = this.disposables.add(
+      new ClaimRowSweeper(
+        table,
+        clock,
+        metrics,
+        this.settings.ageing,
+        incarnation,
+      ),
     );
   }
 
-  /** Begins to delete expired rows. */
+  /** Starts the deletion of expired rows. */
   start(): void {
     this.ageing.start();
   }
 
-  /** Before a planned stop: resolves when all outcomes are recorded, or after a time. */
+  /** For a planned stop: resolves when all outcomes are recorded or the time has elapsed. */
   drain(milliseconds: number): Promise<void> {
     return this.recorder.whenEmpty(milliseconds);
   }
 
   dispose(): void {
-    this.owned.dispose();
+    this.disposables.dispose();
   }
 
   override issueGrant(clientAccount: string): string {
-    const expiresAt = this.bound.ownTime() + this.settings.grantMilliseconds;
-    return this.signer.sign(this.parts.incarnation, expiresAt, clientAccount);
+    const expiresAt =
+      this.bound.steadyWallMilliseconds() + this.settings.grantMilliseconds;
+    return this.signer.sign(
+      this.dependencies.incarnation,
+      expiresAt,
+      clientAccount,
+    );
   }
 
   override async claim(
@@ -116,7 +129,9 @@
     fingerprint?: string,
   ): Promise<ClaimDecision> {
     const decision = await this.decide(clientAccount, key, token, fingerprint);
-    this.parts.metrics.count('claims.decisions', 1, {kind: decision.kind});
+    this.dependencies.metrics.count('claims.decisions', 1, {
+      kind: decision.kind,
+    });
     return decision;
   }
 
@@ -126,13 +141,15 @@
     outcome: RequestOutcome,
   ): void {
     const keyHash = hashKey(clientAccount, key);
-    const binding = this.signer.read(clientAccount, key);
-    const ended =
+    const binding = this.signer.parseKey(clientAccount, key);
+    const wasRunning =
       binding.kind === 'bound'
         ? this.bound.complete(keyHash, binding, outcome)
         : this.plain.complete(keyHash, outcome);
-    if (!ended) {
-      this.parts.logger.warn('outcome of a key that is not running here');
+    if (!wasRunning) {
+      this.dependencies.logger.warn(
+        'ignored outcome of a key that is not running on this instance',
+      );
     }
   }
 
@@ -142,19 +159,19 @@
     token: CancellationToken,
   ): Promise<RequestOutcome | undefined> {
     const keyHash = hashKey(clientAccount, key);
-    const binding = this.signer.read(clientAccount, key);
+    const binding = this.signer.parseKey(clientAccount, key);
     switch (binding.kind) {
       case 'invalid':
         return undefined;
       case 'plain':
-        return this.plainAnswers.lookUp(keyHash, token);
+        return this.plainKeyResolver.lookUp(keyHash, token);
       case 'bound':
         return this.bound.lookUp(keyHash, binding, token);
     }
   }
 
   override isSurelyNotRun(clientAccount: string, key: string): boolean {
-    const binding = this.signer.read(clientAccount, key);
+    const binding = this.signer.parseKey(clientAccount, key);
     switch (binding.kind) {
       case 'invalid':
         return true;
@@ -165,28 +182,28 @@
     }
   }
 
-  /** Answers another instance's question. */
-  answer(message: AskMessage): AskAnswer {
-    const {grantExpiresAt, keyHash} = message;
-    if (message.incarnation !== this.parts.incarnation) {
+  /** Handles `claims.ask` from another instance. */
+  answer(request: AskRequest): AskResponse {
+    const {grantExpiresAt, keyHash} = request;
+    if (request.incarnation !== this.dependencies.incarnation) {
       return {kind: 'otherIncarnation'};
     }
     if (grantExpiresAt === undefined) {
-      const known = this.plain.answerOf(keyHash);
-      return known ? {kind: 'seen', ...known} : {kind: 'forgotten'};
+      const state = this.plain.stateForPeer(keyHash);
+      return state ? {kind: 'seen', ...state} : {kind: 'forgotten'};
     }
     return this.bound.answer(keyHash, grantExpiresAt);
   }
 
-  /** Writes claim rows for another instance. */
+  /** Handles `claims.gather`: writes claim rows for another instance. */
   gather(writes: readonly RowWrite[]): Promise<readonly RowResult[]> {
     return Promise.all(writes.map(write => this.committer.write(write)));
   }
 
   private createCommitter(): GroupCommitter {
-    const {clock, directory, metrics, table} = this.parts;
+    const {clock, directory, metrics, table} = this.dependencies;
     const {commit, gather} = this.settings;
-    return this.owned.add(
+    return this.disposables.add(
       new GroupCommitter(table, clock, metrics, commit, () =>
         countCommitters(directory, gather),
       ),
@@ -194,10 +211,10 @@
   }
 
   private createWriter(): GatheringWriter {
-    const {clock, directory, incarnation, metrics, peers} = this.parts;
-    return this.owned.add(
+    const {clock, directory, incarnation, metrics, peers} = this.dependencies;
+    return this.disposables.add(
       new GatheringWriter({
-        direct: this.committer,
+        directWriter: this.committer,
         settings: this.settings.gather,
         clock,
         directory,
@@ -215,12 +232,12 @@
     fingerprint: string | undefined,
   ): Promise<ClaimDecision> {
     const keyHash = hashKey(clientAccount, key);
-    const binding = this.signer.read(clientAccount, key);
+    const binding = this.signer.parseKey(clientAccount, key);
     switch (binding.kind) {
       case 'invalid':
         return {kind: 'refusedNotRun', detail: 'the key holds no valid grant'};
       case 'plain':
-        return this.plainAnswers.claim(keyHash, token, fingerprint);
+        return this.plainKeyResolver.claim(keyHash, token, fingerprint);
       case 'bound':
         return this.bound.claim(keyHash, binding, token, fingerprint);
     }
--- a/src/features/claims/node/grantSigner.ts
+++ b/src/features/claims/node/grantSigner.ts
@@ -2,44 +2,44 @@
 
 import {KeyBinding} from '../common/claims.js';
 
-/** Grants: `g1.<incarnation>.<expiry>.<mac>`; a key is a grant, a dot and the caller's own suffix. */
+/** Grants have the form `g1.<incarnation>.<expiry>.<mac>`; a bound key is a grant, a dot and the caller's suffix. */
 
-/** How a key reads: its binding, or why it can't be one. */
+/** `invalid`: the key starts like a grant, but has no valid one. */
 export type ParsedKey = KeyBinding | {readonly kind: 'invalid'};
 
-const PREFIX = 'g1.';
+const GRANT_PREFIX = 'g1.';
 const GRANT_PATTERN =
   /^g1\.([A-Za-z0-9_-]{1,64})\.([0-9a-z]{1,10})\.([A-Za-z0-9_-]{22})\.(.+)$/s;
 const INCARNATION_PATTERN = /^[A-Za-z0-9_-]{1,64}$/;
 const EXPIRY_RADIX = 36;
 const MAC_BYTES = 16;
 
-/** Signs grants and reads keys; the binding is part of the key, so a key never has two. */
+/** Signs grants and parses keys. The binding is part of the key text, so it never changes. */
 export class GrantSigner {
   /**
-   * Grants are signed with the peer key. Keys signed with a former peer key still count: otherwise
-   * a key that ran before the change would look as if no instance could ever have run it.
+   * Grants are signed with the current peer key. Grants signed with a former peer key stay valid: otherwise
+   * a key that ran before the rotation would be reported as never run.
    */
   constructor(
     private readonly peerKey: string,
     private readonly formerPeerKeys: readonly string[] = [],
   ) {}
 
-  /** A grant of an incarnation for one client account; the expiry is in milliseconds. */
+  /** Signs a grant of an incarnation for a client account; `expiresAt` is in wall clock milliseconds. */
   sign(incarnation: string, expiresAt: number, clientAccount: string): string {
     if (!INCARNATION_PATTERN.test(incarnation)) {
       throw new RangeError(
-        'incarnation: expected 1 to 64 of A-Z, a-z, 0-9, _ and -',
+        'invalid incarnation: expected 1 to 64 characters of A-Z, a-z, 0-9, _ and -',
       );
     }
     const expiry = Math.floor(expiresAt).toString(EXPIRY_RADIX);
-    const mac = macOf(this.peerKey, incarnation, expiry, clientAccount);
-    return `${PREFIX}${incarnation}.${expiry}.${mac}`;
+    const mac = computeMac(this.peerKey, incarnation, expiry, clientAccount);
+    return `${GRANT_PREFIX}${incarnation}.${expiry}.${mac}`;
   }
 
-  /** Reads a key of a client account. Whatever starts like a grant must be a valid one. */
-  read(clientAccount: string, key: string): ParsedKey {
-    if (!key.startsWith(PREFIX)) {
+  /** Parses a key of a client account. A key that starts like a grant but has no valid one is `invalid`, not plain. */
+  parseKey(clientAccount: string, key: string): ParsedKey {
+    if (!key.startsWith(GRANT_PREFIX)) {
       return {kind: 'plain'};
     }
     const match = GRANT_PATTERN.exec(key);
@@ -48,7 +48,10 @@
     }
     const [, incarnation, expiry, mac] = match;
     const isSigned = [this.peerKey, ...this.formerPeerKeys].some(secret =>
-      sameText(mac!, macOf(secret, incarnation!, expiry!, clientAccount)),
+      isEqualInConstantTime(
+        mac!,
+        computeMac(secret, incarnation!, expiry!, clientAccount),
+      ),
     );
     if (!isSigned) {
       return {kind: 'invalid'};
@@ -61,14 +64,14 @@
   }
 }
 
-/** The name of an account's key in memory and in the table; 256 bits, hexadecimal. */
+/** Identifies the key of a client account in memory and in the table; SHA-256 in hexadecimal. */
 export function hashKey(clientAccount: string, key: string): string {
   return createHash('sha256')
     .update(JSON.stringify([clientAccount, key]))
     .digest('hex');
 }
 
-function macOf(
+function computeMac(
   secret: string,
   incarnation: string,
   expiry: string,
@@ -81,7 +84,7 @@
     .toString('base64url');
 }
 
-function sameText(left: string, right: string): boolean {
+function isEqualInConstantTime(left: string, right: string): boolean {
   return (
     left.length === right.length &&
     timingSafeEqual(Buffer.from(left), Buffer.from(right))
--- a/src/features/claims/node/rpcClaimPeers.ts
+++ b/src/features/claims/node/rpcClaimPeers.ts
@@ -5,16 +5,16 @@
   RpcClient,
 } from '../../../infrastructure/rpc/node/rpc.js';
 import {RowWrite} from '../../../infrastructure/table/common/tableService.js';
-import {AskAnswer, AskMessage, ClaimPeers} from '../common/claimPeers.js';
+import {AskRequest, AskResponse, ClaimPeers} from '../common/claimPeers.js';
 import {RowResult} from '../common/rowWriter.js';
 import {ClaimRouter} from './claimRouter.js';
 
-/** Clients kept; the longest kept is closed when another is needed. */
+/** Maximum number of open clients; beyond it the oldest client is closed. */
 const CLIENT_LIMIT = 400;
 
 /**
- * Reaches other instances over tRPC. The casts restore members that JSON leaves out when they are
- * undefined; reading them gives undefined either way.
+ * Calls other instances over tRPC. The casts restore optional members: JSON omits undefined members, and reading an
+ * omitted member also returns undefined.
  */
 export class RpcClaimPeers extends ClaimPeers implements Disposable {
   private readonly clients = new Map<string, RpcClient<ClaimRouter>>();
@@ -25,12 +25,12 @@
 
   override ask(
     address: string,
-    message: AskMessage,
+    request: AskRequest,
     token: CancellationToken,
-  ): Promise<AskAnswer> {
+  ): Promise<AskResponse> {
     const {call} = this.clientFor(address);
-    const answer = call.claims.ask.query(message, {signal: token.signal});
-    return answer as Promise<AskAnswer>;
+    const response = call.claims.ask.query(request, {signal: token.signal});
+    return response as Promise<AskResponse>;
   }
 
   override gather(
@@ -39,7 +39,7 @@
     token: CancellationToken,
   ): Promise<readonly RowResult[]> {
     const {call} = this.clientFor(address);
-    const input = {writes: writes.map(withValue)};
+    const input = {writes: writes.map(toSerializableWrite)};
     const results = call.claims.gather.mutate(input, {signal: token.signal});
     return results as Promise<readonly RowResult[]>;
   }
@@ -52,17 +52,17 @@
   }
 
   private clientFor(address: string): RpcClient<ClaimRouter> {
-    const known = this.clients.get(address);
-    if (known !== undefined) {
-      return known;
+    const existing = this.clients.get(address);
+    if (existing !== undefined) {
+      return existing;
     }
-    this.makeRoom();
+    this.evictOldestClient();
     const client = createRpcClient<ClaimRouter>(address, this.peerKey);
     this.clients.set(address, client);
     return client;
   }
 
-  private makeRoom(): void {
+  private evictOldestClient(): void {
     if (this.clients.size < CLIENT_LIMIT) {
       return;
     }
@@ -72,7 +72,7 @@
   }
 }
 
-/** Claim rows are written, never deleted, through gatherers. */
-function withValue({key, value, condition}: RowWrite) {
+/** Replaces an undefined value, since rows are never deleted through gatherers. */
+function toSerializableWrite({key, value, condition}: RowWrite) {
   return {key, value: value ?? '', condition};
 }
--- a/src/features/claims/test/claimProperties.test.ts
+++ b/src/features/claims/test/claimProperties.test.ts
@@ -10,27 +10,27 @@
 } from '../../../infrastructure/table/common/tableService.js';
 import {
   ACCOUNT,
-  ClaimWorld,
+  ClaimSimulation,
   completed,
   executedOf,
   Mutation,
   testSettings,
-} from './claimWorld.js';
+} from './claimSimulation.js';
 
-/** Random interleavings: per key one dispatch, and `executed: no` only for what no instance was granted. */
+/** Random interleavings: each key is dispatched at most once, and `executed: no` means that no claim is granted. */
 
 const SLOTS = 3;
 const SEED = 20260115;
 const ROUNDS = 300;
-/** What most submissions of a key ask for. */
-const USUAL = 'a.x';
+/** The fingerprint of most submissions. */
+const COMMON_FINGERPRINT = 'a.x';
 
 type Action =
   | {
       readonly kind: 'submit';
       readonly slot: number;
       readonly key: number;
-      readonly think: number;
+      readonly dispatchDelay: number;
       readonly deadline: number;
       readonly fingerprint?: string;
     }
@@ -45,9 +45,15 @@
   kind: fc.constant('submit' as const),
   slot,
   key: fc.nat(4),
-  think: fc.constantFrom(0, 20, 300),
+  dispatchDelay: fc.constantFrom(0, 20, 300),
   deadline: fc.constantFrom(60, 1000),
-  fingerprint: fc.constantFrom(USUAL, USUAL, USUAL, 'b.x', 'a.y'),
+  fingerprint: fc.constantFrom(
+    COMMON_FINGERPRINT,
+    COMMON_FINGERPRINT,
+    COMMON_FINGERPRINT,
+    'b.x',
+    'a.y',
+  ),
 });
 const action: fc.Arbitrary<Action> = fc.oneof(
   {weight: 8, arbitrary: submit},
@@ -97,70 +103,86 @@
   actions: readonly Action[],
   mutation: Mutation,
   settings = testSettings,
-): Promise<ClaimWorld> {
-  const world = new ClaimWorld(SLOTS, mutation, settings);
-  const grants = world.slots.map(each => each.service.issueGrant(ACCOUNT));
-  // Two plain keys and one bound to each first incarnation.
+): Promise<ClaimSimulation> {
+  const simulation = new ClaimSimulation(SLOTS, mutation, settings);
+  const grants = simulation.slots.map(each => each.service.issueGrant(ACCOUNT));
+  // Two plain keys, and one key bound to the first incarnation of each slot.
   const keys = ['plain-0', 'plain-1', ...grants.map(grant => `${grant}.k`)];
   const pending: Array<Promise<unknown>> = [];
   for (const each of actions) {
-    await perform(world, each, keys, pending);
+    await perform(simulation, each, keys, pending);
   }
-  world.platform.clearFaults();
-  for (const each of world.slots) {
-    await world.resume(each);
+  simulation.platform.clearFaults();
+  for (const each of simulation.slots) {
+    await simulation.resume(each);
   }
-  // Submissions everywhere show what each instance believes, soon and after grants are forgotten.
+  // Submits all keys at all instances, soon and after the retention of bound keys, to check what each reports.
   for (const wait of [600, 6000]) {
-    await world.advance(wait);
+    await simulation.advance(wait);
     for (const key of keys) {
-      for (const each of world.slots) {
-        pending.push(world.submit(each, key, 0, 1000, completed, USUAL));
+      for (const each of simulation.slots) {
+        pending.push(
+          simulation.submit(each, key, 0, 1000, completed, COMMON_FINGERPRINT),
+        );
       }
     }
   }
-  await world.advance(600);
-  world.dispose();
-  return world;
+  await simulation.advance(600);
+  simulation.dispose();
+  return simulation;
 }
 
 async function perform(
-  world: ClaimWorld,
+  simulation: ClaimSimulation,
   each: Action,
   keys: readonly string[],
   pending: Array<Promise<unknown>>,
 ): Promise<void> {
   switch (each.kind) {
     case 'submit': {
-      const target = world.slots[each.slot]!;
-      if (target.wake === undefined) {
-        const {think, deadline, fingerprint = USUAL} = each;
+      const target = simulation.slots[each.slot]!;
+      if (target.signalResume === undefined) {
+        const {
+          dispatchDelay,
+          deadline,
+          fingerprint = COMMON_FINGERPRINT,
+        } = each;
         const key = keys[each.key]!;
         pending.push(
-          world.submit(target, key, think, deadline, completed, fingerprint),
+          simulation.submit(
+            target,
+            key,
+            dispatchDelay,
+            deadline,
+            completed,
+            fingerprint,
+          ),
         );
       }
       return;
     }
     case 'advance':
-      return world.advance(each.milliseconds);
+      return simulation.advance(each.milliseconds);
     case 'pause':
-      return world.pause(world.slots[each.slot]!);
+      return simulation.pause(simulation.slots[each.slot]!);
     case 'resume':
-      return world.resume(world.slots[each.slot]!);
+      return simulation.resume(simulation.slots[each.slot]!);
     case 'restart':
-      return world.restart(world.slots[each.slot]!);
+      return simulation.restart(simulation.slots[each.slot]!);
     case 'down':
-      world.fault({kind: 'down'}, Number.POSITIVE_INFINITY);
-      await world.advance(each.milliseconds);
-      return world.platform.clearFaults();
+      simulation.addTableFault({kind: 'down'}, Number.POSITIVE_INFINITY);
+      await simulation.advance(each.milliseconds);
+      return simulation.platform.clearFaults();
     case 'lost':
-      return world.fault(
+      return simulation.addTableFault(
         {kind: each.effect ? 'answerLost' : 'requestLost'},
         each.times,
       );
     case 'slow':
-      return world.fault({kind: 'slow', milliseconds: each.milliseconds}, 2);
+      return simulation.addTableFault(
+        {kind: 'slow', milliseconds: each.milliseconds},
+        2,
+      );
   }
 }
 
@@ -168,27 +190,27 @@
   return fc.asyncProperty(
     fc.array(action, {minLength: 5, maxLength: 40}),
     async actions => {
-      const world = await run(actions, mutation, settings);
-      return world.violations.length === 0;
+      const simulation = await run(actions, mutation, settings);
+      return simulation.violations.length === 0;
     },
   );
 }
 
 const {gather} = testSettings;
 
-/** An instance asked the holder of a closed key, which granted it anew before the answer arrived. */
+/** The incarnation of a key under which nothing ran grants it again while its `not run` response is under way. */
 const staleNotRun: readonly Action[] = [
-  {kind: 'submit', slot: 0, key: 2, think: 300, deadline: 60},
+  {kind: 'submit', slot: 0, key: 2, dispatchDelay: 300, deadline: 60},
   {kind: 'advance', milliseconds: 400},
-  {kind: 'submit', slot: 1, key: 2, think: 0, deadline: 60},
-  {kind: 'submit', slot: 0, key: 2, think: 0, deadline: 60},
+  {kind: 'submit', slot: 1, key: 2, dispatchDelay: 0, deadline: 60},
+  {kind: 'submit', slot: 0, key: 2, dispatchDelay: 0, deadline: 60},
 ];
 
 test.each([
   {writer: 'a gatherer', aboveInstances: SLOTS - 1},
   {writer: 'each instance', aboveInstances: SLOTS},
 ])(
-  'one dispatch per key, and not run means not run; rows written by $writer',
+  'each key is dispatched at most once, and keys reported as not run did not run; rows written by $writer',
   async ({aboveInstances}) => {
     const settings = {...testSettings, gather: {...gather, aboveInstances}};
     await fc.assert(property({}, settings), {
@@ -199,14 +221,14 @@
   },
 );
 
-test('the interleavings reach every kind of answer', async () => {
+test('the interleavings produce every execution status', async () => {
   const seen = new Set<string>();
   await fc.assert(
     fc.asyncProperty(
       fc.array(action, {minLength: 20, maxLength: 40}),
       async actions => {
-        const world = await run(actions, {});
-        world.answers.forEach(answer => seen.add(answer));
+        const simulation = await run(actions, {});
+        simulation.answers.forEach(answer => seen.add(answer));
       },
     ),
     {numRuns: 30, seed: SEED},
@@ -214,11 +236,11 @@
   expect([...seen].sort()).toEqual(['no', 'unknown', 'yes']);
 });
 
-/** A table whose failures of one kind are taken for success. */
-class TrustingTable extends TableService {
+/** A table that reports one kind of failure as success. */
+class FailureMaskingTable extends TableService {
   constructor(
     private readonly table: TableService,
-    private readonly trusted: StorageError['kind'],
+    private readonly maskedKind: StorageError['kind'],
   ) {
     super();
   }
@@ -242,7 +264,7 @@
     token: CancellationToken,
   ) {
     const result = await this.table.transact(writes, mode, token);
-    return !result.ok && result.error.kind === this.trusted
+    return !result.ok && result.error.kind === this.maskedKind
       ? success(writes.map(() => ({kind: 'written' as const, version: 1})))
       : result;
   }
@@ -253,14 +275,14 @@
   readonly mutation: Mutation;
 }> = [
   {
-    name: 'undecided said as not run',
+    name: 'undecided claim reported as not run',
     mutation: {
       executedOf: decision =>
         decision.kind === 'undecided' ? 'no' : executedOf(decision),
     },
   },
   {
-    name: 'a holder that could not be asked said as not run',
+    name: 'key of an unreachable incarnation reported as not run',
     mutation: {
       executedOf: decision =>
         decision.kind === 'heldElsewhere' && decision.outcome === undefined
@@ -268,27 +290,29 @@
           : executedOf(decision),
     },
   },
-  {name: 'nonces not told apart', mutation: {createNonce: () => 'same'}},
+  {name: 'nonces not unique', mutation: {createNonce: () => 'same'}},
   {
-    name: 'a lost answer taken for success',
-    mutation: {table: table => new TrustingTable(table, 'outcomeUnknown')},
+    name: 'lost response treated as success',
+    mutation: {
+      table: table => new FailureMaskingTable(table, 'outcomeUnknown'),
+    },
   },
   {
-    name: 'an outage taken for success',
-    mutation: {table: table => new TrustingTable(table, 'unavailable')},
+    name: 'outage treated as success',
+    mutation: {table: table => new FailureMaskingTable(table, 'unavailable')},
   },
   {
-    name: 'incarnation check left out',
+    name: 'incarnation check omitted',
     mutation: {
-      ask: (message, {incarnation, service}) =>
-        service.answer({...message, incarnation}),
+      ask: (request, {incarnation, service}) =>
+        service.answer({...request, incarnation}),
     },
   },
   {
-    name: 'forgotten keys said as never seen',
+    name: 'evicted keys reported as never dispatched',
     mutation: {
-      ask: (message, {service}) => {
-        const answer = service.answer(message);
+      ask: (request, {service}) => {
+        const answer = service.answer(request);
         return answer.kind === 'forgotten'
           ? {kind: 'notSeen', closed: true}
           : answer;
@@ -297,7 +321,7 @@
   },
 ];
 
-test.each(mutations)('the property notices: $name', async ({mutation}) => {
+test.each(mutations)('the property detects: $name', async ({mutation}) => {
   const details = await fc.check(property(mutation), {
     numRuns: 2 * ROUNDS,
     seed: SEED,
--- a/src/features/claims/test/claimService.test.ts
+++ b/src/features/claims/test/claimService.test.ts
@@ -16,11 +16,11 @@
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {InMemoryPlatform} from '../../../../test/support/inMemoryPlatform.js';
 import {RequestOutcome} from '../../requests/common/request.js';
-import {BoundKeys} from '../common/boundKeys.js';
-import {ClaimAgeing} from '../common/claimAgeing.js';
+import {BoundKeyRegistry} from '../common/boundKeys.js';
+import {ClaimRowSweeper} from '../common/claimRowSweeper.js';
 import {claimRowKey, formatClaimRecord} from '../common/claimRecord.js';
 import {ClaimSettings, defaultClaimSettings} from '../common/claimSettings.js';
-import {EndedKeys} from '../common/endedKeys.js';
+import {EndedKeyCache} from '../common/endedKeyCache.js';
 import {GatheringWriter} from '../common/gatheringWriter.js';
 import {GroupCommitter} from '../common/groupCommitter.js';
 import {OutcomeRecorder} from '../common/outcomeRecorder.js';
@@ -30,36 +30,36 @@
 import {RpcClaimPeers} from '../node/rpcClaimPeers.js';
 import {
   ACCOUNT,
-  ClaimWorld,
+  ClaimSimulation,
   completed,
   notRun,
   testSettings,
-  WorldDirectory,
-  WorldPeers,
-} from './claimWorld.js';
+  SimulatedClaimPeers,
+  SimulatedPeerDirectory,
+} from './claimSimulation.js';
 
-const worlds: ClaimWorld[] = [];
+const simulations: ClaimSimulation[] = [];
 
-function newWorld(count: number, settings: ClaimSettings = testSettings) {
-  const world = new ClaimWorld(count, {}, settings);
-  worlds.push(world);
-  return world;
+function newSimulation(count: number, settings: ClaimSettings = testSettings) {
+  const simulation = new ClaimSimulation(count, {}, settings);
+  simulations.push(simulation);
+  return simulation;
 }
 
 afterEach(() => {
-  worlds.splice(0).forEach(world => world.dispose());
+  simulations.splice(0).forEach(simulation => simulation.dispose());
 });
 
 async function claim(
-  world: ClaimWorld,
+  simulation: ClaimSimulation,
   slot: number,
   key: string,
   wait = 500,
   fingerprint?: string,
 ) {
-  const {service} = world.slots[slot]!;
+  const {service} = simulation.slots[slot]!;
   const decision = service.claim(ACCOUNT, key, neverCancelled, fingerprint);
-  await world.advance(wait);
+  await simulation.advance(wait);
   return decision;
 }
 
@@ -71,7 +71,7 @@
   return {kind: 'heldElsewhere', outcome};
 }
 
-/** A table without instances around it. */
+/** A table without claim services. */
 function newTable() {
   const clock = new FakeClock();
   const platform = new InMemoryPlatform(clock);
@@ -86,63 +86,70 @@
   const unknown = grantOf(new GrantSigner('bad'));
 
   test.each([
-    ['own', 'bound', 'desk', `${grant}.a`],
-    ['suffix with dots', 'bound', 'desk', `${grant}.a.b`],
-    ['other account', 'invalid', 'yard', `${grant}.a`],
+    ['valid grant', 'bound', 'desk', `${grant}.a`],
+    ['a suffix with dots', 'bound', 'desk', `${grant}.a.b`],
+    ['another account', 'invalid', 'yard', `${grant}.a`],
     ['no suffix', 'invalid', 'desk', `${grant}.`],
     [
-      'other incarnation',
+      'another incarnation',
       'invalid',
       'desk',
       `${grant.replace('inc', 'inx')}.a`,
     ],
-    ['other expiry', 'invalid', 'desk', `${grant.replace('.3uw.', '.3uz.')}.a`],
-    ['former peer key', 'bound', 'desk', `${former}.a`],
-    ['unknown peer key', 'invalid', 'desk', `${unknown}.a`],
+    [
+      'another expiry',
+      'invalid',
+      'desk',
+      `${grant.replace('.3uw.', '.3uz.')}.a`,
+    ],
+    ['a grant of a former peer key', 'bound', 'desk', `${former}.a`],
+    ['a grant of an unknown peer key', 'invalid', 'desk', `${unknown}.a`],
     ['no grant', 'plain', 'desk', 'order-7'],
-  ])('%s: %s', (_name, kind, account, key) => {
-    expect(signer.read(account, key).kind).toBe(kind);
+  ])('a key with %s is %s', (_name, kind, account, key) => {
+    expect(signer.parseKey(account, key).kind).toBe(kind);
   });
 
-  test('an incarnation that could not be read back is refused', () => {
+  test('an incarnation that could not be parsed from a key is refused', () => {
     expect(() => signer.sign('a.b', 1, 'desk')).toThrow('incarnation');
   });
 });
 
 describe('bound keys', () => {
-  test('are granted, completed and found everywhere while the table is down', async () => {
-    const world = newWorld(3);
-    world.fault({kind: 'down'}, Number.POSITIVE_INFINITY);
-    const key = `${world.slots[0]!.service.issueGrant(ACCOUNT)}.a`;
-    expect(await claim(world, 0, key)).toEqual({kind: 'granted'});
-    world.slots[0]!.service.complete(ACCOUNT, key, completed);
-    expect(await claim(world, 0, key)).toEqual(duplicateOf(completed));
-    expect(await claim(world, 1, key)).toMatchObject(heldWith(completed));
+  test('are granted, completed and found on all instances while the table is down', async () => {
+    const simulation = newSimulation(3);
+    simulation.addTableFault({kind: 'down'}, Number.POSITIVE_INFINITY);
+    const key = `${simulation.slots[0]!.service.issueGrant(ACCOUNT)}.a`;
+    expect(await claim(simulation, 0, key)).toEqual({kind: 'granted'});
+    simulation.slots[0]!.service.complete(ACCOUNT, key, completed);
+    expect(await claim(simulation, 0, key)).toEqual(duplicateOf(completed));
+    expect(await claim(simulation, 1, key)).toMatchObject(heldWith(completed));
   });
 
-  test('of a dead incarnation: the recorded outcome, else unknown', async () => {
-    const world = newWorld(2);
-    const {service} = world.slots[0]!;
-    const [ran, lost] = ['a', 'b'].map(
+  test('of a terminated incarnation have the recorded outcome, else unknown', async () => {
+    const simulation = newSimulation(2);
+    const {service} = simulation.slots[0]!;
+    const [recorded, unrecorded] = ['a', 'b'].map(
       suffix => `${service.issueGrant(ACCOUNT)}.${suffix}`,
     );
-    await claim(world, 0, ran!);
-    await claim(world, 0, lost!);
-    service.complete(ACCOUNT, ran!, completed);
-    await world.advance(200);
-    world.restart(world.slots[0]!);
-    expect(await claim(world, 1, ran!)).toMatchObject(heldWith(completed));
-    expect(await claim(world, 1, lost!)).toMatchObject(
+    await claim(simulation, 0, recorded!);
+    await claim(simulation, 0, unrecorded!);
+    service.complete(ACCOUNT, recorded!, completed);
+    await simulation.advance(200);
+    simulation.restart(simulation.slots[0]!);
+    expect(await claim(simulation, 1, recorded!)).toMatchObject(
+      heldWith(completed),
+    );
+    expect(await claim(simulation, 1, unrecorded!)).toMatchObject(
       heldWith({kind: 'unknown'}),
     );
   });
 
-  test('beyond the limit are refused, and none is forgotten', async () => {
-    const world = newWorld(1, {...testSettings, boundKeyLimit: 2});
-    const grant = world.slots[0]!.service.issueGrant(ACCOUNT);
+  test('over the limit are refused, and none is evicted early', async () => {
+    const simulation = newSimulation(1, {...testSettings, boundKeyLimit: 2});
+    const grant = simulation.slots[0]!.service.issueGrant(ACCOUNT);
     const decisions = [];
     for (const suffix of ['a', 'b', 'c', 'a']) {
-      decisions.push(await claim(world, 0, `${grant}.${suffix}`, 20));
+      decisions.push(await claim(simulation, 0, `${grant}.${suffix}`, 20));
     }
     expect(decisions.map(({kind}) => kind)).toEqual([
       'granted',
@@ -152,24 +159,26 @@
     ]);
     const [, , full] = decisions;
     const wait = full?.kind === 'noRoom' ? full.retryAfterMilliseconds : 0;
-    // The time to come back is when room is due, also for a key with a new grant.
+    // Capacity is freed after the reported retry time, also for a key with a new grant.
     for (const [after, kind] of [
       [wait - 100, 'noRoom'],
       [200, 'granted'],
     ] as const) {
-      await world.advance(after);
-      const later = `${world.slots[0]!.service.issueGrant(ACCOUNT)}.c`;
-      expect((await claim(world, 0, later, 0)).kind).toBe(kind);
+      await simulation.advance(after);
+      const later = `${simulation.slots[0]!.service.issueGrant(ACCOUNT)}.c`;
+      expect((await claim(simulation, 0, later, 0)).kind).toBe(kind);
     }
   });
 
   test('are not granted again when the wall clock goes back', async () => {
-    const world = newWorld(1);
-    const key = `${world.slots[0]!.service.issueGrant(ACCOUNT)}.a`;
-    await claim(world, 0, key);
-    await world.advance(6000);
-    world.slots[0]!.clock.shiftWall(-6000);
-    expect(await claim(world, 0, key)).toEqual(duplicateOf({kind: 'unknown'}));
+    const simulation = newSimulation(1);
+    const key = `${simulation.slots[0]!.service.issueGrant(ACCOUNT)}.a`;
+    await claim(simulation, 0, key);
+    await simulation.advance(6000);
+    simulation.slots[0]!.clock.shiftWall(-6000);
+    expect(await claim(simulation, 0, key)).toEqual(
+      duplicateOf({kind: 'unknown'}),
+    );
   });
 });
 
@@ -180,94 +189,100 @@
   } as const;
   const slow = {kind: 'slow', milliseconds: 700} as const;
   test.each([
-    ['answer lost', 'granted', 1, {kind: 'answerLost'}],
-    ['request lost', 'granted', 1, {kind: 'requestLost'}],
-    ['rate limited once', 'granted', 1, rateLimited],
-    ['down', 'undecided', 99, {kind: 'down'}],
-    ['all answers lost', 'undecided', 99, {kind: 'answerLost'}],
-    ['slower than the wait', 'undecided', 99, slow],
+    ['one response lost', 'granted', 1, {kind: 'answerLost'}],
+    ['one request lost', 'granted', 1, {kind: 'requestLost'}],
+    ['one request rate limited', 'granted', 1, rateLimited],
+    ['table down', 'undecided', 99, {kind: 'down'}],
+    ['all responses lost', 'undecided', 99, {kind: 'answerLost'}],
+    ['responses later than the timeout', 'undecided', 99, slow],
   ] as const)(
-    '%s: %s, decided afterwards',
+    'with %s are %s, and are decided once the fault is cleared',
     async (_name, expected, times, fault) => {
-      const world = newWorld(2);
-      world.fault(fault, times);
-      expect((await claim(world, 0, 'order')).kind).toBe(expected);
-      world.platform.clearFaults();
-      await world.advance(1500);
-      const again = await claim(world, 1, 'order');
+      const simulation = newSimulation(2);
+      simulation.addTableFault(fault, times);
+      expect((await claim(simulation, 0, 'order')).kind).toBe(expected);
+      simulation.platform.clearFaults();
+      await simulation.advance(1500);
+      const again = await claim(simulation, 1, 'order');
       expect(again.kind).toBe(expected === 'granted' ? 'duplicate' : 'granted');
     },
   );
 
-  test('can be claimed again after an outcome that says not run, and only then', async () => {
-    const world = newWorld(2);
-    await claim(world, 0, 'order');
-    expect(await claim(world, 1, 'order')).toEqual(
+  test('can be claimed again only after an outcome that says that nothing ran', async () => {
+    const simulation = newSimulation(2);
+    await claim(simulation, 0, 'order');
+    expect(await claim(simulation, 1, 'order')).toEqual(
       duplicateOf({kind: 'running'}),
     );
-    world.slots[0]!.service.complete(ACCOUNT, 'order', notRun);
-    await world.advance(200);
-    expect(await claim(world, 1, 'order')).toEqual({kind: 'granted'});
-    expect((await claim(world, 0, 'order')).kind).toBe('duplicate');
+    simulation.slots[0]!.service.complete(ACCOUNT, 'order', notRun);
+    await simulation.advance(200);
+    expect(await claim(simulation, 1, 'order')).toEqual({kind: 'granted'});
+    expect((await claim(simulation, 0, 'order')).kind).toBe('duplicate');
   });
 
-  test('whose end without a run is still being recorded can be asked for again later', async () => {
-    const world = newWorld(2);
-    await claim(world, 0, 'order');
-    world.platform.addFault({kind: 'down'}, {part: 'table', instance: 'slot0'});
-    world.slots[0]!.service.complete(ACCOUNT, 'order', notRun);
-    expect(await claim(world, 1, 'order')).toEqual(
+  test('are reported as running while an outcome that nothing ran is being recorded, and can be claimed after it', async () => {
+    const simulation = newSimulation(2);
+    await claim(simulation, 0, 'order');
+    simulation.platform.addFault(
+      {kind: 'down'},
+      {part: 'table', instance: 'slot0'},
+    );
+    simulation.slots[0]!.service.complete(ACCOUNT, 'order', notRun);
+    expect(await claim(simulation, 1, 'order')).toEqual(
       duplicateOf({kind: 'running'}),
     );
-    world.platform.clearFaults();
-    await world.advance(500);
-    expect(await claim(world, 1, 'order')).toEqual({kind: 'granted'});
+    simulation.platform.clearFaults();
+    await simulation.advance(500);
+    expect(await claim(simulation, 1, 'order')).toEqual({kind: 'granted'});
   });
 
-  test('a reply over the limit is recorded as run, not cut', async () => {
-    const world = newWorld(2, {...testSettings, recordedBodyLimit: 3});
-    await claim(world, 0, 'order');
-    world.slots[0]!.service.complete(ACCOUNT, 'order', completed);
-    await world.advance(200);
-    expect(await claim(world, 1, 'order')).toMatchObject({
+  test('a response body over the limit is omitted, not truncated', async () => {
+    const simulation = newSimulation(2, {
+      ...testSettings,
+      recordedBodyLimit: 3,
+    });
+    await claim(simulation, 0, 'order');
+    simulation.slots[0]!.service.complete(ACCOUNT, 'order', completed);
+    await simulation.advance(200);
+    expect(await claim(simulation, 1, 'order')).toMatchObject({
       kind: 'duplicate',
       outcome: {kind: 'failed', failure: {executed: 'yes'}},
     });
   });
 });
 
-describe('a key that comes with another request', () => {
+describe('a key reused for a different request', () => {
   const other = {kind: 'keyReused', sameWork: false};
   test.each<[string, string, number, RequestOutcome | undefined]>([
-    ['plain', 'its holder, running', 0, undefined],
-    ['plain', 'its holder, ended', 0, completed],
-    ['plain', 'its holder, not run', 0, notRun],
-    ['plain', 'another, running', 1, undefined],
-    ['plain', 'another, ended', 1, completed],
-    ['plain', 'another, not run', 1, notRun],
-    ['bound', 'its holder, running', 0, undefined],
-    ['bound', 'its holder, ended', 0, completed],
-    ['bound', 'its holder, not run', 0, notRun],
-    ['bound', 'another, running', 1, undefined],
-    ['bound', 'another, ended', 1, completed],
-    ['bound', 'one after its holder died', 1, completed],
-    ['bound', 'its holder, forgotten', 0, completed],
-  ])('%s key at %s', async (kind, at, slot, end) => {
-    const world = newWorld(4);
-    const {service} = world.slots[0]!;
+    ['plain', 'its owner, running', 0, undefined],
+    ['plain', 'its owner, ended', 0, completed],
+    ['plain', 'its owner, not run', 0, notRun],
+    ['plain', 'another instance, running', 1, undefined],
+    ['plain', 'another instance, ended', 1, completed],
+    ['plain', 'another instance, not run', 1, notRun],
+    ['bound', 'its owner, running', 0, undefined],
+    ['bound', 'its owner, ended', 0, completed],
+    ['bound', 'its owner, not run', 0, notRun],
+    ['bound', 'another instance, running', 1, undefined],
+    ['bound', 'another instance, ended', 1, completed],
+    ['bound', 'another instance, owner restarted', 1, completed],
+    ['bound', 'its owner, evicted', 0, completed],
+  ])('a %s key is refused at %s', async (kind, at, slot, end) => {
+    const simulation = newSimulation(4);
+    const {service} = simulation.slots[0]!;
     const key = kind === 'bound' ? `${service.issueGrant(ACCOUNT)}.a` : 'order';
-    expect(await claim(world, 0, key, 200, 'x.order')).toEqual({
+    expect(await claim(simulation, 0, key, 200, 'x.order')).toEqual({
       kind: 'granted',
     });
     if (end !== undefined) {
       service.complete(ACCOUNT, key, end);
-      await world.advance(at.includes('forgotten') ? 6000 : 200);
+      await simulation.advance(at.includes('evicted') ? 6000 : 200);
     }
-    if (at.includes('died')) {
-      world.restart(world.slots[0]!);
+    if (at.includes('restarted')) {
+      simulation.restart(simulation.slots[0]!);
     }
     const decide = (fingerprint?: string) =>
-      claim(world, slot, key, 200, fingerprint);
+      claim(simulation, slot, key, 200, fingerprint);
     expect(await decide('y.order')).toEqual(other);
     expect(await decide('x.query')).toEqual({...other, sameWork: true});
     expect((await decide('x.order')).kind).not.toBe('keyReused');
@@ -278,29 +293,32 @@
 test.each([
   {key: 'plain', before: undefined, after: completed},
   {key: 'bound', before: undefined, after: completed},
-])('a look-up of a $key key at another instance', async each => {
-  const world = newWorld(2);
-  const [first, second] = world.slots.map(slot => slot.service);
-  const grant = first!.issueGrant(ACCOUNT);
-  const key = each.key === 'bound' ? `${grant}.a` : 'order';
-  const lookUp = async () => {
-    const found = second!.lookUp(ACCOUNT, key, neverCancelled);
-    await world.advance(100);
-    return found;
-  };
-  expect(await lookUp()).toEqual(each.before);
-  await claim(world, 0, key);
-  expect(await lookUp()).toEqual({kind: 'running'});
-  first!.complete(ACCOUNT, key, completed);
-  await world.advance(200);
-  expect(await lookUp()).toEqual(each.after);
-  world.fault({kind: 'down'}, 99);
-  expect((await lookUp())?.kind).toBe(
-    each.key === 'bound' ? 'completed' : 'unknown',
-  );
-});
+])(
+  'a $key key is looked up at another instance before, during and after its run',
+  async each => {
+    const simulation = newSimulation(2);
+    const [first, second] = simulation.slots.map(slot => slot.service);
+    const grant = first!.issueGrant(ACCOUNT);
+    const key = each.key === 'bound' ? `${grant}.a` : 'order';
+    const lookUp = async () => {
+      const found = second!.lookUp(ACCOUNT, key, neverCancelled);
+      await simulation.advance(100);
+      return found;
+    };
+    expect(await lookUp()).toEqual(each.before);
+    await claim(simulation, 0, key);
+    expect(await lookUp()).toEqual({kind: 'running'});
+    first!.complete(ACCOUNT, key, completed);
+    await simulation.advance(200);
+    expect(await lookUp()).toEqual(each.after);
+    simulation.addTableFault({kind: 'down'}, 99);
+    expect((await lookUp())?.kind).toBe(
+      each.key === 'bound' ? 'completed' : 'unknown',
+    );
+  },
+);
 
-test('outcomes outlast an outage; beyond the buffer the oldest are dropped and counted', async () => {
+test('outcomes are recorded after an outage; when the buffer is full the oldest are dropped and counted', async () => {
   const {clock, platform, table} = newTable();
   platform.addFault({kind: 'down'});
   const writer = new (class extends RowWriter {
@@ -346,7 +364,7 @@
   expect(warnings).toEqual([{dropped: 1}]);
 });
 
-test('ageing deletes what has expired, a page of one slice a step', async () => {
+test('the sweeper deletes expired rows only, one page of one slice per step', async () => {
   const {clock, platform, table} = newTable();
   const now = clock.wallMilliseconds();
   for (let index = 0; index < 512; index++) {
@@ -369,7 +387,7 @@
     );
   }
   const settings = {...testSettings.ageing, clockMarginMilliseconds: 0};
-  const ageing = new ClaimAgeing(
+  const sweeper = new ClaimRowSweeper(
     table,
     clock,
     new SilentMetrics(),
@@ -379,70 +397,72 @@
   clock.shiftWall(1e9);
   let deleted = 0;
   for (let step = 0; step < 256; step++) {
-    deleted += await ageing.step();
+    deleted += await sweeper.step();
   }
   expect([
     deleted,
     platform.rows.scan('claim/', undefined, 999).length,
   ]).toEqual([256, 256]);
-  ageing.dispose();
+  sweeper.dispose();
 });
 
-test('replies are no longer counted when their keys are gone', () => {
-  const ended = new EndedKeys(2, 1e6);
-  const bound = new BoundKeys({...testSettings, boundKeyLimit: 9});
+test('response bodies of evicted keys no longer count towards the memory budget', () => {
+  const endedKeys = new EndedKeyCache(2, 1e6);
+  const boundKeys = new BoundKeyRegistry({...testSettings, boundKeyLimit: 9});
   for (const key of ['a', 'b', 'c', 'd']) {
-    ended.add(key, completed, undefined);
-    bound.take(key, 1, 0);
-    bound.end(key, 1, completed);
+    endedKeys.add(key, completed, undefined);
+    boundKeys.tryClaim(key, 1, 0);
+    boundKeys.end(key, 1, completed);
   }
-  bound.take('late', 1e6, 1e5);
-  expect([ended.heldReplies, bound.heldReplies]).toEqual([2, 0]);
+  boundKeys.tryClaim('late', 1e6, 1e5);
+  expect([endedKeys.retainedBodyCount, boundKeys.retainedBodyCount]).toEqual([
+    2, 0,
+  ]);
 });
 
 test.each(['committer', 'gatherer'])(
-  'rows that wait at a %s are bounded by their text too',
+  'the queue of a %s is limited by the total length of its row values too',
   async kind => {
-    const world = newWorld(2);
-    const {worldClock: clock, platform} = world;
+    const simulation = newSimulation(2);
+    const {platformClock: clock, platform} = simulation;
     const metrics = new SilentMetrics();
     const {table} = platform.portsOf();
-    const bounds = {queueCharacters: 10, aboveInstances: 1};
-    const commit = {...testSettings.commit, ...bounds};
+    const limits = {queueCharacters: 10, aboveInstances: 1};
+    const commit = {...testSettings.commit, ...limits};
     const direct = new GroupCommitter(table, clock, metrics, commit, () => 1);
     const writer =
       kind === 'committer'
         ? direct
         : new GatheringWriter({
-            // Rows that find no room go there; it takes none.
-            direct: new GroupCommitter(
+            // Receives rows that exceed the queue, and accepts none.
+            directWriter: new GroupCommitter(
               table,
               clock,
               metrics,
               {...commit, queueLimit: 0},
               () => 1,
             ),
-            peers: new WorldPeers(world),
-            directory: new WorldDirectory(world),
+            peers: new SimulatedClaimPeers(simulation),
+            directory: new SimulatedPeerDirectory(simulation),
             clock,
             metrics,
-            settings: {...testSettings.gather, ...bounds},
+            settings: {...testSettings.gather, ...limits},
             incarnation: 'inc1',
           });
     const writes = ['a', 'b', 'c'].map(key =>
       writer.write({key, value: '123456', condition: {kind: 'any'}}),
     );
-    await world.advance(200);
+    await simulation.advance(200);
     const results = await Promise.all(writes);
     expect(results.map(({ok}) => ok)).toEqual([true, true, false]);
     writer.dispose();
   },
 );
 
-describe('between processes', () => {
-  test('ask and gather over the network; a wrong peer key is refused', async () => {
-    const world = newWorld(1);
-    const {service, incarnation, clock} = world.slots[0]!;
+describe('requests between processes', () => {
+  test('ask and gather work over the network, and a wrong peer key is refused', async () => {
+    const simulation = newSimulation(1);
+    const {service, incarnation, clock} = simulation.slots[0]!;
     const address = `127.0.0.1:${await freePort()}`;
     const server = await serveRpc(
       createClaimRouter(service),
@@ -450,26 +470,26 @@
       'secret',
     );
     const peers = new RpcClaimPeers('secret');
-    const stranger = createRpcClient<ClaimRouter>(address, 'wrong');
-    const message = {
+    const unauthorized = createRpcClient<ClaimRouter>(address, 'wrong');
+    const request = {
       incarnation,
       keyHash: 'ab',
       grantExpiresAt: clock.wallMilliseconds() + 1e6,
     };
     try {
-      expect(await peers.ask(address, message, neverCancelled)).toEqual({
+      expect(await peers.ask(address, request, neverCancelled)).toEqual({
         kind: 'notSeen',
         closed: false,
       });
       const warnings: Error[] = [];
-      const keep = (warning: Error) => void warnings.push(warning);
-      process.on('warning', keep);
-      // Many calls at once share the token that is never cancelled.
+      const onWarning = (warning: Error) => void warnings.push(warning);
+      process.on('warning', onWarning);
+      // Concurrent requests share one token; their listeners on it must not cause a leak warning.
       const asks = Array.from({length: 20}, () =>
-        peers.ask(address, message, neverCancelled),
+        peers.ask(address, request, neverCancelled),
       );
       expect(await Promise.all(asks)).toHaveLength(20);
-      process.off('warning', keep);
+      process.off('warning', onWarning);
       expect(warnings).toEqual([]);
       const write = {
         key: claimRowKey('ab'),
@@ -477,23 +497,23 @@
         condition: {kind: 'absent'},
       } as const;
       const written = peers.gather(address, [write], neverCancelled);
-      const polling = setInterval(() => void world.advance(20), 5);
+      const polling = setInterval(() => void simulation.advance(20), 5);
       const results = await written.finally(() => clearInterval(polling));
       expect(results).toEqual([
         {ok: true, value: {kind: 'written', version: 1}},
       ]);
-      await expect(stranger.call.claims.ask.query(message)).rejects.toThrow(
+      await expect(unauthorized.call.claims.ask.query(request)).rejects.toThrow(
         'peer key',
       );
     } finally {
-      stranger.dispose();
+      unauthorized.dispose();
       peers.dispose();
       server.dispose();
     }
   });
 });
 
-/** A port that was free a moment ago. */
+/** Finds a port that is currently free. */
 async function freePort(): Promise<number> {
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -503,30 +523,35 @@
   return port;
 }
 
-/** Claims and outcomes at a steady rate over many instances; writes are transactions that took effect. */
+/** Transactions that took effect per request, for claims and outcomes at a constant rate. */
 async function writesPerRequest(
   instances: number,
   aboveInstances: number,
   requestsPerSecond: number,
 ) {
   const gather = {...defaultClaimSettings.gather, aboveInstances};
-  const world = newWorld(instances, {...defaultClaimSettings, gather});
+  const simulation = newSimulation(instances, {
+    ...defaultClaimSettings,
+    gather,
+  });
   const requests = requestsPerSecond * 2;
   const answers: Array<Promise<unknown>> = [];
   for (let index = 0; index < requests; index++) {
-    const slot = world.slots[index % instances]!;
-    answers.push(world.submit(slot, `order-${index}`, 40, 5000, completed));
+    const slot = simulation.slots[index % instances]!;
+    answers.push(
+      simulation.submit(slot, `order-${index}`, 40, 5000, completed),
+    );
     if (index % Math.ceil(requestsPerSecond / 50) === 0) {
-      await world.advance(20);
+      await simulation.advance(20);
     }
   }
-  await world.advance(600);
+  await simulation.advance(600);
   const granted = await Promise.all(answers);
   expect(granted.every(answer => answer === 'yes')).toBe(true);
-  return world.platform.counts.writes / requests;
+  return simulation.platform.counts.writes / requests;
 }
 
-test('gatherers keep the writes of many instances under one write for two requests', async () => {
+test('with gatherers, many instances need less than one write per two requests', async () => {
   const direct = await writesPerRequest(40, 1000, 400);
   const gathered = await writesPerRequest(40, 16, 400);
   expect(gathered).toBeLessThan(0.5);
--- a/src/features/claims/test/claimWorld.ts
+++ b/src/features/claims/test/claimSimulation.ts
@@ -15,22 +15,22 @@
 } from '../../../infrastructure/table/common/tableService.js';
 import {Executed} from '../../requests/common/failure.js';
 import {RequestOutcome} from '../../requests/common/request.js';
-import {AskAnswer, AskMessage, ClaimPeers} from '../common/claimPeers.js';
+import {AskRequest, AskResponse, ClaimPeers} from '../common/claimPeers.js';
 import {ClaimDecision} from '../common/claims.js';
 import {ClaimSettings, defaultClaimSettings} from '../common/claimSettings.js';
-import {matchFingerprints} from '../common/fingerprints.js';
+import {compareFingerprints} from '../common/fingerprints.js';
 import {PeerDirectory, PeerInstance} from '../common/peerDirectory.js';
 import {RowResult} from '../common/rowWriter.js';
 import {DefaultClaimService} from '../node/defaultClaimService.js';
 
-/** Several claim services over one table, with faults and a ledger that only the tests write. */
+/** Simulates claim services on one table, with faults. Grants are recorded independently of the services. */
 
-/** Ways to wire the parts wrongly, to see that a property notices. */
+/** Faults injected into the services, to verify that the properties detect them. */
 export interface Mutation {
   readonly executedOf?: (decision: ClaimDecision) => Executed;
   readonly table?: (table: TableService) => TableService;
   readonly createNonce?: () => string;
-  readonly ask?: (message: AskMessage, slot: Slot) => AskAnswer;
+  readonly ask?: (request: AskRequest, slot: ProcessSlot) => AskResponse;
 }
 
 export const testSettings: ClaimSettings = {
@@ -60,27 +60,28 @@
   state: 'open' | 'dispatched' | 'closedNotRun';
 }
 
-/** One place where a process runs; a restart gives it a new incarnation. */
-export interface Slot {
+/** A place where a process runs; each restart starts a new incarnation. */
+export interface ProcessSlot {
   readonly index: number;
   readonly clock: FakeClock;
   incarnation: string;
   service: DefaultClaimService;
-  /** Resolved while the process is awake. */
-  awake: Promise<void>;
-  wake: (() => void) | undefined;
-  asleepMilliseconds: number;
+  /** Resolved unless the process is paused. */
+  resumed: Promise<void>;
+  /** Resolves `resumed`; defined only while the process is paused. */
+  signalResume: (() => void) | undefined;
+  pausedMilliseconds: number;
 }
 
-export class ClaimWorld {
-  readonly worldClock = new FakeClock();
-  readonly platform = new InMemoryPlatform(this.worldClock);
-  readonly slots: Slot[] = [];
+export class ClaimSimulation {
+  readonly platformClock = new FakeClock();
+  readonly platform = new InMemoryPlatform(this.platformClock);
+  readonly slots: ProcessSlot[] = [];
   readonly violations: string[] = [];
   readonly answers: Executed[] = [];
   private readonly grants = new Map<string, Grant[]>();
-  private incarnations = 0;
-  private nonces = 0;
+  private incarnationCount = 0;
+  private nonceCount = 0;
 
   constructor(
     count: number,
@@ -96,13 +97,13 @@
     this.slots.forEach(slot => slot.service.dispose());
   }
 
-  /** Submits a key; the answer and what was dispatched go to the ledger. */
+  /** Submits a key; records the grant, the dispatch and what the caller is told. */
   async submit(
-    slot: Slot,
+    slot: ProcessSlot,
     key: string,
-    thinkMilliseconds: number,
+    dispatchDelayMilliseconds: number,
     deadlineMilliseconds: number,
-    ending: RequestOutcome,
+    finalOutcome: RequestOutcome,
     fingerprint?: string,
   ): Promise<Executed> {
     const {incarnation, service, clock} = slot;
@@ -123,7 +124,7 @@
     }
     const grant = this.addGrant(key, incarnation, fingerprint);
     await new Promise<void>(resolve =>
-      clock.setTimer(thinkMilliseconds, resolve),
+      clock.setTimer(dispatchDelayMilliseconds, resolve),
     );
     if (slot.incarnation !== incarnation) {
       return 'unknown';
@@ -135,65 +136,65 @@
     }
     grant.state = 'dispatched';
     this.checkDispatches(key);
-    service.complete(ACCOUNT, key, ending);
+    service.complete(ACCOUNT, key, finalOutcome);
     return this.answer(key, 'yes', fingerprint);
   }
 
   async advance(milliseconds: number): Promise<void> {
     for (let left = milliseconds; left > 0; left -= STEP_MILLISECONDS) {
-      await this.worldClock.advanceAsync(STEP_MILLISECONDS);
+      await this.platformClock.advanceAsync(STEP_MILLISECONDS);
       for (const slot of this.slots) {
-        if (slot.wake === undefined) {
+        if (slot.signalResume === undefined) {
           await slot.clock.advanceAsync(STEP_MILLISECONDS);
         } else {
-          slot.asleepMilliseconds += STEP_MILLISECONDS;
+          slot.pausedMilliseconds += STEP_MILLISECONDS;
         }
       }
     }
   }
 
-  pause(slot: Slot): void {
-    if (slot.wake === undefined) {
-      slot.awake = new Promise(resolve => {
-        slot.wake = resolve;
+  pause(slot: ProcessSlot): void {
+    if (slot.signalResume === undefined) {
+      slot.resumed = new Promise(resolve => {
+        slot.signalResume = resolve;
       });
     }
   }
 
-  async resume(slot: Slot): Promise<void> {
-    slot.wake?.();
-    slot.wake = undefined;
-    slot.clock.pause(slot.asleepMilliseconds);
-    slot.asleepMilliseconds = 0;
+  async resume(slot: ProcessSlot): Promise<void> {
+    slot.signalResume?.();
+    slot.signalResume = undefined;
+    slot.clock.pause(slot.pausedMilliseconds);
+    slot.pausedMilliseconds = 0;
     await settle();
   }
 
-  restart(slot: Slot): void {
-    slot.wake?.();
+  restart(slot: ProcessSlot): void {
+    slot.signalResume?.();
     slot.service.dispose();
     this.slots[slot.index] = this.start(slot.index, new FakeClock());
-    // Work of the dead process must not go on.
+    // Pending submissions of the terminated process must not continue.
     slot.incarnation = 'dead';
   }
 
-  fault(fault: PlatformFault, times: number): void {
+  addTableFault(fault: PlatformFault, times: number): void {
     this.platform.addFault(fault, {part: 'table', times});
   }
 
-  private start(index: number, clock: FakeClock): Slot {
-    clock.advance(this.worldClock.monotonicMilliseconds());
-    const incarnation = `inc${this.incarnations++}`;
-    const slot: Slot = {
+  private start(index: number, clock: FakeClock): ProcessSlot {
+    clock.advance(this.platformClock.monotonicMilliseconds());
+    const incarnation = `inc${this.incarnationCount++}`;
+    const slot: ProcessSlot = {
       index,
       clock,
       incarnation,
       service: undefined as never,
-      awake: Promise.resolve(),
-      wake: undefined,
-      asleepMilliseconds: 0,
+      resumed: Promise.resolve(),
+      signalResume: undefined,
+      pausedMilliseconds: 0,
     };
-    const own = this.platform.portsOf(`slot${index}`).table;
-    const table = this.mutation.table?.(own) ?? own;
+    const platformTable = this.platform.portsOf(`slot${index}`).table;
+    const table = this.mutation.table?.(platformTable) ?? platformTable;
     slot.service = new DefaultClaimService({
       table: new PausableTable(table, slot),
       clock,
@@ -201,10 +202,10 @@
       peerKey: 'peer-key',
       logger: new SilentLogger(),
       metrics: new SilentMetrics(),
-      directory: new WorldDirectory(this),
-      peers: new WorldPeers(this, this.mutation),
+      directory: new SimulatedPeerDirectory(this),
+      peers: new SimulatedClaimPeers(this, this.mutation),
       settings: this.settings,
-      createNonce: this.mutation.createNonce ?? (() => `n${this.nonces++}`),
+      createNonce: this.mutation.createNonce ?? (() => `n${this.nonceCount++}`),
     });
     return slot;
   }
@@ -218,15 +219,15 @@
     incarnation: string,
     fingerprint: string | undefined,
   ): Grant {
-    const known = this.grants.get(key) ?? [];
-    if (known.some(grant => grant.fingerprint !== fingerprint)) {
+    const earlier = this.grants.get(key) ?? [];
+    if (earlier.some(grant => grant.fingerprint !== fingerprint)) {
       this.violations.push(`${key} granted for two requests`);
     }
-    if (known.some(grant => grant.state !== 'closedNotRun')) {
+    if (earlier.some(grant => grant.state !== 'closedNotRun')) {
       this.violations.push(`${key} granted twice`);
     }
     const grant: Grant = {incarnation, fingerprint, state: 'open'};
-    this.grants.set(key, [...known, grant]);
+    this.grants.set(key, [...earlier, grant]);
     return grant;
   }
 
@@ -245,19 +246,19 @@
     fingerprint: string | undefined,
   ): Executed {
     this.answers.push(executed);
-    const open = (this.grants.get(key) ?? []).some(
+    const mayHaveRun = (this.grants.get(key) ?? []).some(
       grant =>
         grant.state !== 'closedNotRun' &&
-        matchFingerprints(grant.fingerprint, fingerprint) !== 'otherWork',
+        compareFingerprints(grant.fingerprint, fingerprint) !== 'otherWork',
     );
-    if (executed === 'no' && open) {
-      this.violations.push(`${key} said not run while granted`);
+    if (executed === 'no' && mayHaveRun) {
+      this.violations.push(`${key} reported as not run while granted`);
     }
     return executed;
   }
 }
 
-/** What a caller is told for a decision that isn't `granted`. */
+/** The execution status that callers get for a decision other than `granted`. */
 export function executedOf(decision: ClaimDecision): Executed {
   switch (decision.kind) {
     case 'duplicate':
@@ -302,18 +303,18 @@
   body: 'poured',
 };
 
-/** Answers reach a paused process only when it wakes; effects don't wait. */
+/** Delays responses to a paused process until it resumes; writes take effect at once. */
 class PausableTable extends TableService {
   constructor(
     private readonly table: TableService,
-    private readonly slot: Slot,
+    private readonly slot: ProcessSlot,
   ) {
     super();
   }
 
   override async read(keys: readonly string[], token: CancellationToken) {
     const result = await this.table.read(keys, token);
-    await this.slot.awake;
+    await this.slot.resumed;
     return result;
   }
 
@@ -324,7 +325,7 @@
     token: CancellationToken,
   ) {
     const result = await this.table.scan(prefix, after, limit, token);
-    await this.slot.awake;
+    await this.slot.resumed;
     return result;
   }
 
@@ -334,21 +335,21 @@
     token: CancellationToken,
   ) {
     const result = await this.table.transact(writes, mode, token);
-    await this.slot.awake;
+    await this.slot.resumed;
     return result;
   }
 }
 
-/** A list that lags: a dead incarnation still points at its slot. */
-export class WorldDirectory extends PeerDirectory {
-  constructor(private readonly world: ClaimWorld) {
+/** Stale directory: a terminated incarnation still resolves to its slot. */
+export class SimulatedPeerDirectory extends PeerDirectory {
+  constructor(private readonly simulation: ClaimSimulation) {
     super();
   }
 
   private readonly seen = new Map<string, number>();
 
   override resolve(incarnation: string): PeerInstance | undefined {
-    for (const slot of this.world.slots) {
+    for (const slot of this.simulation.slots) {
       this.seen.set(slot.incarnation, slot.index);
     }
     const index = this.seen.get(incarnation);
@@ -356,7 +357,9 @@
   }
 
   override readyInstances(): readonly PeerInstance[] {
-    return this.world.slots.map(slot => toPeer(slot.incarnation, slot.index));
+    return this.simulation.slots.map(slot =>
+      toPeer(slot.incarnation, slot.index),
+    );
   }
 }
 
@@ -364,10 +367,10 @@
   return {id: `slot${index}`, incarnation, address: `${index}`, region: 'west'};
 }
 
-/** Calls that a paused process answers only after it wakes; the caller may give up before. */
-export class WorldPeers extends ClaimPeers {
+/** Delivers requests to a paused process only after it resumes; the caller can cancel before. */
+export class SimulatedClaimPeers extends ClaimPeers {
   constructor(
-    private readonly world: ClaimWorld,
+    private readonly simulation: ClaimSimulation,
     private readonly mutation: Mutation = {},
   ) {
     super();
@@ -375,13 +378,13 @@
 
   override ask(
     address: string,
-    message: AskMessage,
+    request: AskRequest,
     token: CancellationToken,
-  ): Promise<AskAnswer> {
+  ): Promise<AskResponse> {
     return this.call(address, token, async slot =>
       this.mutation.ask
-        ? this.mutation.ask(message, slot)
-        : slot.service.answer(message),
+        ? this.mutation.ask(request, slot)
+        : slot.service.answer(request),
     );
   }
 
@@ -396,12 +399,12 @@
   private call<T>(
     address: string,
     token: CancellationToken,
-    run: (slot: Slot) => Promise<T>,
+    run: (slot: ProcessSlot) => Promise<T>,
   ): Promise<T> {
-    const slot = this.world.slots[Number(address)]!;
+    const slot = this.simulation.slots[Number(address)]!;
     return new Promise((resolve, reject) => {
-      token.onDidCancel(() => reject(new Error('given up')));
-      void slot.awake.then(() => run(slot)).then(resolve, reject);
+      token.onDidCancel(() => reject(new Error('request cancelled')));
+      void slot.resumed.then(() => run(slot)).then(resolve, reject);
     });
   }
 }
