--- a/src/features/administration/common/proposalAnswer.ts
+++ b/src/features/administration/common/proposalResponse.ts
@@ -5,24 +5,25 @@
 } from '../../configuration/common/configuration.js';
 import {Handover} from '../../peers/common/peerExchanger.js';
 
-/** What an operator is told of a proposal. */
+/** Conversion of proposal results to HTTP responses. */
 
 /** A status and a JSON body. */
-export interface ApiAnswer {
+export interface ApiResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
 /**
- * 201: accepted: committed, and a majority of the listed instances know it.
- * 202: committed, but fewer know it yet, so that it isn't surely in force; or the outcome could not be found out.
+ * Status 201: the revision is committed and a majority of the listed instances have received it.
+ * Status 202: it is committed but fewer instances have received it, so it may not be in effect yet; or the outcome
+ * could not be determined.
  */
-export function toAnswer(
+export function toProposalResponse(
   result: ProposalResult,
   handover: Handover | undefined,
-): ApiAnswer {
+): ApiResponse {
   if (!result.ok) {
-    return toErrorAnswer(result.error);
+    return toErrorResponse(result.error);
   }
   const {revision, operator, nonce} = result.value;
   const acknowledged = handover?.acknowledged ?? 0;
@@ -41,7 +42,7 @@
   };
 }
 
-function toErrorAnswer(error: ProposalError): ApiAnswer {
+function toErrorResponse(error: ProposalError): ApiResponse {
   switch (error.kind) {
     case 'invalid':
       return {status: 400, body: {accepted: 'no', ...error}};
--- a/src/features/administration/common/sections.ts
+++ b/src/features/administration/common/sections.ts
@@ -1,19 +1,17 @@
 import {Finding} from '../../../base/common/finding.js';
 import {ConfigurationOperation} from '../../configuration/common/configuration.js';
 
-/** The parts of the configuration that have addresses of their own in the administration API. */
+/** The configuration sections that have their own endpoints in the administration API. */
 
-/** A part of the configuration. */
 type SectionName = 'classes' | 'clientAccounts' | 'models' | 'services';
 
-/** Operations on one entry of a section. */
+/** A configuration section and the operations on its entries. */
 export interface Section {
   readonly name: SectionName;
   readonly set: ConfigurationOperation['kind'];
   readonly remove: ConfigurationOperation['kind'];
 }
 
-/** All sections. */
 export const sections: readonly Section[] = [
   {name: 'classes', set: 'setClass', remove: 'removeClass'},
   {
@@ -27,8 +25,8 @@
 
 const VALUE_PATH = '$.operations[0].value';
 
-/** The proposal that sets one entry; the name comes from the address. */
-export function proposalToSet(
+/** Creates a proposal that sets one entry; the name from the URL applies unless the body has one. */
+export function createSetProposal(
   section: Section,
   name: string,
   body: unknown,
@@ -39,13 +37,13 @@
   return {operations: [{kind: section.set, value}]};
 }
 
-/** The proposal that removes one entry. */
-export function proposalToRemove(section: Section, name: string): unknown {
+/** Creates a proposal that removes one entry. */
+export function createRemoveProposal(section: Section, name: string): unknown {
   return {operations: [{kind: section.remove, name}]};
 }
 
-/** Findings as seen by someone who sent only the value. */
-export function findingsOfValue(
+/** Makes finding paths relative to the value of the first operation, the body of a request that sets one entry. */
+export function toValueFindings(
   findings: readonly Finding[],
 ): readonly Finding[] {
   return findings.map(finding => ({
--- a/src/features/administration/node/administrationApi.ts
+++ b/src/features/administration/node/administrationApi.ts
@@ -19,23 +19,23 @@
   parseProposal,
 } from '../../configuration/common/operationSchemas.js';
 import {Handover} from '../../peers/common/peerExchanger.js';
-import {ApiAnswer, toAnswer} from '../common/proposalAnswer.js';
+import {ApiResponse, toProposalResponse} from '../common/proposalResponse.js';
 import {
-  findingsOfValue,
-  proposalToRemove,
-  proposalToSet,
+  toValueFindings,
+  createRemoveProposal,
+  createSetProposal,
   sections,
 } from '../common/sections.js';
 import {readJsonBody} from './jsonBody.js';
 import {OperatorKeys} from './operatorKeys.js';
 
-/** What the API asks of the rest of the program. */
+/** The operations of the control program that the API exposes. */
 export interface AdministrationBackend {
   configuration(): Configuration;
   status(): unknown;
-  /** Whether this instance serves. */
+  /** Whether this instance accepts requests, as reported by `/v1/health`. */
   isServing(): boolean;
-  /** Undefined when the table can't be read. */
+  /** Revisions after a revision number; undefined when the table cannot be read. */
   readLog(
     after: number,
     token: CancellationToken,
@@ -54,10 +54,10 @@
   readonly params: Record<string, string>;
   readonly query: Record<string, string | string[]>;
 };
-type Handler = (request: Request, operator: string) => Promise<ApiAnswer>;
+type Handler = (request: Request, operator: string) => Promise<ApiResponse>;
 
-const NOT_FOUND: ApiAnswer = {status: 404, body: {kind: 'notFound'}};
-const UNAUTHENTICATED: ApiAnswer = {
+const NOT_FOUND: ApiResponse = {status: 404, body: {kind: 'notFound'}};
+const UNAUTHENTICATED: ApiResponse = {
   status: 401,
   body: {kind: 'unauthenticated', expected: 'Authorization: Bearer <key>'},
 };
@@ -68,7 +68,7 @@
 export class AdministrationApi {
   private readonly service = restana({
     server: new Server(),
-    defaultRoute: (_request, response) => send(response, NOT_FOUND),
+    defaultRoute: (_request, response) => sendResponse(response, NOT_FOUND),
   });
 
   constructor(
@@ -77,19 +77,19 @@
     private readonly logger: Logger,
     private readonly token: CancellationToken,
   ) {
-    this.addConfiguration();
-    this.addSections();
-    this.addStatus();
+    this.addConfigurationRoutes();
+    this.addSectionRoutes();
+    this.addStatusRoutes();
   }
 
-  /** Answers requests; for a server that other protocols share. */
+  /** Request listener for a server that also serves other protocols. */
   readonly listener: RequestListener = (request, response) =>
     this.service.handle(
       request as Parameters<typeof this.service.handle>[0],
       response as Parameters<typeof this.service.handle>[1],
     );
 
-  private addConfiguration(): void {
+  private addConfigurationRoutes(): void {
     this.route('get', CONFIGURATION_PATH, async () => ({
       status: 200,
       body: this.backend.configuration(),
@@ -99,36 +99,39 @@
       const body = await readJsonBody(request);
       return body.ok
         ? this.propose(body.value, operator)
-        : invalidBody(body.error.status, body.error.expected);
+        : invalidBodyResponse(body.error.status, body.error.expected);
     });
   }
 
-  private addSections(): void {
+  private addSectionRoutes(): void {
     for (const section of sections) {
       const path = `/v1/${section.name}`;
       const entries = () => this.backend.configuration()[section.name];
       this.route('get', path, async () => ({status: 200, body: entries()}));
       this.route('get', `${path}/:name`, async request => {
-        const name = nameOf(request);
-        const isKnown = Object.hasOwn(entries(), name);
-        return isKnown ? {status: 200, body: entries()[name]} : NOT_FOUND;
+        const name = entryNameOf(request);
+        const exists = Object.hasOwn(entries(), name);
+        return exists ? {status: 200, body: entries()[name]} : NOT_FOUND;
       });
       this.route('put', `${path}/:name`, async (request, operator) => {
         const body = await readJsonBody(request);
         return body.ok
           ? this.propose(
-              proposalToSet(section, nameOf(request), body.value),
+              createSetProposal(section, entryNameOf(request), body.value),
               operator,
             )
-          : invalidBody(body.error.status, body.error.expected);
+          : invalidBodyResponse(body.error.status, body.error.expected);
       });
       this.route('delete', `${path}/:name`, (request, operator) =>
-        this.propose(proposalToRemove(section, nameOf(request)), operator),
+        this.propose(
+          createRemoveProposal(section, entryNameOf(request)),
+          operator,
+        ),
       );
     }
   }
 
-  private addStatus(): void {
+  private addStatusRoutes(): void {
     this.route('get', '/v1/status', async () => ({
       status: 200,
       body: this.backend.status(),
@@ -136,14 +139,18 @@
     this.service.get('/v1/health', (_request, response) => {
       const isServing = this.backend.isServing();
       const status = isServing ? 200 : 503;
-      send(response, {status, body: {serving: isServing}});
+      sendResponse(response, {status, body: {serving: isServing}});
     });
   }
 
-  private async revisions(request: Request): Promise<ApiAnswer> {
+  private async revisions(request: Request): Promise<ApiResponse> {
     const after = Number(request.query['after'] ?? 0);
     if (!Number.isSafeInteger(after) || after < 0) {
-      return invalid('query', '$.after', 'a revision number of 0 or more');
+      return invalidResponse(
+        'query',
+        '$.after',
+        'a revision number of 0 or more',
+      );
     }
     const revisions = await this.backend.readLog(after, this.token);
     return revisions === undefined
@@ -151,23 +158,23 @@
       : {status: 200, body: {revisions}};
   }
 
-  private async propose(body: unknown, operator: string): Promise<ApiAnswer> {
+  private async propose(body: unknown, operator: string): Promise<ApiResponse> {
     const proposal = parseProposal(body, 'body');
     if (!proposal.ok) {
-      const findings = findingsOfValue(proposal.error);
+      const findings = toValueFindings(proposal.error);
       return {
         status: 400,
         body: {accepted: 'no', kind: 'invalid', findings},
       };
     }
-    const report = await this.backend.propose(
+    const outcome = await this.backend.propose(
       proposal.value,
       operator,
       this.token,
     );
-    const answer = toAnswer(report.result, report.handover);
-    this.logger.info('proposal', {operator, status: answer.status});
-    return answer;
+    const response = toProposalResponse(outcome.result, outcome.handover);
+    this.logger.info('proposal', {operator, status: response.status});
+    return response;
   }
 
   private route(
@@ -176,40 +183,47 @@
     handler: Handler,
   ): void {
     this.service[method](path, async (request, response) => {
-      const operator = this.keys.find(request.headers.authorization);
+      const operator = this.keys.findOperator(request.headers.authorization);
       if (operator === undefined) {
-        send(response, UNAUTHENTICATED);
+        sendResponse(response, UNAUTHENTICATED);
         return;
       }
       try {
-        send(response, await handler(request as Request, operator));
+        sendResponse(response, await handler(request as Request, operator));
       } catch (error) {
         this.logger.error('administration request failed', {
           path,
           detail: error instanceof Error ? error.message : String(error),
         });
-        send(response, {status: 500, body: {kind: 'internal'}});
+        sendResponse(response, {status: 500, body: {kind: 'internal'}});
       }
     });
   }
 }
 
-function nameOf(request: Request): string {
+function entryNameOf(request: Request): string {
   return decodeURIComponent(request.params['name'] ?? '');
 }
 
-function invalidBody(status: number, expected: string): ApiAnswer {
-  return {...invalid('body', '$', expected), status};
+function invalidBodyResponse(status: number, expected: string): ApiResponse {
+  return {...invalidResponse('body', '$', expected), status};
 }
 
-function invalid(source: string, path: string, expected: string): ApiAnswer {
+function invalidResponse(
+  source: string,
+  path: string,
+  expected: string,
+): ApiResponse {
   const findings = [{source, path, expected}];
   return {status: 400, body: {accepted: 'no', kind: 'invalid', findings}};
 }
 
-function send(response: ServerResponse, answer: ApiAnswer): void {
-  const text = JSON.stringify(answer.body);
-  response.writeHead(answer.status, {
+function sendResponse(
+  response: ServerResponse,
+  apiResponse: ApiResponse,
+): void {
+  const text = JSON.stringify(apiResponse.body);
+  response.writeHead(apiResponse.status, {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(text),
   });
--- a/src/features/administration/node/jsonBody.ts
+++ b/src/features/administration/node/jsonBody.ts
@@ -10,7 +10,7 @@
   readonly expected: string;
 }
 
-/** Reads a JSON body of at most 1 MB. */
+/** Reads a JSON body of at most 1 MiB. */
 export async function readJsonBody(
   request: IncomingMessage,
 ): Promise<Result<unknown, BodyError>> {
--- a/src/features/administration/node/operatorKeys.ts
+++ b/src/features/administration/node/operatorKeys.ts
@@ -3,9 +3,9 @@
 import * as zod from 'zod';
 
 const OPERATOR_LIMIT = 1_000;
-const BEARER = /^Bearer ([\x21-\x7e]{1,512})$/;
+const BEARER_PATTERN = /^Bearer ([\x21-\x7e]{1,512})$/;
 
-/** The schema of the operators' file: names to hex SHA-256 hashes of their keys. */
+/** Schema of the operators file: operator names mapped to hex SHA-256 hashes of their keys. */
 export const operatorKeysSchema = zod.record(
   zod.string().min(1).max(64),
   zod.string().regex(/^[0-9a-f]{64}$/, 'a hex SHA-256 hash'),
@@ -16,7 +16,7 @@
   readonly hash: Buffer;
 }
 
-/** Finds the operator who holds a bearer key; keeps hashes only. */
+/** Identifies operators by their bearer key; only hashes of the keys are stored. */
 export class OperatorKeys {
   private readonly operators: readonly Operator[];
 
@@ -27,8 +27,8 @@
   }
 
   /** The operator's name; undefined when the header is missing or the key is unknown. */
-  find(authorization: string | undefined): string | undefined {
-    const key = BEARER.exec(authorization ?? '')?.[1];
+  findOperator(authorization: string | undefined): string | undefined {
+    const key = BEARER_PATTERN.exec(authorization ?? '')?.[1];
     if (key === undefined) {
       return undefined;
     }
--- a/src/features/administration/test/administrationApi.test.ts
+++ b/src/features/administration/test/administrationApi.test.ts
@@ -36,7 +36,7 @@
 class FakeBackend implements AdministrationBackend {
   error: ProposalError | undefined;
   handover: Handover = {acknowledged: 3, listed: 3};
-  logReadable = true;
+  isLogReadable = true;
   readonly proposals: Array<{proposal: Proposal; operator: string}> = [];
 
   configuration() {
@@ -52,7 +52,7 @@
   }
 
   async readLog() {
-    return this.logReadable ? [] : undefined;
+    return this.isLogReadable ? [] : undefined;
   }
 
   async propose(proposal: Proposal, operator: string) {
@@ -95,26 +95,26 @@
   server.closeAllConnections();
 });
 
-interface Answer {
+interface JsonResponse {
   readonly status: number;
   readonly body: Record<string, unknown>;
 }
 
-async function call(
+async function sendRequest(
   method: string,
   path: string,
   body?: string,
   key = KEY,
-): Promise<Answer> {
+): Promise<JsonResponse> {
   const headers = {authorization: `Bearer ${key}`};
-  const answer = await fetch(url + path, {
+  const response = await fetch(url + path, {
     method,
     headers,
     ...(body === undefined ? {} : {body}),
   });
   return {
-    status: answer.status,
-    body: (await answer.json()) as Record<string, unknown>,
+    status: response.status,
+    body: (await response.json()) as Record<string, unknown>,
   };
 }
 
@@ -129,77 +129,100 @@
       method: 'GET',
       path: '/v1/configuration',
       status: 200,
-      shows: {revision: 4},
+      expectedBody: {revision: 4},
     },
-    {method: 'GET', path: '/v1/models', status: 200, shows: {m: model}},
-    {method: 'GET', path: '/v1/models/m', status: 200, shows: model},
+    {method: 'GET', path: '/v1/models', status: 200, expectedBody: {m: model}},
+    {method: 'GET', path: '/v1/models/m', status: 200, expectedBody: model},
     {
       method: 'GET',
       path: '/v1/models/toString',
       status: 404,
-      shows: {kind: 'notFound'},
+      expectedBody: {kind: 'notFound'},
+    },
+    {
+      method: 'GET',
+      path: '/v1/status',
+      status: 200,
+      expectedBody: {revision: 4},
+    },
+    {
+      method: 'GET',
+      path: '/v1/health',
+      status: 503,
+      expectedBody: {serving: false},
+    },
+    {
+      method: 'GET',
+      path: '/v1/other',
+      status: 404,
+      expectedBody: {kind: 'notFound'},
     },
-    {method: 'GET', path: '/v1/status', status: 200, shows: {revision: 4}},
-    {method: 'GET', path: '/v1/health', status: 503, shows: {serving: false}},
-    {method: 'GET', path: '/v1/other', status: 404, shows: {kind: 'notFound'}},
     {
       method: 'GET',
       path: `${REVISIONS}?after=2`,
       status: 200,
-      shows: {revisions: []},
+      expectedBody: {revisions: []},
     },
     {
       method: 'GET',
       path: `${REVISIONS}?after=x`,
       status: 400,
-      shows: {kind: 'invalid'},
+      expectedBody: {kind: 'invalid'},
     },
     {
       method: 'POST',
       path: REVISIONS,
       body: setModel,
       status: 201,
-      shows: {revision: 5, operator: 'ana'},
+      expectedBody: {revision: 5, operator: 'ana'},
     },
     {
       method: 'POST',
       path: REVISIONS,
       body: '{',
       status: 400,
-      shows: {accepted: 'no'},
+      expectedBody: {accepted: 'no'},
     },
     {
       method: 'POST',
       path: REVISIONS,
       body: `"${'x'.repeat(1_100_000)}"`,
       status: 413,
-      shows: {accepted: 'no'},
+      expectedBody: {accepted: 'no'},
     },
     {
       method: 'PUT',
       path: '/v1/models/m',
       body: JSON.stringify(model),
       status: 201,
-      shows: {revision: 5},
+      expectedBody: {revision: 5},
     },
     {
       method: 'PUT',
       path: '/v1/models/m',
       body: '[]',
       status: 400,
-      shows: {accepted: 'no'},
+      expectedBody: {accepted: 'no'},
     },
-    {method: 'DELETE', path: '/v1/models/m', status: 201, shows: {revision: 5}},
-  ])('$method $path: $status', async ({method, path, body, status, shows}) => {
-    const answer = await call(method, path, body);
-    expect(answer.status).toBe(status);
-    expect(answer.body).toMatchObject(shows);
-  });
+    {
+      method: 'DELETE',
+      path: '/v1/models/m',
+      status: 201,
+      expectedBody: {revision: 5},
+    },
+  ])(
+    '$method $path returns $status',
+    async ({method, path, body, status, expectedBody}) => {
+      const response = await sendRequest(method, path, body);
+      expect(response.status).toBe(status);
+      expect(response.body).toMatchObject(expectedBody);
+    },
+  );
 
-  it('names the field as the operator sent it', async () => {
+  it('reports finding paths relative to the submitted value', async () => {
     const body = JSON.stringify({...model, layerCount: 0, weight: 1});
-    const answer = await call('PUT', '/v1/models/m', body);
-    const findings = answer.body['findings'] as Array<{path: string}>;
+    const response = await sendRequest('PUT', '/v1/models/m', body);
+    const findings = response.body['findings'] as Array<{path: string}>;
     expect(findings.map(finding => finding.path)).toEqual([
       '$.layerCount',
       '$.weight',
@@ -213,28 +236,35 @@
     [{kind: 'outcomeUnknown', nonce: 'n'}, 202, 'unknown'],
   ];
 
-  it.each(errors)('answers %j', async (error, status, accepted) => {
-    backend.error = error;
-    const answer = await call('POST', REVISIONS, setModel);
-    backend.error = undefined;
-    expect(answer).toMatchObject({status, body: {accepted, ...error}});
-  });
+  it.each(errors)(
+    'reports the proposal error %j',
+    async (error, status, accepted) => {
+      backend.error = error;
+      const response = await sendRequest('POST', REVISIONS, setModel);
+      backend.error = undefined;
+      expect(response).toMatchObject({status, body: {accepted, ...error}});
+    },
+  );
 
-  it('says when fewer than a majority know of a committed change', async () => {
+  it('reports a committed revision as pending while less than a majority has received it', async () => {
     backend.handover = {acknowledged: 1, listed: 3};
-    const answer = await call('POST', REVISIONS, setModel);
-    expect(answer).toMatchObject({
+    const response = await sendRequest('POST', REVISIONS, setModel);
+    expect(response).toMatchObject({
       status: 202,
       body: {accepted: 'pending', instancesInformed: 1},
     });
   });
 
-  it('refuses unknown keys, records the operator and logs no key', async () => {
+  it('refuses unknown keys, and records and logs the operator but not the key', async () => {
     const count = backend.proposals.length;
-    expect((await call('POST', REVISIONS, setModel, 'wrong')).status).toBe(401);
-    expect((await call('GET', '/v1/status', undefined, '')).status).toBe(401);
+    expect(
+      (await sendRequest('POST', REVISIONS, setModel, 'wrong')).status,
+    ).toBe(401);
+    expect((await sendRequest('GET', '/v1/status', undefined, '')).status).toBe(
+      401,
+    );
     expect(backend.proposals).toHaveLength(count);
-    await call('POST', REVISIONS, setModel);
+    await sendRequest('POST', REVISIONS, setModel);
     expect(backend.proposals.at(-1)?.operator).toBe('ana');
     expect(logger.lines.join()).toContain('ana');
     expect(logger.lines.join()).not.toContain(KEY);
