--- a/src/features/claims/common/boundKeys.ts
+++ b/src/features/claims/common/boundKeys.ts
@@ -128,12 +128,12 @@
     return expiresAt + this.limits.rememberAfterExpiryMilliseconds;
   }
 
-  private set(keyHash: string, expiresAt: number, known: KeyState): void {
+  private set(keyHash: string, expiresAt: number, state: KeyState): void {
     const index = this.bucketIndexOf(expiresAt);
     const bucket = this.buckets.get(index) ?? new Map();
     this.buckets.set(index, bucket);
     this.count += bucket.has(keyHash) ? 0 : 1;
-    bucket.set(keyHash, known);
+    bucket.set(keyHash, state);
   }
 
   private evictExpired(now: number): void {
--- a/src/features/claims/common/plainKeyClaimer.ts
+++ b/src/features/claims/common/plainKeyClaimer.ts
@@ -72,9 +72,9 @@
     token: CancellationToken,
     fingerprint?: string,
   ): Promise<PlainKeyDecision> {
-    const known = this.known(keyHash, fingerprint);
-    if (known !== undefined) {
-      return known;
+    const earlierDecision = this.known(keyHash, fingerprint);
+    if (earlierDecision !== undefined) {
+      return earlierDecision;
     }
     if (this.active.size >= this.settings.activePlainKeyLimit) {
       return {kind: 'undecided', detail: 'too many claims at once'};
@@ -110,10 +110,10 @@
 
   /** As `stateOf`, but `running` while the key is being claimed or released, so that peers ask again later. */
   stateForPeer(keyHash: string): KeyState | undefined {
-    const known = this.stateOf(keyHash);
-    return known !== undefined && this.active.has(keyHash)
-      ? {...known, outcome: {kind: 'running'}}
-      : known;
+    const state = this.stateOf(keyHash);
+    return state !== undefined && this.active.has(keyHash)
+      ? {...state, outcome: {kind: 'running'}}
+      : state;
   }
 
   /** The state of a key in memory; undefined when there is none. */
@@ -147,8 +147,8 @@
         };
       case 'running':
       case undefined: {
-        const known = this.stateOf(keyHash);
-        return known && decideDuplicate(known, fingerprint);
+        const state = this.stateOf(keyHash);
+        return state && decideDuplicate(state, fingerprint);
       }
     }
   }
