--- a/src/features/paths/test/pathSearch.test.ts
+++ b/src/features/paths/test/pathSearch.test.ts
@@ -159,7 +159,7 @@
     {
       name: 'a crossing beyond the capacity of the link',
       upstreams: [holder('a', 0, 4), holder('b', 4, 8, south)],
-      fields: {crossingFactor: Infinity},
+      fields: {crossingCostFactor: Infinity},
       answer: {kind: 'noRoom'},
     },
     {
--- a/src/features/routing/test/common/laxityPolicy.test.ts
+++ b/src/features/routing/test/common/laxityPolicy.test.ts
@@ -87,8 +87,8 @@
 
 const lostStages = {
   inProgress: true,
-  firstTokenWithin: -9,
-  betweenTokensTarget: 15,
+  firstTokenWithinMilliseconds: -9,
+  betweenTokensTargetMilliseconds: 15,
 };
 
 type Case = readonly [string, CellView, Partial<WorkEstimate>, string];
