--- a/src/features/membership/common/confirmation.ts
+++ b/src/features/membership/common/confirmation.ts
@@ -1,41 +1,46 @@
 import {Standing} from './systemView.js';
 
-/** Decides whether this instance may take new work on the configuration that it holds. */
+/** Decides whether this instance may accept new work under the configuration that it holds. */
 
-/** Statuses may be this many times older than the bound; they count only while the table is down for a majority. */
+/**
+ * Maximum age of a status in outage counts, as a multiple of the confirmation bound. It may exceed the bound because
+ * statuses count only while a majority can't reach the table.
+ */
 export const OUTAGE_EVIDENCE_FACTOR = 2.5;
 
-/** A read of the head row by any instance, dated on this instance's monotonic clock. */
-export interface TableEvidence {
-  /** The head that was read. */
+/** A read of the head row by any instance, timestamped on this instance's monotonic clock. */
+export interface HeadObservation {
+  /** The newest revision according to the head row. */
   readonly revision: number;
-  /** Monotonic milliseconds; not later than the read. */
+  /** Monotonic milliseconds; never later than the actual read. */
   readonly readAt: number;
 }
 
-/** What the peers say about the table. */
-export interface OutageEvidence {
-  /** Instances in the list. */
+/** How many instances report that they can't reach the table. */
+export interface OutageCounts {
+  /** Instances in the platform's list. */
   readonly listed: number;
-  /** Confirmed instances that can't reach the table, this one included. */
+  /** Instances that were confirmed at least once and can't reach the table, this one included. */
   readonly failed: number;
 }
 
-/** What the decision rests on. */
+/** The inputs of the confirmation decision. */
 export interface ConfirmationInput {
   readonly now: number;
   readonly boundMilliseconds: number;
   readonly appliedRevision: number;
   readonly knownRevision: number;
-  /** Monotonic milliseconds at which the revision held was the head; undefined when never confirmed. */
+  /** Monotonic milliseconds at which the applied revision was last known to be the head; undefined if it never was. */
   readonly confirmedAt: number | undefined;
-  readonly outage: OutageEvidence;
+  readonly outage: OutageCounts;
 }
 
-/** The outcome, as events of the instance's life cycle. */
+/** The decision, as an event of the instance's life cycle. */
 export type Confirmation = 'confirmed' | 'unconfirmed';
 
-/** Pure: confirmed by a table read within the bound, or by a majority that can't reach the table. */
+/**
+ * Confirms on a table read within the bound, or, if no newer revision is known, when a majority can't reach the table.
+ */
 export function decideConfirmation(input: ConfirmationInput): Confirmation {
   const {confirmedAt, now, boundMilliseconds} = input;
   if (confirmedAt !== undefined && now - confirmedAt <= boundMilliseconds) {
@@ -45,56 +50,62 @@
   return isNewest && isMajority(input.outage) ? 'confirmed' : 'unconfirmed';
 }
 
-function isMajority(outage: OutageEvidence): boolean {
+function isMajority(outage: OutageCounts): boolean {
   return outage.listed > 0 && outage.failed * 2 > outage.listed;
 }
 
-/** Keeps the newest evidence from table reads. */
+/** Tracks the newest read of the head row and when the applied revision was last confirmed by one. */
 export class ConfirmationTracker {
-  private newest: TableEvidence | undefined;
+  private newestRead: HeadObservation | undefined;
   private confirmed: number | undefined;
 
-  /** The newest read that any instance is known to have made. */
-  get evidence(): TableEvidence | undefined {
-    return this.newest;
+  /** The newest known read by any instance. */
+  get evidence(): HeadObservation | undefined {
+    return this.newestRead;
   }
 
-  /** When the revision held was last known to be the head. */
+  /** Monotonic milliseconds at which the applied revision was last known to be the head. */
   get confirmedAt(): number | undefined {
     return this.confirmed;
   }
 
-  /** Takes a read by this or, through peers, by another instance. */
-  note(evidence: TableEvidence, appliedRevision: number): void {
-    if (this.newest === undefined || evidence.readAt > this.newest.readAt) {
-      this.newest = evidence;
+  /** Adds a read made by this instance or reported by a peer. */
+  addObservation(observation: HeadObservation, appliedRevision: number): void {
+    if (
+      this.newestRead === undefined ||
+      observation.readAt > this.newestRead.readAt
+    ) {
+      this.newestRead = observation;
     }
-    this.confirmWith(evidence, appliedRevision);
-    this.noteApplied(appliedRevision);
+    this.confirmIfApplied(observation, appliedRevision);
+    this.handleRevisionApplied(appliedRevision);
   }
 
-  /** Counts the newest evidence once the revision that it names was applied. */
-  noteApplied(appliedRevision: number): void {
-    if (this.newest !== undefined) {
-      this.confirmWith(this.newest, appliedRevision);
+  /** Confirms with the newest read if the revision that it found is now applied. */
+  handleRevisionApplied(appliedRevision: number): void {
+    if (this.newestRead !== undefined) {
+      this.confirmIfApplied(this.newestRead, appliedRevision);
     }
   }
 
-  private confirmWith(evidence: TableEvidence, appliedRevision: number): void {
-    if (appliedRevision < evidence.revision) {
+  private confirmIfApplied(
+    observation: HeadObservation,
+    appliedRevision: number,
+  ): void {
+    if (appliedRevision < observation.revision) {
       return;
     }
-    if (this.confirmed === undefined || evidence.readAt > this.confirmed) {
-      this.confirmed = evidence.readAt;
+    if (this.confirmed === undefined || observation.readAt > this.confirmed) {
+      this.confirmed = observation.readAt;
     }
   }
 }
 
-/** The standing that a state of the life cycle stands for. */
+/** The states of the instance's life cycle. */
 export type LifecycleState =
   'starting' | 'serving' | 'cutOff' | 'leaving' | 'stopped';
 
-/** Turns a state of the life cycle into what callers of the view see. */
+/** Maps a state of the life cycle to the standing that the view shows. */
 export function toStanding(
   state: LifecycleState,
   sinceMilliseconds: number,
--- a/src/features/membership/common/entryPresence.ts
+++ b/src/features/membership/common/entryPresence.ts
@@ -1,17 +1,17 @@
 import {Clock} from '../../../base/common/clock.js';
 import {EntryAnnouncement} from './systemView.js';
 
-/** An entry program that asked for nothing for so long counts as gone. */
-const SILENCE_MILLISECONDS = 10_000;
+/** An entry program that made no call for this long is considered gone. */
+const CONTACT_TIMEOUT_MILLISECONDS = 10_000;
 
-/** What the control program knows of the entry program of its instance. */
+/** Tracks the entry program of the instance, as seen by the control program. */
 export class EntryPresence {
   private announcement: EntryAnnouncement | undefined;
-  private heardAt: number | undefined;
+  private lastContactAt: number | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** The running process; undefined until it announced itself. */
+  /** Identifies the running process; undefined until it announced itself. */
   get incarnation(): string | undefined {
     return this.announcement?.incarnation;
   }
@@ -20,24 +20,24 @@
     return this.announcement?.leaving === true;
   }
 
-  /** Whether it announced itself and was heard of lately. */
+  /** Whether the entry program announced itself and made a call within the time-out. */
   get isAlive(): boolean {
     const now = this.clock.monotonicMilliseconds();
     return (
       this.announcement !== undefined &&
-      this.heardAt !== undefined &&
-      now - this.heardAt <= SILENCE_MILLISECONDS
+      this.lastContactAt !== undefined &&
+      now - this.lastContactAt <= CONTACT_TIMEOUT_MILLISECONDS
     );
   }
 
-  /** It introduced itself. */
+  /** Handles an announcement, which also counts as contact. */
   announce(announcement: EntryAnnouncement): void {
     this.announcement = announcement;
     this.noteHeard();
   }
 
-  /** It asked for something. */
+  /** Records a call by the entry program. */
   noteHeard(): void {
-    this.heardAt = this.clock.monotonicMilliseconds();
+    this.lastContactAt = this.clock.monotonicMilliseconds();
   }
 }
--- a/src/features/membership/common/instanceDirectory.ts
+++ b/src/features/membership/common/instanceDirectory.ts
@@ -5,27 +5,27 @@
 } from '../../../infrastructure/membership/common/membershipList.js';
 import {InstanceView} from './systemView.js';
 
-/** The platform's list corrected by what instances say of themselves. */
+/** Combines the platform's list with the records that instances publish about themselves. */
 
-/** What an instance says of itself. */
+/** The state that an instance publishes about itself. */
 export interface InstanceRecord {
   readonly id: string;
-  /** The running process of its entry program; undefined until it announced itself. */
+  /** Identifies the running process of its entry program; undefined until it announced itself. */
   readonly incarnation: string | undefined;
   readonly ready: boolean;
   readonly leaving: boolean;
 }
 
-/** A record and when it was true, in monotonic milliseconds of this instance. */
-export interface DatedRecord {
+/** A record and the time at which it was valid, in monotonic milliseconds of this instance. */
+export interface TimestampedRecord {
   readonly record: InstanceRecord;
-  readonly heardAt: number;
+  readonly observedAt: number;
 }
 
-/** Instances and upstreams as known here; bounded by the list. */
+/** Known instances and upstreams. The number of records is bounded by the platform's list plus a fixed allowance. */
 export class InstanceDirectory {
-  private readonly records = new Map<string, DatedRecord>();
-  private listed: readonly InstanceMember[] = [];
+  private readonly records = new Map<string, TimestampedRecord>();
+  private instanceList: readonly InstanceMember[] = [];
   private upstreamList: readonly UpstreamMember[] = [];
   private roster: readonly string[] = [];
 
@@ -35,26 +35,26 @@
   }
 
   get members(): readonly InstanceMember[] {
-    return this.listed;
+    return this.instanceList;
   }
 
   get upstreams(): readonly UpstreamMember[] {
     return this.upstreamList;
   }
 
-  /** Takes the platform's list; returns whether anything in it changed. */
+  /** Replaces the platform's list; returns which parts of it changed. */
   applyList(members: readonly Member[]): {
     readonly instancesChanged: boolean;
     readonly upstreamsChanged: boolean;
   } {
-    const instances = members.filter(isInstance).sort(byId);
-    const upstreams = members.filter(isUpstream).sort(byId);
-    const instancesChanged = !sameMembers(instances, this.listed);
-    const upstreamsChanged = !sameMembers(upstreams, this.upstreamList);
+    const instances = members.filter(isInstance).sort(compareIds);
+    const upstreams = members.filter(isUpstream).sort(compareIds);
+    const instancesChanged = !areMemberListsEqual(instances, this.instanceList);
+    const upstreamsChanged = !areMemberListsEqual(upstreams, this.upstreamList);
     if (instancesChanged) {
-      this.listed = instances;
+      this.instanceList = instances;
       this.roster = instances.map(member => member.id);
-      this.forgetUnlisted();
+      this.removeUnlistedRecords();
     }
     if (upstreamsChanged) {
       this.upstreamList = upstreams;
@@ -62,51 +62,54 @@
     return {instancesChanged, upstreamsChanged};
   }
 
-  /** Takes a record if it is newer; returns whether what it says differs. Records of unlisted instances wait for the list up to a limit. */
-  note(record: InstanceRecord, heardAt: number): boolean {
+  /**
+   * Stores a record if it is newer; returns whether its content changed. Records of instances that aren't listed yet
+   * are kept up to a limit.
+   */
+  updateRecord(record: InstanceRecord, observedAt: number): boolean {
     const known = this.records.get(record.id);
-    if (known !== undefined && known.heardAt >= heardAt) {
+    if (known !== undefined && known.observedAt >= observedAt) {
       return false;
     }
-    if (known === undefined && this.isFull(record.id)) {
+    if (known === undefined && this.isAtCapacity(record.id)) {
       return false;
     }
-    this.records.set(record.id, {record, heardAt});
-    return known === undefined || !sameRecord(known.record, record);
+    this.records.set(record.id, {record, observedAt});
+    return known === undefined || !areRecordsEqual(known.record, record);
   }
 
-  /** All records of listed instances. */
-  datedRecords(): readonly DatedRecord[] {
+  /** The records of the listed instances. */
+  timestampedRecords(): readonly TimestampedRecord[] {
     return this.roster.flatMap(id => this.records.get(id) ?? []);
   }
 
-  /** Whether some listed instance never said anything. */
-  hasUnknown(): boolean {
+  /** Whether the record of any listed instance is missing. */
+  hasMissingRecords(): boolean {
     return this.roster.some(id => !this.records.has(id));
   }
 
-  /** Views of the listed instances; `isHeard` tells whether one was heard of lately. */
-  views(isHeard: (id: string) => boolean): readonly InstanceView[] {
-    return this.listed.map(member => {
+  /** Views of the listed instances; an instance that was not seen recently is not ready. */
+  views(isRecentlySeen: (id: string) => boolean): readonly InstanceView[] {
+    return this.instanceList.map(member => {
       const record = this.records.get(member.id)?.record;
       const leaving = member.state === 'leaving' || record?.leaving === true;
       return {
         member: leaving ? {...member, state: 'leaving' as const} : member,
         incarnation: record?.incarnation,
-        ready: !leaving && record?.ready === true && isHeard(member.id),
+        ready: !leaving && record?.ready === true && isRecentlySeen(member.id),
       };
     });
   }
 
-  private isFull(id: string): boolean {
-    const spare = 64;
+  private isAtCapacity(id: string): boolean {
+    const unlistedRecordLimit = 64;
     return (
       !this.roster.includes(id) &&
-      this.records.size >= this.roster.length + spare
+      this.records.size >= this.roster.length + unlistedRecordLimit
     );
   }
 
-  private forgetUnlisted(): void {
+  private removeUnlistedRecords(): void {
     const listed = new Set(this.roster);
     for (const id of this.records.keys()) {
       if (!listed.has(id)) {
@@ -124,11 +127,11 @@
   return member.role !== 'instance';
 }
 
-function byId(left: Member, right: Member): number {
+function compareIds(left: Member, right: Member): number {
   return left.id < right.id ? -1 : left.id > right.id ? 1 : 0;
 }
 
-function sameMembers(
+function areMemberListsEqual(
   left: readonly Member[],
   right: readonly Member[],
 ): boolean {
@@ -136,16 +139,16 @@
     left.length === right.length &&
     left.every(
       (member, index) =>
-        member === right[index] || sameFields(member, right[index]),
+        member === right[index] || haveEqualFields(member, right[index]),
     )
   );
 }
 
-function sameFields(left: object, right: object | undefined): boolean {
+function haveEqualFields(left: object, right: object | undefined): boolean {
   return JSON.stringify(left) === JSON.stringify(right);
 }
 
-function sameRecord(left: InstanceRecord, right: InstanceRecord): boolean {
+function areRecordsEqual(left: InstanceRecord, right: InstanceRecord): boolean {
   return (
     left.incarnation === right.incarnation &&
     left.ready === right.ready &&
--- a/src/features/membership/common/listReadPlan.ts
+++ b/src/features/membership/common/listReadPlan.ts
@@ -1,33 +1,33 @@
 import {Clock} from '../../../base/common/clock.js';
 import {RandomSource} from '../../../base/common/randomSource.js';
 
-/** Decides when this instance reads the platform's whole list. */
+/** Schedules this instance's reads of the platform's whole list. */
 
-const SECOND = 1_000;
-/** After a failed read the chance is so many times as high. */
-const RETRY_FACTOR = 8;
-/** A read for a difference from peers is made so many times as often as others, at most. */
-const REPAIR_FACTOR = 8;
+const MILLISECONDS_PER_SECOND = 1_000;
+/** Multiplies the probability of a read after a failed one. */
+const RETRY_RATE_FACTOR = 8;
+/** Repair reads, which resolve a difference from peers, are at most this many times as frequent as other reads. */
+const REPAIR_RATE_FACTOR = 8;
 
-/** What bounds the reading. */
+/** Limits on the frequency of list reads. */
 export interface ListReadLimits {
-  /** Between reads of an instance alone, and between any two reads of all instances on average. */
+  /** Interval between the reads of a single instance, and mean interval between the reads of all instances together. */
   readonly shortestMilliseconds: number;
-  /** What one instance spends on reading as long as the reads of all are frequent enough. */
+  /** Read budget of one instance; exceeded only if the instances together would read too rarely. */
   readonly bytesPerSecond: number;
 }
 
 /**
- * Asked once in each shortest period; answers by chance, so that instances that started together
- * don't read together, and a change of the interval takes effect at once.
+ * Polled once per minimum interval. Due reads are drawn at random, so that instances that started together don't read
+ * together and a change of the interval takes effect at once.
  */
 export class ListReadPlan {
-  private bytes = 0;
-  private readAt: number | undefined;
+  private listBytes = 0;
+  private lastReadAt: number | undefined;
   private notBefore = -Infinity;
   private failed = false;
-  private confirmationWanted = false;
-  private repairWanted = false;
+  private needsConfirmationRead = false;
+  private needsRepairRead = false;
 
   constructor(
     private readonly clock: Clock,
@@ -35,49 +35,59 @@
     private readonly limits: ListReadLimits,
   ) {}
 
-  /** Mean milliseconds between reads here: as the budget allows, yet all sharers together read once in each shortest period. */
-  intervalMilliseconds(sharers: number): number {
+  /**
+   * Mean interval between reads of this instance. It keeps to the byte budget unless all readers together would then
+   * read less than once per minimum interval.
+   */
+  intervalMilliseconds(readerCount: number): number {
     const {shortestMilliseconds, bytesPerSecond} = this.limits;
-    const affordable = (this.bytes / bytesPerSecond) * SECOND;
-    const shared = sharers * shortestMilliseconds;
-    return Math.max(shortestMilliseconds, Math.min(affordable, shared));
+    const budgetMilliseconds =
+      (this.listBytes / bytesPerSecond) * MILLISECONDS_PER_SECOND;
+    const sharedMilliseconds = readerCount * shortestMilliseconds;
+    return Math.max(
+      shortestMilliseconds,
+      Math.min(budgetMilliseconds, sharedMilliseconds),
+    );
   }
 
-  /** Whether to read now; `sharers` are the instances that read and tell each other, this one included. */
-  isDue(sharers: number): boolean {
+  /** Whether to read now; `readerCount` counts the instances that read the list and gossip changes, this one included. */
+  isDue(readerCount: number): boolean {
     const now = this.clock.monotonicMilliseconds();
     if (now < this.notBefore) {
       return false;
     }
-    if (this.readAt === undefined || this.confirmationWanted) {
+    if (this.lastReadAt === undefined || this.needsConfirmationRead) {
       return true;
     }
-    const interval = this.intervalMilliseconds(sharers);
-    if (this.repairWanted && now - this.readAt > interval / REPAIR_FACTOR) {
+    const interval = this.intervalMilliseconds(readerCount);
+    if (
+      this.needsRepairRead &&
+      now - this.lastReadAt > interval / REPAIR_RATE_FACTOR
+    ) {
       return true;
     }
-    const factor = this.failed ? RETRY_FACTOR : 1;
-    const chance = (factor * this.limits.shortestMilliseconds) / interval;
-    return this.random.next() < chance;
+    const factor = this.failed ? RETRY_RATE_FACTOR : 1;
+    const probability = (factor * this.limits.shortestMilliseconds) / interval;
+    return this.random.next() < probability;
   }
 
-  /** A read ended well; `isDoubtful` asks for another one in the next period, and for more when that is doubtful, too. */
-  noteRead(bytes: number, isDoubtful: boolean): void {
-    this.bytes = bytes;
-    this.readAt = this.clock.monotonicMilliseconds();
+  /** Records a successful read. A doubtful one is repeated in the next period, and by repair reads while in doubt. */
+  recordRead(bytes: number, isDoubtful: boolean): void {
+    this.listBytes = bytes;
+    this.lastReadAt = this.clock.monotonicMilliseconds();
     this.failed = false;
-    this.repairWanted = isDoubtful && this.confirmationWanted;
-    this.confirmationWanted = isDoubtful && !this.confirmationWanted;
+    this.needsRepairRead = isDoubtful && this.needsConfirmationRead;
+    this.needsConfirmationRead = isDoubtful && !this.needsConfirmationRead;
   }
 
-  /** A read failed; the platform may have said for how long not to come back. */
-  noteFailed(waitMilliseconds: number): void {
+  /** Records a failed read; `waitMilliseconds` is the retry delay that the platform requested, or 0. */
+  recordFailure(waitMilliseconds: number): void {
     this.failed = true;
     this.notBefore = this.clock.monotonicMilliseconds() + waitMilliseconds;
   }
 
-  /** Peers differ from here in something that they can't tell. */
+  /** Requests a read because the lists of peers differ in a way that gossip can't resolve. */
   wantRepair(): void {
-    this.repairWanted = true;
+    this.needsRepairRead = true;
   }
 }
--- a/src/features/membership/common/listReader.ts
+++ b/src/features/membership/common/listReader.ts
@@ -8,78 +8,89 @@
 } from '../../../infrastructure/membership/common/membershipList.js';
 import {StorageError} from '../../../infrastructure/table/common/tableService.js';
 import {ListReadPlan} from './listReadPlan.js';
-import {MemberBook} from './memberBook.js';
+import {MergedMemberList} from './mergedMemberList.js';
 
-/** A read that lacks more than this share of the known members is doubted. */
-const DOUBT_SHARE = 0.25;
-/** Fewer lost members are never doubted. */
-const DOUBT_LEAST = 3;
+/** The removals of a read are doubted if it lacks more than this share of the known members. */
+const DOUBTED_LOSS_SHARE = 0.25;
+/** Removals of fewer members are never doubted. */
+const MIN_DOUBTED_LOSS = 3;
 
-/** What a read of the list brought. */
-export interface ListReading {
-  /** Whether the merged list differs. */
+/** The result of a list read. */
+export interface ListReadResult {
+  /** Whether the merged list changed. */
   readonly changed: boolean;
-  /** Whether peers hardly know the change yet. */
+  /** Whether the change should be announced; false for the first read, which peers are likely to know. */
   readonly isNews: boolean;
 }
 
-/** Reads the whole list into the book; a loss of many members at once is doubted at first. */
+/** Reads the whole list into the merged list; the removal of many members at once needs confirmation. */
 export class ListReader {
   private doubted: ReadonlySet<string> = new Set();
 
   constructor(
     private readonly list: MembershipList,
-    private readonly book: MemberBook,
-    private readonly plan: ListReadPlan,
+    private readonly memberList: MergedMemberList,
+    private readonly scheduler: ListReadPlan,
     private readonly clock: Clock,
     private readonly logger: Logger,
-    /** Whether an instance was heard of lately. */
-    private readonly isHeard: (id: string) => boolean,
+    private readonly isRecentlySeen: (id: string) => boolean,
   ) {}
 
-  /** Reads once. */
   async read(
     token: CancellationToken,
-  ): Promise<Result<ListReading, StorageError>> {
+  ): Promise<Result<ListReadResult, StorageError>> {
     const readAt = this.clock.monotonicMilliseconds();
-    const answer = await this.list.read(token);
-    if (!answer.ok) {
-      const {error} = answer;
+    const response = await this.list.read(token);
+    if (!response.ok) {
+      const {error} = response;
       const isLimited = error.kind === 'rateLimited';
-      this.plan.noteFailed(isLimited ? error.retryAfterMilliseconds : 0);
-      return answer;
+      this.scheduler.recordFailure(
+        isLimited ? error.retryAfterMilliseconds : 0,
+      );
+      return response;
     }
-    return success(this.take(answer.value.members, readAt));
+    return success(this.applyRead(response.value.members, readAt));
   }
 
-  private take(members: readonly Member[], readAt: number): ListReading {
-    const isFirst = !this.book.isRead;
-    this.doubted = this.doubtsOf(members);
+  private applyRead(
+    members: readonly Member[],
+    readAt: number,
+  ): ListReadResult {
+    const isFirst = !this.memberList.isRead;
+    this.doubted = this.findDoubtedRemovals(members);
     const now = this.clock.monotonicMilliseconds();
-    const changed = this.book.takeList(members, readAt, now, this.doubted);
+    const changed = this.memberList.applyList(
+      members,
+      readAt,
+      now,
+      this.doubted,
+    );
     const isDoubtful = this.doubted.size > 0;
-    this.plan.noteRead(JSON.stringify(members).length, isDoubtful);
+    this.scheduler.recordRead(JSON.stringify(members).length, isDoubtful);
     return {changed, isNews: changed && !isFirst};
   }
 
   /**
-   * Members that stay though this read lacks them. Many that vanish at once may be the platform's
-   * fault: they go when the next read lacks them, too, and nobody heard of an instance among them.
+   * Returns the members to keep although this read lacks them. The disappearance of many at once may be a fault of the
+   * platform: they are removed when the next read lacks them too and none of the missing instances was seen recently.
    */
-  private doubtsOf(members: readonly Member[]): ReadonlySet<string> {
-    const missing = this.book.missingFrom(members);
-    const known = this.book.size;
-    if (missing.length < DOUBT_LEAST || missing.length <= known * DOUBT_SHARE) {
+  private findDoubtedRemovals(members: readonly Member[]): ReadonlySet<string> {
+    const missing = this.memberList.findMissing(members);
+    const known = this.memberList.size;
+    if (
+      missing.length < MIN_DOUBTED_LOSS ||
+      missing.length <= known * DOUBTED_LOSS_SHARE
+    ) {
       return new Set();
     }
-    const heard = missing.filter(id => this.isHeard(id));
-    const isRefuted = heard.length > 0;
+    const seen = missing.filter(id => this.isRecentlySeen(id));
+    const isRefuted = seen.length > 0;
     const doubted = missing.filter(id => isRefuted || !this.doubted.has(id));
-    this.logger.warn('list lost many members', {
+    this.logger.warn('list read lacks many known members', {
       missing: missing.length,
       known,
       doubted: doubted.length,
-      heard: heard.length,
+      heard: seen.length,
     });
     return new Set(doubted);
   }
--- a/src/features/membership/common/repeatingTask.ts
+++ b/src/features/membership/common/repeatingTask.ts
@@ -6,21 +6,21 @@
 import {DisposableOwner, toDisposable} from '../../../base/common/lifecycle.js';
 import {RandomSource} from '../../../base/common/randomSource.js';
 
-/** Share of a period by which a run may come earlier or later. */
+/** Maximum deviation from the period, as a share of it. */
 const JITTER_SHARE = 0.2;
 
-/** Runs a task again and again, one run at a time, with jitter so that instances don't act in step. */
+/** Runs a task periodically, one run at a time, with jitter so that instances don't synchronize. */
 export class RepeatingTask extends DisposableOwner {
   private readonly source = new CancellationSource();
   private timer = toDisposable(() => undefined);
   private running = false;
-  private wanted = false;
+  private rerunRequested = false;
 
-  /** @param period milliseconds until the next run, asked after each run. */
+  /** @param periodMilliseconds returns the delay until the next run; called after each run. */
   constructor(
     private readonly clock: Clock,
     private readonly random: RandomSource,
-    private readonly period: () => number,
+    private readonly periodMilliseconds: () => number,
     private readonly task: (token: CancellationToken) => Promise<void>,
   ) {
     super();
@@ -32,13 +32,13 @@
     );
   }
 
-  /** Runs as soon as possible; while a run is on, once more after it. */
+  /** Starts a run now, or directly after the current one. */
   runNow(): void {
     if (this.isDisposed) {
       return;
     }
     if (this.running) {
-      this.wanted = true;
+      this.rerunRequested = true;
       return;
     }
     this.timer.dispose();
@@ -47,7 +47,7 @@
 
   private async run(): Promise<void> {
     this.running = true;
-    this.wanted = false;
+    this.rerunRequested = false;
     try {
       await this.task(this.source.token);
     } finally {
@@ -61,7 +61,7 @@
       return;
     }
     const jitter = 1 + JITTER_SHARE * (2 * this.random.next() - 1);
-    const delay = this.wanted ? 0 : this.period() * jitter;
+    const delay = this.rerunRequested ? 0 : this.periodMilliseconds() * jitter;
     this.timer = this.clock.setTimer(delay, () => void this.run());
   }
 }
--- a/src/features/membership/common/standingKeeper.ts
+++ b/src/features/membership/common/standingKeeper.ts
@@ -16,20 +16,19 @@
 import chartDefinition from './instanceLifecycle.chart.json' with {type: 'json'};
 import {Standing} from './systemView.js';
 
-/** Events of the instance's life cycle. */
+/** Events of the instance's life cycle chart. */
 export type LifecycleEvent = Confirmation | 'leave' | 'stop';
 
-/** Actions of the instance's life cycle. */
+/** Actions of the instance's life cycle chart. */
 export type LifecycleAction = 'publishStanding';
 
-/** The chart of the instance's life cycle. */
 export const instanceLifecycle = new StateChart<
   LifecycleState,
   LifecycleEvent,
   LifecycleAction
 >(chartDefinition as ChartDefinition);
 
-/** Holds this instance's standing; the chart alone changes it. */
+/** Derives this instance's standing from the state of its life cycle. */
 export class StandingKeeper extends DisposableOwner {
   private readonly chart = new ChartInstance(instanceLifecycle);
   private readonly changed = this.register(new Emitter<Standing>());
@@ -48,17 +47,16 @@
     return toStanding(this.chart.state, Math.round(elapsed));
   }
 
-  /** Decides again from what is known now. */
+  /** Decides confirmation from the current inputs and applies it. */
   evaluate(input: ConfirmationInput): void {
     this.send(decideConfirmation(input));
   }
 
-  /** Takes no new work from now on. */
+  /** Stops accepting new work; final. */
   leave(): void {
     this.send('leave');
   }
 
-  /** Ends the life cycle. */
   stop(): void {
     this.send('stop');
   }
--- a/src/features/membership/common/statusTable.ts
+++ b/src/features/membership/common/statusTable.ts
@@ -1,39 +1,39 @@
-/** What this instance knows of each instance's access to the table, and its compact form for peers. */
+/** The last known table access of each instance, and its compact encoding for peers. */
 
 const AGE_BITS = 6;
-/** Ages of this many seconds or more are sent as unknown. */
+/** Ages of this many seconds or more are encoded as unknown. */
 export const UNKNOWN_AGE_SECONDS = (1 << AGE_BITS) - 1;
 const VOTER_BIT = 1 << AGE_BITS;
 const FAILED_BIT = 1 << (AGE_BITS + 1);
-const SECOND = 1000;
+const MILLISECONDS_PER_SECOND = 1000;
 
-/** The state of one instance at one moment. */
+/** The table access of one instance at one moment. */
 export interface InstanceStatus {
-  /** Monotonic milliseconds of this instance's clock; not later than the moment described. */
+  /** Monotonic milliseconds of this instance's clock; never later than the moment described. */
   readonly heardAt: number;
-  /** Whether its configuration was ever confirmed; only such instances count in a majority. */
+  /** Whether its configuration was ever confirmed; only failures of such instances count towards an outage majority. */
   readonly isVoter: boolean;
   /** Whether its last read of the table failed. */
-  readonly tableFailed: boolean;
+  readonly hasFailedRead: boolean;
 }
 
 /** The statuses of the listed instances; bounded by the list. */
-export class StatusTable {
+export class InstanceStatusTable {
   private readonly statuses = new Map<string, InstanceStatus>();
 
   get(id: string): InstanceStatus | undefined {
     return this.statuses.get(id);
   }
 
-  /** Takes a status if it is newer than what is known. */
-  note(id: string, status: InstanceStatus): void {
+  /** Stores a status if it is newer than the known one. */
+  update(id: string, status: InstanceStatus): void {
     const known = this.statuses.get(id);
     if (known === undefined || status.heardAt > known.heardAt) {
       this.statuses.set(id, status);
     }
   }
 
-  /** Forgets instances that left the list. */
+  /** Removes the statuses of all other instances. */
   keepOnly(ids: readonly string[]): void {
     const listed = new Set(ids);
     for (const id of this.statuses.keys()) {
@@ -43,27 +43,27 @@
     }
   }
 
-  /** Confirmed instances among those named whose access to the table failed, by statuses not older than a limit. */
-  countFailed(
+  /** Counts the voters among `ids` whose last table read failed, by statuses no older than the limit. */
+  countTableFailures(
     ids: readonly string[],
     now: number,
     limitMilliseconds: number,
   ): number {
-    return this.recent(ids, now, limitMilliseconds).filter(
-      status => status.isVoter && status.tableFailed,
+    return this.recentStatuses(ids, now, limitMilliseconds).filter(
+      status => status.isVoter && status.hasFailedRead,
     ).length;
   }
 
-  /** Instances among those named that were heard of within a limit. */
-  countHeard(
+  /** Counts the instances among `ids` with a status no older than the limit. */
+  countRecent(
     ids: readonly string[],
     now: number,
     limitMilliseconds: number,
   ): number {
-    return this.recent(ids, now, limitMilliseconds).length;
+    return this.recentStatuses(ids, now, limitMilliseconds).length;
   }
 
-  private recent(
+  private recentStatuses(
     ids: readonly string[],
     now: number,
     limitMilliseconds: number,
@@ -76,22 +76,25 @@
     });
   }
 
-  /** One byte for each id, in order, as base64. Ages are rounded up, so that nothing looks younger than it is. */
+  /** Encodes one byte per id, in order, as base64. Ages are rounded up, so that no status looks newer than it is. */
   encode(ids: readonly string[], now: number): string {
     const bytes = ids.map(id => encodeStatus(this.statuses.get(id), now));
     return btoa(String.fromCharCode(...bytes));
   }
 
-  /** Merges a peer's bytes; `askedAt` is when this instance sent its question, which dates them safely. */
-  merge(encoded: string, ids: readonly string[], askedAt: number): void {
+  /**
+   * Merges the encoded statuses of a peer. Ages are subtracted from the time at which this instance sent its request,
+   * so that no status looks newer than it is.
+   */
+  merge(encoded: string, ids: readonly string[], requestedAt: number): void {
     const bytes = atob(encoded);
     if (bytes.length !== ids.length) {
       return;
     }
     ids.forEach((id, index) => {
-      const status = decodeStatus(bytes.charCodeAt(index), askedAt);
+      const status = decodeStatus(bytes.charCodeAt(index), requestedAt);
       if (status !== undefined) {
-        this.note(id, status);
+        this.update(id, status);
       }
     });
   }
@@ -101,26 +104,26 @@
   if (status === undefined) {
     return UNKNOWN_AGE_SECONDS;
   }
-  const seconds = Math.ceil((now - status.heardAt) / SECOND);
+  const seconds = Math.ceil((now - status.heardAt) / MILLISECONDS_PER_SECOND);
   const age = Math.min(Math.max(seconds, 0), UNKNOWN_AGE_SECONDS);
   return (
     age |
     (status.isVoter ? VOTER_BIT : 0) |
-    (status.tableFailed ? FAILED_BIT : 0)
+    (status.hasFailedRead ? FAILED_BIT : 0)
   );
 }
 
 function decodeStatus(
   byte: number,
-  askedAt: number,
+  requestedAt: number,
 ): InstanceStatus | undefined {
   const age = byte & UNKNOWN_AGE_SECONDS;
   if (age === UNKNOWN_AGE_SECONDS) {
     return undefined;
   }
   return {
-    heardAt: askedAt - age * SECOND,
+    heardAt: requestedAt - age * MILLISECONDS_PER_SECOND,
     isVoter: (byte & VOTER_BIT) !== 0,
-    tableFailed: (byte & FAILED_BIT) !== 0,
+    hasFailedRead: (byte & FAILED_BIT) !== 0,
   };
 }
--- a/src/features/membership/common/systemView.ts
+++ b/src/features/membership/common/systemView.ts
@@ -4,37 +4,37 @@
 } from '../../../infrastructure/membership/common/membershipList.js';
 import {Configuration} from '../../configuration/common/configuration.js';
 
-/** What the control program knows of the system and hands to the entry program of its instance. */
+/** The view of the system that the control program provides to the entry program of its instance. */
 
-/** An instance of this system as seen from here: the platform's list corrected by what peers said. */
+/** An instance as known to this one: its entry in the platform's list, updated by records from peers. */
 export interface InstanceView {
   readonly member: InstanceMember;
-  /** The running process of the entry program; undefined until it was heard of. */
+  /** Identifies the running process of the entry program; undefined until it is known. */
   readonly incarnation: string | undefined;
-  /** Whether callers and peers may use it. */
+  /** Whether callers and peers may send it requests. */
   readonly ready: boolean;
 }
 
-/** Whether this instance may take new work, and why not. */
+/** Whether this instance accepts new work, and otherwise why not. */
 export type Standing =
   | {readonly kind: 'serving'}
-  /** No configuration was confirmed yet. */
+  /** No configuration has been confirmed yet. */
   | {readonly kind: 'starting'}
-  /** Neither the table nor enough peers were reached for longer than the bound. */
+  /** The configuration was confirmed neither by the table nor by a majority within the bound. */
   | {readonly kind: 'cutOff'; readonly sinceMilliseconds: number}
   | {readonly kind: 'leaving'};
 
-/** One immutable view; `sequence` grows with each change. */
+/** An immutable view; `sequence` increases with each change. */
 export interface SystemView {
   readonly sequence: number;
   readonly standing: Standing;
   readonly configuration: Configuration;
   readonly instances: readonly InstanceView[];
-  /** Upstreams that the list shows, live and leaving. */
+  /** The upstreams in the platform's list, live and leaving. */
   readonly upstreams: readonly UpstreamMember[];
 }
 
-/** How the entry program introduces itself to its control program. */
+/** Identifies the entry process to its control program and tells whether it is leaving. */
 export interface EntryAnnouncement {
   readonly incarnation: string;
   readonly leaving: boolean;
--- a/src/features/membership/common/systemViewSource.ts
+++ b/src/features/membership/common/systemViewSource.ts
@@ -2,18 +2,18 @@
 import {Disposable} from '../../../base/common/lifecycle.js';
 import {EntryAnnouncement, SystemView} from './systemView.js';
 
-/** Where the entry program gets its view of the system from: the control program of its instance. */
+/** Provides the view of the system to the entry program, from the control program of its instance. */
 export abstract class SystemViewSource implements Disposable {
-  /** The newest view; undefined until the first one came. It stays in use while the source is silent. */
+  /** The newest view; undefined before the first one. It remains in use while the source does not respond. */
   abstract readonly current: SystemView | undefined;
 
-  /** Monotonic milliseconds at which the source last answered; undefined before the first answer. */
+  /** Monotonic milliseconds of the last response; undefined before the first one. */
   abstract readonly heardAt: number | undefined;
 
-  /** Fires with each newer view. */
+  /** Fires with each new view. */
   abstract readonly onDidChange: Event<SystemView>;
 
-  /** Tells the control program which process serves and whether it is leaving; repeated until it was taken. */
+  /** Sends an announcement to the control program; repeated until delivered and after each restart of the program. */
   abstract announce(announcement: EntryAnnouncement): void | Promise<boolean>;
 
   abstract dispose(): void;
--- a/src/features/membership/common/viewHistory.ts
+++ b/src/features/membership/common/viewHistory.ts
@@ -7,57 +7,62 @@
   readonly upstreams: number;
 }
 
-/** Knows at which sequence each part of the view last changed, and answers with what a client lacks. */
+/** Tracks the sequence at which each part of the view last changed, to send clients only the parts that they lack. */
 export class ViewHistory {
-  private parts: PartSequences;
+  private partSequences: PartSequences;
 
   constructor(
     private readonly source: string,
     private view: SystemView,
   ) {
     const {sequence} = view;
-    this.parts = {
+    this.partSequences = {
       configuration: sequence,
       instances: sequence,
       upstreams: sequence,
     };
   }
 
-  /** Takes the next view. */
-  note(view: SystemView): void {
-    const before = this.view;
+  update(view: SystemView): void {
+    const previous = this.view;
     const {sequence} = view;
-    this.parts = {
+    this.partSequences = {
       configuration:
-        view.configuration === before.configuration
-          ? this.parts.configuration
+        view.configuration === previous.configuration
+          ? this.partSequences.configuration
           : sequence,
       instances:
-        view.instances === before.instances ? this.parts.instances : sequence,
+        view.instances === previous.instances
+          ? this.partSequences.instances
+          : sequence,
       upstreams:
-        view.upstreams === before.upstreams ? this.parts.upstreams : sequence,
+        view.upstreams === previous.upstreams
+          ? this.partSequences.upstreams
+          : sequence,
     };
     this.view = view;
   }
 
-  /** Whether the client has the newest view. */
+  /** Whether a client at this position has the newest view. */
   isCurrent(since: ViewPosition | undefined): boolean {
     return (
       since?.source === this.source && since.sequence === this.view.sequence
     );
   }
 
-  /** What the client lacks. */
+  /** The parts that a client at this position lacks; all parts if the position is of another process. */
   updateSince(since: ViewPosition | undefined): ViewUpdate {
-    const known = since?.source === this.source ? since.sequence : 0;
+    const knownSequence = since?.source === this.source ? since.sequence : 0;
     const {sequence, standing} = this.view;
     const {configuration, instances, upstreams} = this.view;
     return {
       position: {source: this.source, sequence},
       standing,
-      ...(this.parts.configuration > known ? {configuration} : {}),
-      ...(this.parts.instances > known ? {instances} : {}),
-      ...(this.parts.upstreams > known ? {upstreams} : {}),
+      ...(this.partSequences.configuration > knownSequence
+        ? {configuration}
+        : {}),
+      ...(this.partSequences.instances > knownSequence ? {instances} : {}),
+      ...(this.partSequences.upstreams > knownSequence ? {upstreams} : {}),
     };
   }
 }
--- a/src/features/membership/common/viewPublisher.ts
+++ b/src/features/membership/common/viewPublisher.ts
@@ -10,10 +10,10 @@
 } from '../../configuration/common/configuration.js';
 import {InstanceView, Standing, SystemView} from './systemView.js';
 
-/** What a view is made of. */
+/** The content of a view. */
 export type ViewParts = Omit<SystemView, 'sequence'>;
 
-/** Keeps the newest view and counts its changes; a part that says the same keeps its identity. */
+/** Holds the newest view and increments its sequence on change; an equal instance list keeps its object identity. */
 export class ViewPublisher extends DisposableOwner {
   private readonly changed = this.register(new Emitter<SystemView>());
   private view: SystemView = {
@@ -31,12 +31,12 @@
     return this.view;
   }
 
-  /** Takes new parts; does nothing when they say the same. */
+  /** Publishes a new view unless it equals the current one. */
   publish(parts: ViewParts): void {
-    const instances = this.sameOr(parts.instances);
+    const instances = this.reuseIfEqual(parts.instances);
     const {configuration, upstreams} = parts;
     if (
-      sameStanding(parts.standing, this.view.standing) &&
+      areStandingsEqual(parts.standing, this.view.standing) &&
       configuration === this.view.configuration &&
       upstreams === this.view.upstreams &&
       instances === this.view.instances
@@ -48,42 +48,46 @@
     this.changed.fire(this.view);
   }
 
-  private sameOr(instances: readonly InstanceView[]): readonly InstanceView[] {
-    const before = this.view.instances;
+  private reuseIfEqual(
+    instances: readonly InstanceView[],
+  ): readonly InstanceView[] {
+    const previous = this.view.instances;
     const isSame =
-      before.length === instances.length &&
-      instances.every((view, index) => sameInstance(view, before[index]));
-    return isSame ? before : instances;
+      previous.length === instances.length &&
+      instances.every((view, index) =>
+        areInstancesEqual(view, previous[index]),
+      );
+    return isSame ? previous : instances;
   }
 }
 
-function sameInstance(
+function areInstancesEqual(
   left: InstanceView,
   right: InstanceView | undefined,
 ): boolean {
   return (
     left.ready === right?.ready &&
     left.incarnation === right.incarnation &&
-    sameMember(left.member, right.member)
+    areMembersEqual(left.member, right.member)
   );
 }
 
-function sameMember(left: InstanceMember, right: InstanceMember): boolean {
+function areMembersEqual(left: InstanceMember, right: InstanceMember): boolean {
   return left === right || JSON.stringify(left) === JSON.stringify(right);
 }
 
-function sameStanding(left: Standing, right: Standing): boolean {
+function areStandingsEqual(left: Standing, right: Standing): boolean {
   return left.kind === right.kind;
 }
 
-/** Which parts of a view a client has; each is named by the sequence at which it last changed. */
+/** The view that a client has, by the process that numbered it and the sequence. */
 export interface ViewPosition {
-  /** The control process that the numbers come from. */
+  /** The control process that assigned the sequence. */
   readonly source: string;
   readonly sequence: number;
 }
 
-/** A change of the view: only parts that differ from what the client has. */
+/** A partial view: only the parts that differ from what the client has. */
 export interface ViewUpdate {
   readonly position: ViewPosition;
   readonly standing: Standing;
--- a/src/features/membership/node/controlViewSource.ts
+++ b/src/features/membership/node/controlViewSource.ts
@@ -14,20 +14,19 @@
 import {ViewPosition, ViewUpdate} from '../common/viewPublisher.js';
 import {ViewRouter} from './viewRouter.js';
 
-const CALL_MILLISECONDS = 8_000;
-const ANNOUNCE_MILLISECONDS = 1_000;
-const RETRY_MILLISECONDS = 250;
+const WATCH_TIMEOUT_MILLISECONDS = 8_000;
+const ANNOUNCE_TIMEOUT_MILLISECONDS = 1_000;
+const RETRY_DELAY_MILLISECONDS = 250;
 
-/** Follows the view of the instance's control program and announces the entry program to it. */
+/** Watches the view of the instance's control program and announces the entry program to it. */
 export class ControlViewSource extends SystemViewSource {
   private readonly merger = new ViewMerger();
   private readonly changed = new Emitter<SystemView>();
   private readonly lifetime = new CancellationSource();
   private readonly client: RpcClient<ViewRouter>;
   private position: ViewPosition | undefined;
-  private answeredAt: number | undefined;
+  private respondedAt: number | undefined;
 
-  /** Fires after each newer view. */
   override readonly onDidChange = this.changed.event;
 
   constructor(
@@ -40,21 +39,20 @@
     this.client = createRpcClient<ViewRouter>(controlAddress, peerKey);
   }
 
-  /** The newest view; undefined until the first. */
   override get current(): SystemView | undefined {
     return this.merger.current;
   }
 
   override get heardAt(): number | undefined {
-    return this.answeredAt;
+    return this.respondedAt;
   }
 
-  /** Begins to follow; ends on dispose. */
+  /** Starts watching; stops on dispose. */
   start(): void {
-    void this.follow(this.lifetime.token);
+    void this.watchUntilCancelled(this.lifetime.token);
   }
 
-  /** Tells the control program what changed; it is told again when it starts again. */
+  /** Sends a changed announcement; it is sent again after each restart of the control program. */
   override async announce(announcement: EntryAnnouncement): Promise<boolean> {
     this.announcement = announcement;
     return this.sendAnnouncement(this.lifetime.token);
@@ -67,11 +65,11 @@
     this.changed.dispose();
   }
 
-  private async follow(token: CancellationToken): Promise<void> {
+  private async watchUntilCancelled(token: CancellationToken): Promise<void> {
     while (!token.isCancelled) {
-      const answered = await this.watchOnce(token);
-      if (!answered && !token.isCancelled) {
-        this.noteLost();
+      const hasResponded = await this.watchOnce(token);
+      if (!hasResponded && !token.isCancelled) {
+        this.handleNoResponse();
         await this.pause(token);
       }
     }
@@ -79,20 +77,23 @@
 
   private async watchOnce(token: CancellationToken): Promise<boolean> {
     const source = new CancellationSource(token);
-    source.cancelAfter(CALL_MILLISECONDS, 'control program did not answer');
+    source.cancelAfter(
+      WATCH_TIMEOUT_MILLISECONDS,
+      'control program did not respond to the watch in time',
+    );
     try {
       const since = this.position;
       const update = await this.client.call.view.watch.query(
         since === undefined ? {} : {since},
         {signal: source.token.signal},
       );
-      const isOther = update.position.source !== since?.source;
+      const hasRestarted = update.position.source !== since?.source;
       this.position = update.position;
       const now = this.clock.monotonicMilliseconds();
-      this.answeredAt = now;
-      // JSON leaves out fields without a value, which reads the same.
-      this.changed.fire(this.merger.take(update as ViewUpdate, now));
-      return isOther ? await this.sendAnnouncement(token) : true;
+      this.respondedAt = now;
+      // JSON omits undefined fields, which is equivalent here.
+      this.changed.fire(this.merger.applyUpdate(update as ViewUpdate, now));
+      return hasRestarted ? await this.sendAnnouncement(token) : true;
     } catch {
       return false;
     } finally {
@@ -102,7 +103,10 @@
 
   private async sendAnnouncement(token: CancellationToken): Promise<boolean> {
     const source = new CancellationSource(token);
-    source.cancelAfter(ANNOUNCE_MILLISECONDS, 'control did not answer');
+    source.cancelAfter(
+      ANNOUNCE_TIMEOUT_MILLISECONDS,
+      'control program did not respond to the announcement in time',
+    );
     try {
       await this.client.call.view.announce.mutate(this.announcement, {
         signal: source.token.signal,
@@ -116,7 +120,7 @@
     }
   }
 
-  private noteLost(): void {
+  private handleNoResponse(): void {
     const view = this.merger.lost(this.clock.monotonicMilliseconds());
     if (view !== undefined) {
       this.changed.fire(view);
@@ -125,7 +129,7 @@
 
   private pause(token: CancellationToken): Promise<void> {
     return new Promise(resolve => {
-      const timer = this.clock.setTimer(RETRY_MILLISECONDS, () => {
+      const timer = this.clock.setTimer(RETRY_DELAY_MILLISECONDS, () => {
         cancelled.dispose();
         resolve();
       });
--- a/src/features/membership/node/viewRouter.ts
+++ b/src/features/membership/node/viewRouter.ts
@@ -12,11 +12,11 @@
   ViewUpdate,
 } from '../common/viewPublisher.js';
 
-/** Longest time that a watch stays open. */
-const WATCH_MILLISECONDS = 5_000;
-const TEXT_LIMIT = 256;
+/** Maximum duration of a watch without a change. */
+const MAX_WATCH_MILLISECONDS = 5_000;
+const TEXT_LENGTH_LIMIT = 256;
 
-/** What the router asks of the rest of the program. */
+/** The functions of the control program that the router needs. */
 export interface ViewProvider {
   readonly publisher: ViewPublisher;
   view(): SystemView;
@@ -24,7 +24,7 @@
   noteEntry(): void;
 }
 
-/** Answers watches; the source names this process, so that sequences of an earlier one aren't mixed up. */
+/** Serves watches. `source` identifies this process, since sequences of different processes are not comparable. */
 export class ViewWatcher {
   private readonly history: ViewHistory;
 
@@ -35,7 +35,7 @@
     this.history = new ViewHistory(source, provider.publisher.current);
   }
 
-  /** Answers when the view differs from what the client has, or after a while. */
+  /** Resolves when the view differs from what the client has, or after the maximum duration. */
   async watch(
     since: ViewPosition | undefined,
     signal: AbortSignal | undefined,
@@ -50,7 +50,7 @@
 
   private refresh(): void {
     this.provider.noteEntry();
-    this.history.note(this.provider.view());
+    this.history.update(this.provider.view());
   }
 
   private nextChange(signal: AbortSignal | undefined): Promise<void> {
@@ -61,7 +61,7 @@
         signal?.removeEventListener('abort', finish);
         resolve();
       };
-      const timer = setTimeout(finish, WATCH_MILLISECONDS);
+      const timer = setTimeout(finish, MAX_WATCH_MILLISECONDS);
       const changed = this.provider.publisher.onDidChange(finish);
       signal?.addEventListener('abort', finish, {once: true});
     });
@@ -69,16 +69,16 @@
 }
 
 const positionSchema = zod.object({
-  source: zod.string().max(TEXT_LIMIT),
+  source: zod.string().max(TEXT_LENGTH_LIMIT),
   sequence: zod.int(),
 });
 
 const announcementSchema = zod.object({
-  incarnation: zod.string().min(1).max(TEXT_LIMIT),
+  incarnation: zod.string().min(1).max(TEXT_LENGTH_LIMIT),
   leaving: zod.boolean(),
 });
 
-/** The calls that the entry program of this instance makes. */
+/** Creates the procedures that the entry program of this instance calls. */
 export function createViewRouter(provider: ViewProvider, watcher: ViewWatcher) {
   return createRpcRouter({
     view: createRpcRouter({
@@ -92,5 +92,5 @@
   });
 }
 
-/** The type of the router, for clients. */
+/** The router type, from which clients derive their calls. */
 export type ViewRouter = ReturnType<typeof createViewRouter>;
--- a/src/features/membership/test/listReading.test.ts
+++ b/src/features/membership/test/listReading.test.ts
@@ -8,7 +8,10 @@
 import {UpstreamMember} from '../../../infrastructure/membership/common/membershipList.js';
 import {ListReader} from '../common/listReader.js';
 import {ListReadPlan} from '../common/listReadPlan.js';
-import {CARRY_MILLISECONDS, MemberBook} from '../common/memberBook.js';
+import {
+  SHARING_MILLISECONDS,
+  MergedMemberList,
+} from '../common/mergedMemberList.js';
 
 const limits = {shortestMilliseconds: 3_000, bytesPerSecond: 500};
 
@@ -21,136 +24,183 @@
   return [...ids].map(id => engine(id));
 }
 
-describe('the plan of reads', () => {
+describe('ListReadScheduler', () => {
   it.each([
-    {name: 'alone', bytes: 560_000, sharers: 1, seconds: 3},
-    {name: 'by the fleet', bytes: 560_000, sharers: 7, seconds: 21},
-    {name: 'by the budget', bytes: 560_000, sharers: 1_000, seconds: 1_120},
-    {name: 'a short list', bytes: 100, sharers: 370, seconds: 3},
-  ])('$name', ({bytes, sharers, seconds}) => {
+    {
+      name: 'at the minimum interval when alone',
+      bytes: 560_000,
+      readerCount: 1,
+      seconds: 3,
+    },
+    {
+      name: 'in proportion to the number of readers',
+      bytes: 560_000,
+      readerCount: 7,
+      seconds: 21,
+    },
+    {
+      name: 'within the byte budget for many readers',
+      bytes: 560_000,
+      readerCount: 1_000,
+      seconds: 1_120,
+    },
+    {
+      name: 'at the minimum interval for a short list',
+      bytes: 100,
+      readerCount: 370,
+      seconds: 3,
+    },
+  ])('schedules reads $name', ({bytes, readerCount, seconds}) => {
     const clock = new FakeClock();
-    const plan = new ListReadPlan(clock, new SeededRandomSource(1), limits);
-    expect(plan.isDue(sharers)).toBe(true);
-    plan.noteRead(bytes, false);
-    expect(plan.intervalMilliseconds(sharers)).toBe(seconds * 1_000);
-    const asked = 40_000;
-    const due = Array.from({length: asked}, () => plan.isDue(sharers));
-    const mean = (3 * asked) / due.filter(Boolean).length;
+    const scheduler = new ListReadPlan(
+      clock,
+      new SeededRandomSource(1),
+      limits,
+    );
+    expect(scheduler.isDue(readerCount)).toBe(true);
+    scheduler.recordRead(bytes, false);
+    expect(scheduler.intervalMilliseconds(readerCount)).toBe(seconds * 1_000);
+    const polls = 40_000;
+    const due = Array.from({length: polls}, () => scheduler.isDue(readerCount));
+    const mean = (3 * polls) / due.filter(Boolean).length;
     expect(mean / seconds).toBeGreaterThan(0.8);
     expect(mean / seconds).toBeLessThan(1.25);
   });
 
-  it('waits as long as the platform asks, then reads a doubtful list again', () => {
+  it('waits for the requested retry delay, then repeats doubtful reads', () => {
     const clock = new FakeClock();
-    const plan = new ListReadPlan(clock, new SeededRandomSource(1), limits);
-    plan.noteFailed(10_000);
-    expect(plan.isDue(1)).toBe(false);
+    const scheduler = new ListReadPlan(
+      clock,
+      new SeededRandomSource(1),
+      limits,
+    );
+    scheduler.recordFailure(10_000);
+    expect(scheduler.isDue(1)).toBe(false);
     clock.advance(10_000);
-    expect(plan.isDue(1)).toBe(true);
-    plan.noteRead(5_600_000, true);
-    expect(plan.isDue(1_000_000)).toBe(true);
-    plan.noteRead(5_600_000, true);
-    expect(plan.isDue(1_000_000)).toBe(false);
+    expect(scheduler.isDue(1)).toBe(true);
+    scheduler.recordRead(5_600_000, true);
+    expect(scheduler.isDue(1_000_000)).toBe(true);
+    scheduler.recordRead(5_600_000, true);
+    expect(scheduler.isDue(1_000_000)).toBe(false);
     clock.advance(11_200_000 / 8 + 1);
-    expect(plan.isDue(1_000_000)).toBe(true);
+    expect(scheduler.isDue(1_000_000)).toBe(true);
   });
 });
 
-describe('a list that lost members', () => {
+describe('ListReader', () => {
   it.each([
-    {name: 'one of four, at once', reads: ['abc'], heard: '', left: 'abc'},
-    {name: 'most, seen once', reads: ['ab12'], heard: '', left: 'abcdefgh12'},
     {
-      name: 'half, seen twice',
+      name: 'removes one of four members at once',
+      reads: ['abc'],
+      seen: '',
+      remaining: 'abc',
+    },
+    {
+      name: 'keeps members lacking from one read',
+      reads: ['ab12'],
+      seen: '',
+      remaining: 'abcdefgh12',
+    },
+    {
+      name: 'removes half lacking from two reads',
       reads: ['abcd', 'abcd'],
-      heard: '',
-      left: 'abcd',
+      seen: '',
+      remaining: 'abcd',
     },
     {
-      name: 'half, then back',
+      name: 'keeps members back in the next read',
       reads: ['', 'abcdefgh'],
-      heard: '',
-      left: 'abcdefgh',
+      seen: '',
+      remaining: 'abcdefgh',
     },
     {
-      name: 'all, one heard of',
+      name: 'keeps all while one was seen recently',
       reads: ['', '', ''],
-      heard: 'h',
-      left: 'abcdefgh',
+      seen: 'h',
+      remaining: 'abcdefgh',
+    },
+    {
+      name: 'removes all if none was seen recently',
+      reads: ['', ''],
+      seen: '',
+      remaining: '',
     },
-    {name: 'all, none heard of', reads: ['', ''], heard: '', left: ''},
     {
-      name: 'others each time',
+      name: 'keeps halves lacking from one read each',
       reads: ['abcd', 'efgh'],
-      heard: '',
-      left: 'abcdefgh',
+      seen: '',
+      remaining: 'abcdefgh',
     },
-  ])('$name', async ({name, reads, heard, left}) => {
+  ])('$name', async ({name, reads, seen, remaining}) => {
     const clock = new FakeClock();
     const platform = new InMemoryPlatform(clock);
-    const book = new MemberBook();
-    const plan = new ListReadPlan(clock, new SeededRandomSource(1), limits);
+    const memberList = new MergedMemberList();
+    const scheduler = new ListReadPlan(
+      clock,
+      new SeededRandomSource(1),
+      limits,
+    );
     const reader = new ListReader(
       platform.portsOf().membership,
-      book,
-      plan,
+      memberList,
+      scheduler,
       clock,
       new SilentLogger(),
-      id => heard.includes(id),
+      id => seen.includes(id),
     );
-    const first = name.startsWith('one of four') ? 'abcd' : 'abcdefgh';
+    const first = name.includes('one of four') ? 'abcd' : 'abcdefgh';
     for (const ids of [first, ...reads]) {
       platform.members = engines(ids);
       await reader.read(neverCancelled);
       clock.advance(10_000);
     }
-    const ids = book.members().map(({id}) => id);
-    expect(ids.sort()).toEqual([...left].sort());
+    const ids = memberList.members().map(({id}) => id);
+    expect(ids.sort()).toEqual([...remaining].sort());
   });
 });
 
-describe('what reads at different times showed of a member', () => {
+describe('MergedMemberList', () => {
   const live = {id: 'a', member: engine('a')};
   const leaving = {id: 'a', member: engine('a', 'leaving')};
   const gone = {id: 'a'};
 
-  /** Each row: what was told, seconds before now at which it was read. */
+  /** Each change is paired with its age in seconds. */
   it.each([
     {
-      name: 'the newer wins',
-      told: [
+      name: 'prefers the newer observation',
+      changes: [
         [leaving, 9],
         [live, 5],
       ],
       state: 'live',
     },
     {
-      name: 'the order does not matter',
-      told: [
+      name: 'ignores the order of arrival',
+      changes: [
         [live, 5],
         [leaving, 9],
       ],
       state: 'live',
     },
     {
-      name: 'leaving wins in the margin',
-      told: [
+      name: 'prefers leaving within the time error',
+      changes: [
         [live, 8],
         [leaving, 9],
       ],
       state: 'leaving',
     },
     {
-      name: 'a removed one stays away',
-      told: [
+      name: 'keeps a newer removal',
+      changes: [
         [gone, 5],
         [live, 6],
       ],
       state: undefined,
     },
     {
-      name: 'one removed here before it came',
-      told: [
+      name: 'keeps a newer removal of a known member',
+      changes: [
         [live, 20],
         [gone, 5],
         [leaving, 6],
@@ -158,50 +208,50 @@
       state: undefined,
     },
     {
-      name: 'one that came back',
-      told: [
+      name: 'restores a member that came back',
+      changes: [
         [gone, 9],
         [live, 4],
       ],
       state: 'live',
     },
     {
-      name: 'too old to be told',
-      told: [[live, CARRY_MILLISECONDS / 1_000 + 1]],
+      name: 'ignores observations too old to share',
+      changes: [[live, SHARING_MILLISECONDS / 1_000 + 1]],
       state: undefined,
     },
-  ] as const)('$name', ({told, state}) => {
-    const now = 10 * CARRY_MILLISECONDS;
-    const book = new MemberBook();
-    book.takeList([], 0, 0, new Set());
-    for (const [change, seconds] of told) {
+  ] as const)('$name', ({changes, state}) => {
+    const now = 10 * SHARING_MILLISECONDS;
+    const memberList = new MergedMemberList();
+    memberList.applyList([], 0, 0, new Set());
+    for (const [change, seconds] of changes) {
       const ageMilliseconds = seconds * 1_000;
-      book.takeChanges([{...change, ageMilliseconds}], now, now);
+      memberList.takeChanges([{...change, ageMilliseconds}], now, now);
     }
-    expect(book.get('a')?.state).toBe(state);
+    expect(memberList.get('a')?.state).toBe(state);
   });
 
-  it('is not taken from a peer when a whole read since then lacked it', () => {
-    const book = new MemberBook();
-    book.takeList([], 100, 100, new Set());
-    const told = [{...live, ageMilliseconds: 0}];
-    expect(book.takeChanges(told, 100, 100)).toBe(false);
-    expect(book.takeChanges(told, 101, 101)).toBe(true);
+  it('rejects a member from a peer if a later read of the whole list lacked it', () => {
+    const memberList = new MergedMemberList();
+    memberList.applyList([], 100, 100, new Set());
+    const changes = [{...live, ageMilliseconds: 0}];
+    expect(memberList.takeChanges(changes, 100, 100)).toBe(false);
+    expect(memberList.takeChanges(changes, 101, 101)).toBe(true);
   });
 
-  it('is forgotten in the end, and remembered for a bounded number', () => {
-    const book = new MemberBook();
+  it('removes old tombstones and bounds their number', () => {
+    const memberList = new MergedMemberList();
     const many = Array.from({length: 6_000}, (_, index) => engine(`x${index}`));
-    book.takeList(many, 0, 0, new Set());
-    book.takeList([], 1, 1, new Set());
-    expect(book.remembered).toBeLessThan(5_000);
-    book.takeList(
+    memberList.applyList(many, 0, 0, new Set());
+    memberList.applyList([], 1, 1, new Set());
+    expect(memberList.observationCount).toBeLessThan(5_000);
+    memberList.applyList(
       [],
-      3 * CARRY_MILLISECONDS,
-      3 * CARRY_MILLISECONDS,
+      3 * SHARING_MILLISECONDS,
+      3 * SHARING_MILLISECONDS,
       new Set(),
     );
-    expect(book.remembered).toBe(0);
-    expect(book.fingerprint).toBe(new MemberBook().fingerprint);
+    expect(memberList.observationCount).toBe(0);
+    expect(memberList.fingerprint).toBe(new MergedMemberList().fingerprint);
   });
 });
--- a/src/features/membership/test/membership.test.ts
+++ b/src/features/membership/test/membership.test.ts
@@ -16,10 +16,10 @@
   LifecycleEvent,
   StandingKeeper,
 } from '../common/standingKeeper.js';
-import {StatusTable} from '../common/statusTable.js';
+import {InstanceStatusTable} from '../common/statusTable.js';
 import {SystemView} from '../common/systemView.js';
 import {ViewHistory} from '../common/viewHistory.js';
-import {HOLD_MILLISECONDS, ViewMerger} from '../common/viewMerger.js';
+import {STANDING_HOLD_MILLISECONDS, ViewMerger} from '../common/viewMerger.js';
 
 const base: ConfirmationInput = {
   now: 100_000,
@@ -34,43 +34,59 @@
   const cases: ReadonlyArray<
     readonly [string, Partial<ConfirmationInput>, string]
   > = [
-    ['never confirmed', {}, 'unconfirmed'],
-    ['confirmed at the bound', {confirmedAt: 90_000}, 'confirmed'],
-    ['confirmed before the bound', {confirmedAt: 89_999}, 'unconfirmed'],
+    ['rejects a configuration that was never confirmed', {}, 'unconfirmed'],
+    ['accepts a confirmation at the bound', {confirmedAt: 90_000}, 'confirmed'],
     [
-      'a newer revision known, within the bound',
+      'rejects a confirmation older than the bound',
+      {confirmedAt: 89_999},
+      'unconfirmed',
+    ],
+    [
+      'accepts a confirmation within the bound although a newer revision is known',
       {confirmedAt: 95_000, knownRevision: 4},
       'confirmed',
     ],
-    ['a majority without table', {outage: {listed: 5, failed: 3}}, 'confirmed'],
-    ['half without table', {outage: {listed: 4, failed: 2}}, 'unconfirmed'],
     [
-      'a majority without table, a newer revision known',
+      'accepts when a majority lacks the table',
+      {outage: {listed: 5, failed: 3}},
+      'confirmed',
+    ],
+    [
+      'rejects when only half lacks the table',
+      {outage: {listed: 4, failed: 2}},
+      'unconfirmed',
+    ],
+    [
+      'rejects when a majority lacks the table but a newer revision is known',
       {outage: {listed: 5, failed: 5}, knownRevision: 4},
       'unconfirmed',
     ],
-    ['an empty list', {outage: {listed: 0, failed: 0}}, 'unconfirmed'],
+    [
+      'rejects when the list is empty',
+      {outage: {listed: 0, failed: 0}},
+      'unconfirmed',
+    ],
   ];
 
   it.each(cases)('%s', (_name, change, expected) => {
     expect(decideConfirmation({...base, ...change})).toBe(expected);
   });
 
-  it('counts a read only once its revision was applied', () => {
+  it('counts a read only after its revision was applied', () => {
     const tracker = new ConfirmationTracker();
-    tracker.note({revision: 2, readAt: 10}, 1);
+    tracker.addObservation({revision: 2, readAt: 10}, 1);
     expect(tracker.confirmedAt).toBeUndefined();
-    tracker.noteApplied(2);
+    tracker.handleRevisionApplied(2);
     expect(tracker.confirmedAt).toBe(10);
-    tracker.note({revision: 3, readAt: 20}, 2);
-    tracker.note({revision: 2, readAt: 15}, 2);
+    tracker.addObservation({revision: 3, readAt: 20}, 2);
+    tracker.addObservation({revision: 2, readAt: 15}, 2);
     expect(tracker.confirmedAt).toBe(15);
     expect(tracker.evidence).toEqual({revision: 3, readAt: 20});
   });
 });
 
 describe('StatusTable', () => {
-  it('never makes a status younger, over any number of peers', () => {
+  it('never makes a status newer when it passes through several peers', () => {
     const hops = fastCheck.array(fastCheck.integer({min: 0, max: 9_000}), {
       minLength: 1,
       maxLength: 6,
@@ -80,22 +96,22 @@
         hops,
         fastCheck.boolean(),
         fastCheck.boolean(),
-        (waits, isVoter, tableFailed) => {
+        (delays, isVoter, hasFailedRead) => {
           let now = 1_000_000;
           const heardAt = now;
-          let table = new StatusTable();
-          table.note('a', {heardAt, isVoter, tableFailed});
-          for (const wait of waits) {
-            const askedAt = now + wait / 2;
-            now += wait;
-            const next = new StatusTable();
-            next.merge(table.encode(['a'], now), ['a'], askedAt);
+          let table = new InstanceStatusTable();
+          table.update('a', {heardAt, isVoter, hasFailedRead});
+          for (const delay of delays) {
+            const requestedAt = now + delay / 2;
+            now += delay;
+            const next = new InstanceStatusTable();
+            next.merge(table.encode(['a'], now), ['a'], requestedAt);
             table = next;
           }
           const status = table.get('a');
           expect(status?.heardAt ?? 0).toBeLessThanOrEqual(heardAt);
           if (status !== undefined) {
-            expect(status).toMatchObject({isVoter, tableFailed});
+            expect(status).toMatchObject({isVoter, hasFailedRead});
           }
         },
       ),
@@ -103,22 +119,22 @@
     );
   });
 
-  it('counts only recent voters, keeps the newest and forgets the unlisted', () => {
-    const table = new StatusTable();
+  it('counts only recent voters, keeps the newest status and removes unlisted instances', () => {
+    const table = new InstanceStatusTable();
     const ids = ['a', 'b', 'c', 'd'];
-    table.note('a', {heardAt: 50, isVoter: true, tableFailed: true});
-    table.note('a', {heardAt: 40, isVoter: true, tableFailed: false});
-    table.note('b', {heardAt: 50, isVoter: false, tableFailed: true});
-    table.note('c', {heardAt: 9, isVoter: true, tableFailed: true});
-    table.note('d', {heardAt: 50, isVoter: true, tableFailed: false});
-    expect(table.countFailed(ids, 60, 50)).toBe(1);
+    table.update('a', {heardAt: 50, isVoter: true, hasFailedRead: true});
+    table.update('a', {heardAt: 40, isVoter: true, hasFailedRead: false});
+    table.update('b', {heardAt: 50, isVoter: false, hasFailedRead: true});
+    table.update('c', {heardAt: 9, isVoter: true, hasFailedRead: true});
+    table.update('d', {heardAt: 50, isVoter: true, hasFailedRead: false});
+    expect(table.countTableFailures(ids, 60, 50)).toBe(1);
     table.merge(btoa('x'), ids, 70);
     table.keepOnly(['d']);
     expect(table.get('a')).toBeUndefined();
   });
 });
 
-describe('the life cycle of an instance', () => {
+describe('the instance life cycle', () => {
   const events: readonly LifecycleEvent[] = [
     'confirmed',
     'unconfirmed',
@@ -140,20 +156,20 @@
     );
   });
 
-  it('drives the standing and never leaves leaving for serving', () => {
+  it('determines the standing and never returns from leaving to serving', () => {
     const clock = new FakeClock();
-    const keeper = new StandingKeeper(clock);
+    const stateMachine = new StandingKeeper(clock);
     const confirmed = {...base, confirmedAt: base.now};
-    const seen = [keeper.standing];
-    keeper.evaluate(confirmed);
-    seen.push(keeper.standing);
-    keeper.evaluate(base);
+    const standings = [stateMachine.standing];
+    stateMachine.evaluate(confirmed);
+    standings.push(stateMachine.standing);
+    stateMachine.evaluate(base);
     clock.advance(3_000);
-    seen.push(keeper.standing);
-    keeper.leave();
-    keeper.evaluate(confirmed);
-    seen.push(keeper.standing);
-    expect(seen).toEqual([
+    standings.push(stateMachine.standing);
+    stateMachine.leave();
+    stateMachine.evaluate(confirmed);
+    standings.push(stateMachine.standing);
+    expect(standings).toEqual([
       {kind: 'starting'},
       {kind: 'serving'},
       {kind: 'cutOff', sinceMilliseconds: 3_000},
@@ -163,63 +179,63 @@
 });
 
 describe('InstanceDirectory', () => {
-  const said = {id: 'a', incarnation: 'a1', ready: true, leaving: false};
+  const record = {id: 'a', incarnation: 'a1', ready: true, leaving: false};
 
   it.each([
     {
-      name: 'ready when it says so',
+      name: 'ready if its record says so',
       state: 'live' as const,
-      record: said,
-      heard: true,
+      record,
+      isRecentlySeen: true,
       ready: true,
     },
     {
-      name: 'not ready when never heard of lately',
+      name: 'not ready if it was not seen recently',
       state: 'live' as const,
-      record: said,
-      heard: false,
+      record,
+      isRecentlySeen: false,
       ready: false,
     },
     {
-      name: 'not ready when the list has it leaving',
+      name: 'not ready if listed as leaving',
       state: 'leaving' as const,
-      record: said,
-      heard: true,
+      record,
+      isRecentlySeen: true,
       ready: false,
     },
     {
-      name: 'not ready when it says that it leaves',
+      name: 'not ready if its record says leaving',
       state: 'live' as const,
-      record: {...said, leaving: true},
-      heard: true,
+      record: {...record, leaving: true},
+      isRecentlySeen: true,
       ready: false,
     },
-  ])('$name', ({state, record, heard, ready}) => {
+  ])('shows an instance as $name', ({state, record, isRecentlySeen, ready}) => {
     const directory = new InstanceDirectory();
     directory.applyList([instanceMember('a', state)]);
-    directory.note(record, 10);
-    expect(directory.views(() => heard)[0]).toMatchObject({
+    directory.updateRecord(record, 10);
+    expect(directory.views(() => isRecentlySeen)[0]).toMatchObject({
       ready,
       incarnation: 'a1',
     });
   });
 
-  it('keeps the newest record and is bounded for unlisted instances', () => {
+  it('keeps the newest record and bounds the records of unlisted instances', () => {
     const directory = new InstanceDirectory();
     directory.applyList([instanceMember('a')]);
-    expect(directory.note(said, 10)).toBe(true);
-    expect(directory.note({...said, ready: false}, 9)).toBe(false);
-    const taken = Array.from({length: 500}, (_, index) =>
-      directory.note({...said, id: `x${index}`}, 10),
+    expect(directory.updateRecord(record, 10)).toBe(true);
+    expect(directory.updateRecord({...record, ready: false}, 9)).toBe(false);
+    const stored = Array.from({length: 500}, (_, index) =>
+      directory.updateRecord({...record, id: `x${index}`}, 10),
     );
-    expect(taken.filter(Boolean).length).toBeLessThan(100);
+    expect(stored.filter(Boolean).length).toBeLessThan(100);
     expect(directory.applyList([instanceMember('a')]).instancesChanged).toBe(
       false,
     );
   });
 });
 
-describe('views', () => {
+describe('view updates', () => {
   const first: SystemView = {
     sequence: 1,
     standing: {kind: 'serving'},
@@ -228,7 +244,7 @@
     upstreams: [],
   };
 
-  it('are sent only as far as they changed', () => {
+  it('contain only the parts that changed', () => {
     const history = new ViewHistory('s', first);
     const all = history.updateSince(undefined);
     expect(Object.keys(all)).toEqual([
@@ -238,7 +254,7 @@
       'instances',
       'upstreams',
     ]);
-    history.note({...first, sequence: 2, instances: []});
+    history.update({...first, sequence: 2, instances: []});
     expect(history.isCurrent(all.position)).toBe(false);
     expect(Object.keys(history.updateSince(all.position))).toEqual([
       'position',
@@ -251,25 +267,26 @@
     );
   });
 
-  it('survive a restart of the control program without going back', () => {
+  it('keep the standing and the configuration over a restart of the control program', () => {
     const merger = new ViewMerger();
     const position = {source: 's', sequence: 1};
-    merger.take({position, ...first}, 0);
-    expect(merger.lost(HOLD_MILLISECONDS)).toBeUndefined();
+    merger.applyUpdate({position, ...first}, 0);
+    expect(merger.lost(STANDING_HOLD_MILLISECONDS)).toBeUndefined();
     const restarted = {
       position,
       standing: {kind: 'starting' as const},
       configuration: emptyConfiguration,
     };
-    const held = merger.take(restarted, 1_000);
-    expect(held.standing.kind).toBe('serving');
-    expect(held.configuration.revision).toBe(5);
-    expect(merger.take(restarted, HOLD_MILLISECONDS + 1).standing.kind).toBe(
-      'starting',
-    );
-    merger.take({position, standing: {kind: 'serving'}}, 20_000);
-    expect(merger.lost(20_001 + HOLD_MILLISECONDS)?.standing.kind).toBe(
-      'cutOff',
-    );
+    const merged = merger.applyUpdate(restarted, 1_000);
+    expect(merged.standing.kind).toBe('serving');
+    expect(merged.configuration.revision).toBe(5);
+    expect(
+      merger.applyUpdate(restarted, STANDING_HOLD_MILLISECONDS + 1).standing
+        .kind,
+    ).toBe('starting');
+    merger.applyUpdate({position, standing: {kind: 'serving'}}, 20_000);
+    expect(
+      merger.lost(20_001 + STANDING_HOLD_MILLISECONDS)?.standing.kind,
+    ).toBe('cutOff');
   });
 });
--- a/src/features/peers/common/localState.ts
+++ b/src/features/peers/common/localState.ts
@@ -3,15 +3,18 @@
 import {
   ConfirmationTracker,
   OUTAGE_EVIDENCE_FACTOR,
-  OutageEvidence,
-  TableEvidence,
+  OutageCounts,
+  HeadObservation,
 } from '../../membership/common/confirmation.js';
 import {
   InstanceDirectory,
   InstanceRecord,
 } from '../../membership/common/instanceDirectory.js';
-import {MemberBook, MemberChange} from '../../membership/common/memberBook.js';
-import {StatusTable} from '../../membership/common/statusTable.js';
+import {
+  MergedMemberList,
+  MemberChange,
+} from '../../membership/common/mergedMemberList.js';
+import {InstanceStatusTable} from '../../membership/common/statusTable.js';
 import {rosterName} from './roster.js';
 
 /** An instance heard of in this time runs, and counts as one that reads the list. */
@@ -19,8 +22,8 @@
 
 /** What this instance knows, shared by everything that talks to the table or to peers. */
 export class LocalState {
-  readonly statuses = new StatusTable();
-  readonly book = new MemberBook();
+  readonly statuses = new InstanceStatusTable();
+  readonly book = new MergedMemberList();
   readonly directory = new InstanceDirectory();
   readonly confirmation = new ConfirmationTracker();
   private readonly startedAt: number;
@@ -106,18 +109,18 @@
     }
     // Not everybody can have been heard of soon after the start.
     const isNew = now - this.startedAt < HEARD_MILLISECONDS;
-    const heard = this.statuses.countHeard(ids, now, HEARD_MILLISECONDS);
+    const heard = this.statuses.countRecent(ids, now, HEARD_MILLISECONDS);
     return Math.max(1, isNew ? ids.length : heard);
   }
 
   /** Whether this instance or one that it reaches heard of an instance lately. */
   isHeardLately(id: string): boolean {
     const now = this.clock.monotonicMilliseconds();
-    return this.statuses.countHeard([id], now, HEARD_MILLISECONDS) > 0;
+    return this.statuses.countRecent([id], now, HEARD_MILLISECONDS) > 0;
   }
 
   /** A read of the head row ended well. */
-  tableRead(evidence: TableEvidence): void {
+  tableRead(evidence: HeadObservation): void {
     this.failedSince = undefined;
     this.noteEvidence(evidence);
   }
@@ -129,32 +132,32 @@
   }
 
   /** Takes a read of the head row by this or another instance. */
-  noteEvidence(evidence: TableEvidence): void {
+  noteEvidence(evidence: HeadObservation): void {
     this.replica.noteRevision(evidence.revision);
-    this.confirmation.note(evidence, this.replica.current.revision);
+    this.confirmation.addObservation(evidence, this.replica.current.revision);
     this.noteSelf();
   }
 
   /** Refreshes this instance's own status and record. */
   noteSelf(): void {
     const heardAt = this.clock.monotonicMilliseconds();
-    this.confirmation.noteApplied(this.replica.current.revision);
-    this.statuses.note(this.id, {
+    this.confirmation.handleRevisionApplied(this.replica.current.revision);
+    this.statuses.update(this.id, {
       heardAt,
       isVoter: this.confirmation.confirmedAt !== undefined,
-      tableFailed: this.failedSince !== undefined,
+      hasFailedRead: this.failedSince !== undefined,
     });
-    this.directory.note(this.own, heardAt);
+    this.directory.updateRecord(this.own, heardAt);
   }
 
   /** How many of the listed instances said lately that they can't reach the table. */
-  outageEvidence(): OutageEvidence {
+  outageEvidence(): OutageCounts {
     const ids = this.directory.ids;
     const limit = this.boundMilliseconds * OUTAGE_EVIDENCE_FACTOR;
     const now = this.clock.monotonicMilliseconds();
     return {
       listed: ids.length,
-      failed: this.statuses.countFailed(ids, now, limit),
+      failed: this.statuses.countTableFailures(ids, now, limit),
     };
   }
 }
--- a/src/features/peers/common/peerExchanger.ts
+++ b/src/features/peers/common/peerExchanger.ts
@@ -244,7 +244,7 @@
     for (const {record, ageMilliseconds} of records) {
       const isOwn = record.id === this.state.id;
       const heardAt = askedAt - ageMilliseconds;
-      if (!isOwn && this.state.directory.note(record, heardAt)) {
+      if (!isOwn && this.state.directory.updateRecord(record, heardAt)) {
         this.responder.noteChange(record.id);
       }
     }
@@ -256,7 +256,7 @@
   ): Promise<void> {
     const isDue = this.exchanges % RECORDS_EVERY === 0;
     this.exchanges++;
-    if (!isDue || !this.state.directory.hasUnknown()) {
+    if (!isDue || !this.state.directory.hasMissingRecords()) {
       return;
     }
     const askedAt = this.state.clock.monotonicMilliseconds();
--- a/src/features/peers/common/peerMessages.ts
+++ b/src/features/peers/common/peerMessages.ts
@@ -3,7 +3,7 @@
   ConfigurationRevision,
 } from '../../configuration/common/configuration.js';
 import {InstanceRecord} from '../../membership/common/instanceDirectory.js';
-import {MemberChange} from '../../membership/common/memberBook.js';
+import {MemberChange} from '../../membership/common/mergedMemberList.js';
 
 /** Messages between control programs. Ages are in milliseconds before the message was made; clocks are never compared. */
 
--- a/src/features/peers/common/peerResponder.ts
+++ b/src/features/peers/common/peerResponder.ts
@@ -81,9 +81,9 @@
   records(): readonly AgedRecord[] {
     this.state.noteSelf();
     const now = this.state.clock.monotonicMilliseconds();
-    return this.state.directory.datedRecords().map(dated => ({
+    return this.state.directory.timestampedRecords().map(dated => ({
       record: dated.record,
-      ageMilliseconds: Math.ceil(now - dated.heardAt),
+      ageMilliseconds: Math.ceil(now - dated.observedAt),
     }));
   }
 
@@ -106,7 +106,7 @@
 
   private noteRecord(record: ExchangeRequest['record']): void {
     const now = this.state.clock.monotonicMilliseconds();
-    if (this.state.directory.note(record, now)) {
+    if (this.state.directory.updateRecord(record, now)) {
       this.noteChange(record.id);
       this.learned.fire();
     }
@@ -123,12 +123,12 @@
 
   private recentRecords(now: number, asker: string): readonly AgedRecord[] {
     const records = this.state.directory
-      .datedRecords()
+      .timestampedRecords()
       .filter(({record}) => this.isRecent(record.id, now))
       .filter(({record}) => record.id !== asker);
     return records.map(dated => ({
       record: dated.record,
-      ageMilliseconds: Math.ceil(now - dated.heardAt),
+      ageMilliseconds: Math.ceil(now - dated.observedAt),
     }));
   }
 
