--- a/src/features/membership/common/listReadPlan.ts
+++ b/src/features/membership/common/listReadPlan.ts
@@ -50,7 +50,7 @@
     );
   }
 
-  /** Whether to read now; `readerCount` counts the instances that read the list and gossip changes, this one included. */
+  /** Whether to read now; `readerCount` counts the instances that read the list and gossip, this one included. */
   isDue(readerCount: number): boolean {
     const now = this.clock.monotonicMilliseconds();
     if (now < this.notBefore) {
--- a/src/features/membership/test/listReading.test.ts
+++ b/src/features/membership/test/listReading.test.ts
@@ -148,7 +148,7 @@
       new SilentLogger(),
       id => seen.includes(id),
     );
-    const first = name.includes('one of four') ? 'abcd' : 'abcdefgh';
+    const first = name.startsWith('removes one of four') ? 'abcd' : 'abcdefgh';
     for (const ids of [first, ...reads]) {
       platform.members = engines(ids);
       await reader.read(neverCancelled);
--- a/src/features/membership/test/membership.test.ts
+++ b/src/features/membership/test/membership.test.ts
@@ -235,7 +235,7 @@
   });
 });
 
-describe('view updates', () => {
+describe('views', () => {
   const first: SystemView = {
     sequence: 1,
     standing: {kind: 'serving'},
--- a/src/features/peers/common/localState.ts
+++ b/src/features/peers/common/localState.ts
@@ -15,12 +15,12 @@
   MemberChange,
 } from '../../membership/common/mergedMemberList.js';
 import {InstanceStatusTable} from '../../membership/common/statusTable.js';
-import {rosterName} from './roster.js';
+import {rosterFingerprint} from './roster.js';
 
-/** An instance heard of in this time runs, and counts as one that reads the list. */
-const HEARD_MILLISECONDS = 60_000;
+/** An instance with a status no older than this is considered running and reading the list. */
+const RECENT_MILLISECONDS = 60_000;
 
-/** What this instance knows, shared by everything that talks to the table or to peers. */
+/** The state of the control program, shared by all components that access the table or peers. */
 export class LocalState {
   readonly statuses = new InstanceStatusTable();
   readonly book = new MergedMemberList();
@@ -28,9 +28,9 @@
   readonly confirmation = new ConfirmationTracker();
   private readonly startedAt: number;
   private own: InstanceRecord;
-  private failedSince: number | undefined;
-  private peerAnsweredAt: number | undefined;
-  private rosterText = rosterName([]);
+  private headReadFailedSince: number | undefined;
+  private peerRespondedAt: number | undefined;
+  private rosterKey = rosterFingerprint([]);
 
   constructor(
     readonly id: string,
@@ -42,14 +42,14 @@
     this.own = {id, incarnation: undefined, ready: false, leaving: false};
   }
 
-  /** What this instance says of itself. */
+  /** The record that this instance publishes about itself. */
   get record(): InstanceRecord {
     return this.own;
   }
 
-  /** The name of the list that `statuses` follows. */
+  /** The fingerprint of the listed instance ids, whose order encoded statuses follow. */
   get roster(): string {
-    return this.rosterText;
+    return this.rosterKey;
   }
 
   /** Whether the platform's list shows this instance. */
@@ -57,100 +57,105 @@
     return this.directory.ids.includes(this.id);
   }
 
-  /** When reads of the table began to fail; undefined while they work. */
+  /** Monotonic milliseconds since which reads of the head row fail; undefined while they succeed. */
   get tableFailedSince(): number | undefined {
-    return this.failedSince;
+    return this.headReadFailedSince;
   }
 
-  /** Changes what this instance says of itself; returns whether it differs. */
+  /** Changes this instance's record; returns whether the record differs. */
   setRecord(change: Partial<InstanceRecord>): boolean {
-    const before = this.own;
-    this.own = {...before, ...change};
+    const previous = this.own;
+    this.own = {...previous, ...change};
     this.noteSelf();
-    return JSON.stringify(before) !== JSON.stringify(this.own);
+    return JSON.stringify(previous) !== JSON.stringify(this.own);
   }
 
-  /** Called after the book of members changed. */
+  /** Must be called after `book` changed; brings the directory and the statuses up to date. */
   membersChanged(): void {
     const change = this.directory.applyList(this.book.members());
     if (!change.instancesChanged) {
       return;
     }
-    this.rosterText = rosterName(this.directory.ids);
+    this.rosterKey = rosterFingerprint(this.directory.ids);
     this.statuses.keepOnly(this.directory.ids);
     this.noteSelf();
   }
 
-  /** Takes what a peer told of members; returns whether the list differs. */
-  takeMemberChanges(
+  /** Applies member changes from the response to a request at `requestedAt`; returns whether the list changed. */
+  applyMemberChanges(
     changes: readonly MemberChange[],
-    askedAt: number,
+    requestedAt: number,
   ): boolean {
     const now = this.clock.monotonicMilliseconds();
-    const changed = this.book.takeChanges(changes, askedAt, now);
+    const changed = this.book.takeChanges(changes, requestedAt, now);
     if (changed) {
       this.membersChanged();
     }
     return changed;
   }
 
-  /** A peer answered a question of this instance. */
-  notePeerAnswer(): void {
-    this.peerAnsweredAt = this.clock.monotonicMilliseconds();
+  /** Records that a peer responded to an exchange. */
+  recordPeerResponse(): void {
+    this.peerRespondedAt = this.clock.monotonicMilliseconds();
   }
 
-  /** Instances that read the list and tell each other, this one included; alone when no peer answered for so long. */
+  /**
+   * Counts the instances that read the list and gossip, this one included; 1 if no peer responded for the given time.
+   */
   sharers(silenceMilliseconds: number): number {
     const now = this.clock.monotonicMilliseconds();
     const {ids} = this.directory;
-    const answeredAt = this.peerAnsweredAt ?? this.startedAt;
-    if (now - answeredAt > silenceMilliseconds) {
+    const respondedAt = this.peerRespondedAt ?? this.startedAt;
+    if (now - respondedAt > silenceMilliseconds) {
       return 1;
     }
-    // Not everybody can have been heard of soon after the start.
-    const isNew = now - this.startedAt < HEARD_MILLISECONDS;
-    const heard = this.statuses.countRecent(ids, now, HEARD_MILLISECONDS);
-    return Math.max(1, isNew ? ids.length : heard);
+    // Soon after the start, statuses of running instances may not have arrived yet.
+    const isNew = now - this.startedAt < RECENT_MILLISECONDS;
+    const recent = this.statuses.countRecent(ids, now, RECENT_MILLISECONDS);
+    return Math.max(1, isNew ? ids.length : recent);
   }
 
-  /** Whether this instance or one that it reaches heard of an instance lately. */
+  /** Whether there is a recent status of an instance, from the instance itself or through peers. */
   isHeardLately(id: string): boolean {
     const now = this.clock.monotonicMilliseconds();
-    return this.statuses.countRecent([id], now, HEARD_MILLISECONDS) > 0;
+    return this.statuses.countRecent([id], now, RECENT_MILLISECONDS) > 0;
   }
 
-  /** A read of the head row ended well. */
-  tableRead(evidence: HeadObservation): void {
-    this.failedSince = undefined;
-    this.noteEvidence(evidence);
+  /** Records a successful read of the head row. */
+  tableRead(observation: HeadObservation): void {
+    this.headReadFailedSince = undefined;
+    this.addHeadObservation(observation);
   }
 
-  /** A read of the head row failed. */
+  /** Records a failed read of the head row. */
   tableFailed(): void {
-    this.failedSince ??= this.clock.monotonicMilliseconds();
+    this.headReadFailedSince ??= this.clock.monotonicMilliseconds();
     this.noteSelf();
   }
 
-  /** Takes a read of the head row by this or another instance. */
-  noteEvidence(evidence: HeadObservation): void {
-    this.replica.noteRevision(evidence.revision);
-    this.confirmation.addObservation(evidence, this.replica.current.revision);
+  /** Adds a read of the head row by this or another instance. */
+  addHeadObservation(observation: HeadObservation): void {
+    this.replica.noteRevision(observation.revision);
+    this.confirmation.addObservation(
+      observation,
+      this.replica.current.revision,
+    );
     this.noteSelf();
   }
 
-  /** Refreshes this instance's own status and record. */
+  /** Updates this instance's own status and record to the present. */
   noteSelf(): void {
     const heardAt = this.clock.monotonicMilliseconds();
     this.confirmation.handleRevisionApplied(this.replica.current.revision);
     this.statuses.update(this.id, {
       heardAt,
       isVoter: this.confirmation.confirmedAt !== undefined,
-      hasFailedRead: this.failedSince !== undefined,
+      hasFailedRead: this.headReadFailedSince !== undefined,
     });
     this.directory.updateRecord(this.own, heardAt);
   }
 
-  /** How many of the listed instances said lately that they can't reach the table. */
+  /** Counts the listed instances that recently reported that they can't reach the table. */
   outageEvidence(): OutageCounts {
     const ids = this.directory.ids;
     const limit = this.boundMilliseconds * OUTAGE_EVIDENCE_FACTOR;
--- a/src/features/peers/common/memberSpreader.ts
+++ b/src/features/peers/common/memberSpreader.ts
@@ -6,27 +6,27 @@
 import {DisposableOwner, toDisposable} from '../../../base/common/lifecycle.js';
 import {LocalState} from './localState.js';
 import {MembersOutcome, PeerExchanger} from './peerExchanger.js';
-import {PeerResponder, ToldMembers} from './peerResponder.js';
+import {PeerResponder, MembersNotice} from './peerResponder.js';
 
-/** After so many exchanges in a row in which lists differed and nothing was learned, the list is read. */
-const DIFFERENCES_LIMIT = 5;
+/** Number of consecutive exchanges with a different peer list but no new changes after which the list is read. */
+const UNRESOLVED_EXCHANGE_LIMIT = 5;
 
-/** Spreads changes of the list of members: asks a peer that tells of one, and tells others what was learned. */
+/** Gossips changes of the member list: exchanges with peers that announce one and announces what was learned. */
 export class MemberSpreader extends DisposableOwner {
   private readonly lifetime = new CancellationSource();
   private readonly learned = this.register(new Emitter<void>());
-  private readonly differed = this.register(new Emitter<void>());
-  private told: ToldMembers | undefined;
-  private asking = false;
-  private announcing = false;
-  private announceAgain = false;
-  private differences = 0;
+  private readonly stayedDifferent = this.register(new Emitter<void>());
+  private pendingNotice: MembersNotice | undefined;
+  private isExchanging = false;
+  private isAnnouncing = false;
+  private announceRequested = false;
+  private unresolvedExchanges = 0;
 
-  /** Fires after a peer changed the list of members. */
+  /** Fires after changes from a peer were applied to the member list. */
   readonly onDidLearn = this.learned.event;
 
-  /** Fires when peers keep differing from here in what they can't tell any more. */
-  readonly onDidStayDifferent = this.differed.event;
+  /** Fires when the lists of peers stay different although they send no new changes. */
+  readonly onDidStayDifferent = this.stayedDifferent.event;
 
   constructor(
     private readonly state: LocalState,
@@ -35,18 +35,20 @@
   ) {
     super();
     this.register(toDisposable(() => this.lifetime.cancel('stopped')));
-    this.register(responder.onDidHearOfMembers(told => this.hear(told)));
+    this.register(
+      responder.onDidReceiveMembersNotice(notice => this.handleNotice(notice)),
+    );
   }
 
-  /** Asks a random peer. */
+  /** Exchanges state with a random peer. */
   async exchange(token: CancellationToken): Promise<void> {
-    this.note(await this.exchanger.exchange(token));
+    this.handleOutcome(await this.exchanger.exchange(token));
   }
 
-  /** Tells some peers that the list changed; while that goes on, once more after it. */
+  /** Notifies some peers of a changed list; during an announcement, schedules another one directly after it. */
   announce(): void {
-    if (this.announcing) {
-      this.announceAgain = true;
+    if (this.isAnnouncing) {
+      this.announceRequested = true;
       return;
     }
     void this.announceAll();
@@ -54,56 +56,58 @@
 
   private async announceAll(): Promise<void> {
     const {token} = this.lifetime;
-    this.announcing = true;
+    this.isAnnouncing = true;
     do {
-      this.announceAgain = false;
+      this.announceRequested = false;
       await this.exchanger.announceMembers(token);
-    } while (this.announceAgain && !token.isCancelled);
-    this.announcing = false;
+    } while (this.announceRequested && !token.isCancelled);
+    this.isAnnouncing = false;
   }
 
-  /** Several peers tell of the same change, so one is asked at a time and the newest is remembered. */
-  private hear(told: ToldMembers): void {
-    this.told = told;
-    if (!this.asking) {
+  /** Several peers announce the same change, so exchanges run one at a time and only the newest notice is kept. */
+  private handleNotice(notice: MembersNotice): void {
+    this.pendingNotice = notice;
+    if (!this.isExchanging) {
       void this.ask();
     }
   }
 
   private async ask(): Promise<void> {
     const {token} = this.lifetime;
-    this.asking = true;
-    for (let told = this.takeTold(); told !== undefined;) {
-      this.note(await this.exchanger.exchange(token, told.id));
-      told = token.isCancelled ? undefined : this.takeTold();
+    this.isExchanging = true;
+    for (let notice = this.takePendingNotice(); notice !== undefined;) {
+      this.handleOutcome(await this.exchanger.exchange(token, notice.id));
+      notice = token.isCancelled ? undefined : this.takePendingNotice();
     }
-    this.asking = false;
+    this.isExchanging = false;
   }
 
-  /** The newest that was told, if it still differs from here. */
-  private takeTold(): ToldMembers | undefined {
-    const {told} = this;
-    this.told = undefined;
-    return told?.members === this.state.book.fingerprint ? undefined : told;
+  /** Removes and returns the pending notice, if its list still differs from this instance's. */
+  private takePendingNotice(): MembersNotice | undefined {
+    const {pendingNotice} = this;
+    this.pendingNotice = undefined;
+    return pendingNotice?.members === this.state.book.fingerprint
+      ? undefined
+      : pendingNotice;
   }
 
-  private note(outcome: MembersOutcome): void {
+  private handleOutcome(outcome: MembersOutcome): void {
     switch (outcome) {
       case 'unanswered':
         return;
       case 'same':
-        this.differences = 0;
+        this.unresolvedExchanges = 0;
         return;
       case 'learned':
-        this.differences = 0;
+        this.unresolvedExchanges = 0;
         this.learned.fire();
         this.announce();
         return;
       case 'different':
-        this.differences++;
-        if (this.differences >= DIFFERENCES_LIMIT) {
-          this.differences = 0;
-          this.differed.fire();
+        this.unresolvedExchanges++;
+        if (this.unresolvedExchanges >= UNRESOLVED_EXCHANGE_LIMIT) {
+          this.unresolvedExchanges = 0;
+          this.stayedDifferent.fire();
         }
     }
   }
--- a/src/features/peers/common/peerConnection.ts
+++ b/src/features/peers/common/peerConnection.ts
@@ -2,38 +2,38 @@
 import {Result} from '../../../base/common/result.js';
 import {
   AgedRecord,
-  ExchangeAnswer,
+  ExchangeResponse,
   ExchangeRequest,
   PeerNotice,
-  PeerNoticeAnswer,
+  PeerNoticeResponse,
   PeerSnapshot,
-  RosterAnswer,
+  RosterResponse,
 } from './peerMessages.js';
 
-/** Why a peer did not answer. */
+/** Why a call to a peer failed. */
 export interface PeerError {
   readonly kind: 'unreachable';
   readonly detail: string;
 }
 
-/** Calls to other control programs by address, as a port. */
+/** The port for calls to other control programs, by address. */
 export abstract class PeerConnection {
   abstract exchange(
     address: string,
     request: ExchangeRequest,
     token: CancellationToken,
-  ): Promise<Result<ExchangeAnswer, PeerError>>;
+  ): Promise<Result<ExchangeResponse, PeerError>>;
 
   abstract notify(
     address: string,
     notice: PeerNotice,
     token: CancellationToken,
-  ): Promise<Result<PeerNoticeAnswer, PeerError>>;
+  ): Promise<Result<PeerNoticeResponse, PeerError>>;
 
   abstract roster(
     address: string,
     token: CancellationToken,
-  ): Promise<Result<RosterAnswer, PeerError>>;
+  ): Promise<Result<RosterResponse, PeerError>>;
 
   abstract records(
     address: string,
--- a/src/features/peers/common/peerExchanger.ts
+++ b/src/features/peers/common/peerExchanger.ts
@@ -5,44 +5,44 @@
 import {ConfigurationRevision} from '../../configuration/common/configuration.js';
 import {LocalState} from './localState.js';
 import {PeerConnection} from './peerConnection.js';
-import {AgedRecord, ExchangeAnswer, PeerNotice} from './peerMessages.js';
+import {AgedRecord, ExchangeResponse, PeerNotice} from './peerMessages.js';
 import {PeerResponder} from './peerResponder.js';
 import {RosterCache} from './roster.js';
 
-const CALL_MILLISECONDS = 1_000;
-/** Notices under way at once. */
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
+/** Maximum number of concurrent notices. */
 const NOTICE_CONCURRENCY = 32;
-/** Larger sets of revisions are announced by number only. */
+/** Revisions with a larger serialized size are announced by number only. */
 const REVISION_NOTICE_CHARACTERS = 4_000;
-/** Peers told of a changed list of members; each that learns from it tells as many. */
-const MEMBERS_FAN_OUT = 4;
-/** Exchanges between two requests for all records. */
-const RECORDS_EVERY = 10;
+/** Number of peers notified of a changed member list; each one that learns of the change notifies as many. */
+const MEMBERS_NOTICE_FAN_OUT = 4;
+/** Number of exchanges from one request for all records to the next. */
+const RECORDS_INTERVAL_EXCHANGES = 10;
 
-/** A whole configuration is large; it is asked for when so many peers in a row had more than they could send. */
-const SNAPSHOT_AFTER = 2;
+/** Consecutive exchanges that need a snapshot before one is requested, since a whole configuration is large. */
+const SNAPSHOT_REQUEST_THRESHOLD = 2;
 
-/** How many instances know of a revision. */
+/** How many instances acknowledged a notice. */
 export interface Handover {
-  /** Listed instances that know it, this one included if it is listed. */
+  /** Instances that know the announced revision, this one included if it is listed. */
   readonly acknowledged: number;
   readonly listed: number;
 }
 
-/** What an exchange showed of the peer's list of members. */
+/** How an exchange affected the member list. */
 export type MembersOutcome =
   | 'unanswered'
   | 'same'
-  /** This instance's list changed. */
+  /** The peer sent changes that were new to this instance. */
   | 'learned'
-  /** The lists differ and the peer told nothing that is news here. */
+  /** The lists differ, but the peer sent nothing new. */
   | 'different';
 
-/** Asks peers for what they know and tells them of changes. */
+/** Exchanges state with peers and notifies them of changes. */
 export class PeerExchanger {
   private readonly rosters = new RosterCache();
-  private exchanges = 0;
-  private lacking = 0;
+  private exchangeCount = 0;
+  private snapshotNeededCount = 0;
 
   constructor(
     private readonly state: LocalState,
@@ -51,18 +51,18 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Asks one peer, a random one unless it is named and listed. */
+  /** Exchanges state with the listed peer `id`, or else with a random one. */
   async exchange(
     token: CancellationToken,
     id?: string,
   ): Promise<MembersOutcome> {
-    const named = this.peers().find(member => member.id === id);
-    const peer = named ?? this.pickPeer();
+    const requestedPeer = this.peers().find(member => member.id === id);
+    const peer = requestedPeer ?? this.pickPeer();
     if (peer === undefined) {
       return 'unanswered';
     }
-    const askedAt = this.state.clock.monotonicMilliseconds();
-    const answer = await this.bounded(token, callToken =>
+    const requestedAt = this.state.clock.monotonicMilliseconds();
+    const response = await this.callWithTimeout(token, callToken =>
       this.connection.exchange(
         peer.controlAddress,
         {
@@ -73,88 +73,99 @@
         callToken,
       ),
     );
-    if (!answer.ok) {
+    if (!response.ok) {
       return 'unanswered';
     }
-    this.state.notePeerAnswer();
-    const outcome = this.takeMembers(answer.value, askedAt);
-    await this.takeRevisions(peer, answer.value, token);
-    this.takeEvidence(answer.value, askedAt);
-    await this.takeStatuses(peer, answer.value, askedAt, token);
-    this.takeRecords(answer.value.records ?? [], askedAt);
-    this.takeRecords(
-      [{record: answer.value.record, ageMilliseconds: 0}],
-      askedAt,
+    this.state.recordPeerResponse();
+    const outcome = this.applyMembers(response.value, requestedAt);
+    await this.applyRevisionsFrom(peer, response.value, token);
+    this.applyObservation(response.value, requestedAt);
+    await this.mergeStatuses(peer, response.value, requestedAt, token);
+    this.applyRecords(response.value.records ?? [], requestedAt);
+    this.applyRecords(
+      [{record: response.value.record, ageMilliseconds: 0}],
+      requestedAt,
     );
     await this.fetchRecords(peer, token);
     this.state.noteSelf();
     return outcome;
   }
 
-  /** Tells some random peers that the list of members changed here. */
+  /** Notifies some random peers that this instance's member list changed. */
   async announceMembers(token: CancellationToken): Promise<void> {
-    const waiting = [...this.peers()];
-    const chosen: InstanceMember[] = [];
-    while (chosen.length < MEMBERS_FAN_OUT && waiting.length > 0) {
-      const index = this.random.nextInteger(waiting.length);
-      chosen.push(...waiting.splice(index, 1));
+    const candidates = [...this.peers()];
+    const targets: InstanceMember[] = [];
+    while (targets.length < MEMBERS_NOTICE_FAN_OUT && candidates.length > 0) {
+      const index = this.random.nextInteger(candidates.length);
+      targets.push(...candidates.splice(index, 1));
     }
     const {record, book, replica} = this.state;
     const revision = replica.knownRevision;
     const notice = {record, revision, members: book.fingerprint};
-    await this.tell(chosen, notice, token);
+    await this.sendNotices(targets, notice, token);
   }
 
-  /** Tells all listed peers of this instance's record and of new revisions. */
+  /** Notifies all listed peers of this instance's record and new revisions. */
   async broadcast(
     revisions: readonly ConfigurationRevision[],
     token: CancellationToken,
   ): Promise<Handover> {
-    const notice = this.makeNotice(revisions);
-    const told = await this.tell(this.peers(), notice, token);
-    const acknowledged = told + (this.state.isListed ? 1 : 0);
+    const notice = this.createNotice(revisions);
+    const acknowledgedByPeers = await this.sendNotices(
+      this.peers(),
+      notice,
+      token,
+    );
+    const acknowledged = acknowledgedByPeers + (this.state.isListed ? 1 : 0);
     return {acknowledged, listed: this.state.directory.ids.length};
   }
 
-  /** Answers how many acknowledged the notice. */
-  private async tell(
+  /** Returns how many peers acknowledged the notice. */
+  private async sendNotices(
     peers: readonly InstanceMember[],
     notice: PeerNotice,
     token: CancellationToken,
   ): Promise<number> {
-    const waiting = [...peers];
+    const remaining = [...peers];
     let acknowledged = 0;
     const worker = async () => {
       for (;;) {
-        const peer = waiting.pop();
+        const peer = remaining.pop();
         if (peer === undefined || token.isCancelled) {
           return;
         }
-        const answer = await this.bounded(token, callToken =>
+        const response = await this.callWithTimeout(token, callToken =>
           this.connection.notify(peer.controlAddress, notice, callToken),
         );
-        if (answer.ok && answer.value.revision >= notice.revision) {
+        if (response.ok && response.value.revision >= notice.revision) {
           acknowledged++;
         }
       }
     };
-    const workers = Math.min(NOTICE_CONCURRENCY, waiting.length);
+    const workers = Math.min(NOTICE_CONCURRENCY, remaining.length);
     await Promise.all(Array.from({length: workers}, worker));
     return acknowledged;
   }
 
-  private takeMembers(answer: ExchangeAnswer, askedAt: number): MembersOutcome {
-    if (answer.members === undefined) {
+  private applyMembers(
+    response: ExchangeResponse,
+    requestedAt: number,
+  ): MembersOutcome {
+    if (response.members === undefined) {
       return 'same';
     }
-    if (this.state.takeMemberChanges(answer.memberChanges ?? [], askedAt)) {
+    if (
+      this.state.applyMemberChanges(response.memberChanges ?? [], requestedAt)
+    ) {
       return 'learned';
     }
-    const isSame = answer.members === this.state.book.fingerprint;
+    const isSame = response.members === this.state.book.fingerprint;
     return isSame ? 'same' : 'different';
   }
 
-  private makeNotice(revisions: readonly ConfigurationRevision[]): PeerNotice {
+  private createNotice(
+    revisions: readonly ConfigurationRevision[],
+  ): PeerNotice {
     const notice = {
       record: this.state.record,
       revision: this.state.replica.knownRevision,
@@ -176,18 +187,19 @@
     return peers[this.random.nextInteger(peers.length)];
   }
 
-  private async takeRevisions(
+  private async applyRevisionsFrom(
     peer: InstanceMember,
-    answer: ExchangeAnswer,
+    response: ExchangeResponse,
     token: CancellationToken,
   ): Promise<void> {
-    this.state.replica.noteRevision(answer.revision);
-    this.state.replica.applyRevisions(answer.revisions ?? []);
-    this.lacking = answer.snapshotNeeded === true ? this.lacking + 1 : 0;
-    if (this.lacking < SNAPSHOT_AFTER) {
+    this.state.replica.noteRevision(response.revision);
+    this.state.replica.applyRevisions(response.revisions ?? []);
+    this.snapshotNeededCount =
+      response.snapshotNeeded === true ? this.snapshotNeededCount + 1 : 0;
+    if (this.snapshotNeededCount < SNAPSHOT_REQUEST_THRESHOLD) {
       return;
     }
-    const snapshot = await this.bounded(token, callToken =>
+    const snapshot = await this.callWithTimeout(token, callToken =>
       this.connection.snapshot(peer.controlAddress, callToken),
     );
     if (snapshot.ok) {
@@ -195,56 +207,62 @@
     }
   }
 
-  /** The peer read the table after `askedAt` less the age that it states, so the date is never too late. */
-  private takeEvidence(answer: ExchangeAnswer, askedAt: number): void {
-    if (answer.evidence !== undefined) {
-      this.state.noteEvidence({
-        revision: answer.evidence.revision,
-        readAt: askedAt - answer.evidence.ageMilliseconds,
+  /** Subtracts the age from the time of the request, so that `readAt` is never later than the actual read. */
+  private applyObservation(
+    response: ExchangeResponse,
+    requestedAt: number,
+  ): void {
+    if (response.evidence !== undefined) {
+      this.state.addHeadObservation({
+        revision: response.evidence.revision,
+        readAt: requestedAt - response.evidence.ageMilliseconds,
       });
     }
   }
 
-  private async takeStatuses(
+  private async mergeStatuses(
     peer: InstanceMember,
-    answer: ExchangeAnswer,
-    askedAt: number,
+    response: ExchangeResponse,
+    requestedAt: number,
     token: CancellationToken,
   ): Promise<void> {
-    const ids = await this.rosterOf(peer, answer.roster, token);
+    const ids = await this.rosterOf(peer, response.roster, token);
     if (ids !== undefined) {
-      this.state.statuses.merge(answer.statuses, ids, askedAt);
+      this.state.statuses.merge(response.statuses, ids, requestedAt);
       this.state.statuses.keepOnly(this.state.directory.ids);
     }
   }
 
   private async rosterOf(
     peer: InstanceMember,
-    name: string,
+    fingerprint: string,
     token: CancellationToken,
   ): Promise<readonly string[] | undefined> {
-    if (name === this.state.roster) {
+    if (fingerprint === this.state.roster) {
       return this.state.directory.ids;
     }
-    const known = this.rosters.get(name);
+    const known = this.rosters.get(fingerprint);
     if (known !== undefined) {
       return known;
     }
-    const answer = await this.bounded(token, callToken =>
+    const response = await this.callWithTimeout(token, callToken =>
       this.connection.roster(peer.controlAddress, callToken),
     );
-    if (!answer.ok) {
+    if (!response.ok) {
       return undefined;
     }
-    this.rosters.add(answer.value.ids);
-    return this.rosters.get(name);
+    this.rosters.add(response.value.ids);
+    return this.rosters.get(fingerprint);
   }
 
-  private takeRecords(records: readonly AgedRecord[], askedAt: number): void {
+  private applyRecords(
+    records: readonly AgedRecord[],
+    requestedAt: number,
+  ): void {
     for (const {record, ageMilliseconds} of records) {
       const isOwn = record.id === this.state.id;
-      const heardAt = askedAt - ageMilliseconds;
-      if (!isOwn && this.state.directory.updateRecord(record, heardAt)) {
+      const observedAt = requestedAt - ageMilliseconds;
+      if (!isOwn && this.state.directory.updateRecord(record, observedAt)) {
         this.responder.noteChange(record.id);
       }
     }
@@ -254,24 +272,29 @@
     peer: InstanceMember,
     token: CancellationToken,
   ): Promise<void> {
-    const isDue = this.exchanges % RECORDS_EVERY === 0;
-    this.exchanges++;
+    const isDue = this.exchangeCount % RECORDS_INTERVAL_EXCHANGES === 0;
+    this.exchangeCount++;
     if (!isDue || !this.state.directory.hasMissingRecords()) {
       return;
     }
-    const askedAt = this.state.clock.monotonicMilliseconds();
-    const records = await this.bounded(token, callToken =>
+    const requestedAt = this.state.clock.monotonicMilliseconds();
+    const records = await this.callWithTimeout(token, callToken =>
       this.connection.records(peer.controlAddress, callToken),
     );
     if (records.ok) {
-      this.takeRecords(records.value, askedAt);
+      this.applyRecords(records.value, requestedAt);
     }
   }
 
-  private bounded<T>(
+  private callWithTimeout<T>(
     token: CancellationToken,
     call: (token: CancellationToken) => Promise<T>,
   ): Promise<T> {
-    return withDeadline(this.state.clock, token, CALL_MILLISECONDS, call);
+    return withDeadline(
+      this.state.clock,
+      token,
+      CALL_TIMEOUT_MILLISECONDS,
+      call,
+    );
   }
 }
--- a/src/features/peers/common/peerMessages.ts
+++ b/src/features/peers/common/peerMessages.ts
@@ -5,38 +5,41 @@
 import {InstanceRecord} from '../../membership/common/instanceDirectory.js';
 import {MemberChange} from '../../membership/common/mergedMemberList.js';
 
-/** Messages between control programs. Ages are in milliseconds before the message was made; clocks are never compared. */
+/**
+ * Messages between control programs. Ages are relative to the creation of the message, because clocks of different
+ * instances are never compared.
+ */
 
-/** Asks a peer for what it knows. */
+/** Requests the state that a peer knows. */
 export interface ExchangeRequest {
-  /** The asking instance's own record. */
+  /** The requester's own record. */
   readonly record: InstanceRecord;
-  /** The revision that it holds. */
+  /** The revision that the requester has applied. */
   readonly revision: number;
-  /** The fingerprint of its list of members. */
+  /** The fingerprint of the requester's member list. */
   readonly members: string;
 }
 
-/** What a peer knows. */
-export interface ExchangeAnswer {
+/** The responder's known state. */
+export interface ExchangeResponse {
   readonly record: InstanceRecord;
-  /** The newest revision that it knows to exist. */
+  /** The newest revision that the responder knows to exist. */
   readonly revision: number;
-  /** The newest read of the head row that it knows of. */
+  /** The newest read of the head row that the responder knows of. */
   readonly evidence: EvidenceMessage | undefined;
-  /** Names the list of instances that `statuses` follows. */
+  /** The fingerprint of the instance ids in the order of `statuses`. */
   readonly roster: string;
-  /** One byte for each listed instance, base64. */
+  /** One byte per listed instance, as base64. */
   readonly statuses: string;
-  /** The fingerprint of its list of members; left out when it is the asker's. */
+  /** The fingerprint of the responder's member list; absent if it equals the requester's. */
   readonly members?: string;
-  /** Members that changed lately; left out when the fingerprints agree. */
+  /** Recent member changes; absent if the fingerprints are equal or there are none. */
   readonly memberChanges?: readonly MemberChange[];
-  /** What follows the asker's revision; left out when there is nothing or too much. */
+  /** The revisions after the requester's; absent if there are none or they are too large. */
   readonly revisions?: readonly ConfigurationRevision[];
-  /** Whether the asker is too far behind for `revisions`. */
+  /** Whether the requester is too far behind for `revisions`. */
   readonly snapshotNeeded?: boolean;
-  /** Records that changed lately. */
+  /** Records that changed recently. */
   readonly records?: readonly AgedRecord[];
 }
 
@@ -46,36 +49,39 @@
   readonly ageMilliseconds: number;
 }
 
-/** A record and how old it is. */
+/** A record and its age. */
 export interface AgedRecord {
   readonly record: InstanceRecord;
   readonly ageMilliseconds: number;
 }
 
-/** Tells a peer of a change at once. */
+/** Notifies a peer of a change immediately. */
 export interface PeerNotice {
   readonly record: InstanceRecord;
   /** The newest revision that the sender knows to exist. */
   readonly revision: number;
-  /** The fingerprint of a list of members that just changed. A receiver whose list differs asks: only answers carry ages. */
+  /**
+   * The fingerprint of a member list that just changed. A receiver with a different list starts an exchange, because
+   * only responses carry ages.
+   */
   readonly members?: string;
-  /** Left out when there is nothing new or it is too large. */
+  /** New revisions; absent if there are none or they are too large. */
   readonly revisions?: readonly ConfigurationRevision[];
 }
 
-/** The answer to a notice. */
-export interface PeerNoticeAnswer {
+/** The response to a notice. */
+export interface PeerNoticeResponse {
   /** The newest revision that the peer now knows to exist. */
   readonly revision: number;
 }
 
-/** The ids of a peer's list, in the order of its statuses. */
-export interface RosterAnswer {
+/** The listed instance ids of a peer, in the order of its statuses. */
+export interface RosterResponse {
   readonly roster: string;
   readonly ids: readonly string[];
 }
 
-/** Everything that a starting instance lacks. */
+/** The whole configuration of a peer, for an instance that is too far behind. */
 export interface PeerSnapshot {
   readonly configuration: Configuration;
 }
--- a/src/features/peers/common/peerResponder.ts
+++ b/src/features/peers/common/peerResponder.ts
@@ -3,50 +3,50 @@
 import {LocalState} from './localState.js';
 import {
   AgedRecord,
-  ExchangeAnswer,
+  ExchangeResponse,
   ExchangeRequest,
   PeerNotice,
-  PeerNoticeAnswer,
+  PeerNoticeResponse,
   PeerSnapshot,
-  RosterAnswer,
+  RosterResponse,
 } from './peerMessages.js';
 
-/** Records younger than this ride on answers, so that they reach instances that the sender could not. */
-const RECORD_CARRY_MILLISECONDS = 20_000;
-const RECORD_CARRY_LIMIT = 8;
-/** Larger sets of revisions are read from the table or as a snapshot. */
-const REVISION_CARRY_CHARACTERS = 16_000;
+/** Changed records are included in responses for this long, to reach instances that the sender could not. */
+const RECORD_SHARING_MILLISECONDS = 20_000;
+const SHARED_RECORD_LIMIT = 8;
+/** Revisions with a larger serialized size are left to the table or a snapshot. */
+const REVISION_RESPONSE_CHARACTERS = 16_000;
 
-/** A peer whose list of members changed, and the fingerprint of the new one. */
-export interface ToldMembers {
+/** A notice of a peer that its member list changed, with the new fingerprint. */
+export interface MembersNotice {
   readonly id: string;
   readonly members: string;
 }
 
-/** Answers peers. Ages in requests are never used: a request may be delayed by any time without notice. */
+/** Responds to peers. Requests carry no ages: the receiver could not tell how long a request was delayed. */
 export class PeerResponder extends DisposableOwner {
   private readonly learned = this.register(new Emitter<void>());
-  private readonly toldMembers = this.register(new Emitter<ToldMembers>());
-  private readonly changes = new Map<string, number>();
+  private readonly membersNoticed = this.register(new Emitter<MembersNotice>());
+  private readonly recordChangedAt = new Map<string, number>();
 
-  /** Fires when a peer told something new. */
+  /** Fires when a request or notice of a peer may have changed the local state. */
   readonly onDidLearn = this.learned.event;
 
-  /** Fires when a peer told that its list of members changed. */
-  readonly onDidHearOfMembers = this.toldMembers.event;
+  /** Fires when a peer announces that its member list changed. */
+  readonly onDidReceiveMembersNotice = this.membersNoticed.event;
 
   constructor(private readonly state: LocalState) {
     super();
   }
 
-  exchange(request: ExchangeRequest): ExchangeAnswer {
+  exchange(request: ExchangeRequest): ExchangeResponse {
     this.state.replica.noteRevision(request.revision);
-    this.noteRecord(request.record);
+    this.applyRecord(request.record);
     this.state.noteSelf();
     const evidence = this.state.confirmation.evidence;
     const now = this.state.clock.monotonicMilliseconds();
     const records = this.recentRecords(now, request.record.id);
-    const isAskersList = request.members === this.state.book.fingerprint;
+    const hasSameMembers = request.members === this.state.book.fingerprint;
     return {
       record: this.state.record,
       revision: this.state.replica.knownRevision,
@@ -56,34 +56,34 @@
       },
       roster: this.state.roster,
       statuses: this.state.statuses.encode(this.state.directory.ids, now),
-      ...(isAskersList ? {} : this.members(now)),
+      ...(hasSameMembers ? {} : this.members(now)),
       ...this.missing(request.revision),
       ...(records.length > 0 ? {records} : {}),
     };
   }
 
-  notice(notice: PeerNotice): PeerNoticeAnswer {
-    this.noteRecord(notice.record);
+  notice(notice: PeerNotice): PeerNoticeResponse {
+    this.applyRecord(notice.record);
     this.state.replica.noteRevision(notice.revision);
     this.state.replica.applyRevisions(notice.revisions ?? []);
     this.state.noteSelf();
     this.learned.fire();
     if (notice.members !== undefined) {
-      this.toldMembers.fire({id: notice.record.id, members: notice.members});
+      this.membersNoticed.fire({id: notice.record.id, members: notice.members});
     }
     return {revision: this.state.replica.knownRevision};
   }
 
-  roster(): RosterAnswer {
+  roster(): RosterResponse {
     return {roster: this.state.roster, ids: this.state.directory.ids};
   }
 
   records(): readonly AgedRecord[] {
     this.state.noteSelf();
     const now = this.state.clock.monotonicMilliseconds();
-    return this.state.directory.timestampedRecords().map(dated => ({
-      record: dated.record,
-      ageMilliseconds: Math.ceil(now - dated.observedAt),
+    return this.state.directory.timestampedRecords().map(entry => ({
+      record: entry.record,
+      ageMilliseconds: Math.ceil(now - entry.observedAt),
     }));
   }
 
@@ -91,20 +91,20 @@
     return {configuration: this.state.replica.current};
   }
 
-  /** Remembers that a record changed, so that it rides on answers for a while. */
+  /** Marks a record as changed, so that responses include it for a while. */
   noteChange(id: string): void {
     const now = this.state.clock.monotonicMilliseconds();
-    this.changes.delete(id);
-    this.changes.set(id, now);
-    for (const [changed, at] of this.changes) {
-      const isOld = now - at > RECORD_CARRY_MILLISECONDS;
-      if (isOld || this.changes.size > RECORD_CARRY_LIMIT) {
-        this.changes.delete(changed);
+    this.recordChangedAt.delete(id);
+    this.recordChangedAt.set(id, now);
+    for (const [changedId, changedAt] of this.recordChangedAt) {
+      const isOld = now - changedAt > RECORD_SHARING_MILLISECONDS;
+      if (isOld || this.recordChangedAt.size > SHARED_RECORD_LIMIT) {
+        this.recordChangedAt.delete(changedId);
       }
     }
   }
 
-  private noteRecord(record: ExchangeRequest['record']): void {
+  private applyRecord(record: ExchangeRequest['record']): void {
     const now = this.state.clock.monotonicMilliseconds();
     if (this.state.directory.updateRecord(record, now)) {
       this.noteChange(record.id);
@@ -114,39 +114,44 @@
 
   private members(
     now: number,
-  ): Pick<ExchangeAnswer, 'members' | 'memberChanges'> {
+  ): Pick<ExchangeResponse, 'members' | 'memberChanges'> {
     const {book} = this.state;
     const memberChanges = book.recentChanges(now);
     const members = book.fingerprint;
     return memberChanges.length > 0 ? {members, memberChanges} : {members};
   }
 
-  private recentRecords(now: number, asker: string): readonly AgedRecord[] {
+  private recentRecords(
+    now: number,
+    requesterId: string,
+  ): readonly AgedRecord[] {
     const records = this.state.directory
       .timestampedRecords()
-      .filter(({record}) => this.isRecent(record.id, now))
-      .filter(({record}) => record.id !== asker);
-    return records.map(dated => ({
-      record: dated.record,
-      ageMilliseconds: Math.ceil(now - dated.observedAt),
+      .filter(({record}) => this.hasChangedRecently(record.id, now))
+      .filter(({record}) => record.id !== requesterId);
+    return records.map(entry => ({
+      record: entry.record,
+      ageMilliseconds: Math.ceil(now - entry.observedAt),
     }));
   }
 
-  private isRecent(id: string, now: number): boolean {
-    const at = this.changes.get(id);
-    return at !== undefined && now - at <= RECORD_CARRY_MILLISECONDS;
+  private hasChangedRecently(id: string, now: number): boolean {
+    const changedAt = this.recordChangedAt.get(id);
+    return (
+      changedAt !== undefined && now - changedAt <= RECORD_SHARING_MILLISECONDS
+    );
   }
 
   private missing(
     revision: number,
-  ): Pick<ExchangeAnswer, 'revisions' | 'snapshotNeeded'> {
+  ): Pick<ExchangeResponse, 'revisions' | 'snapshotNeeded'> {
     const revisions = this.state.replica.revisionsAfter(revision);
     if (revisions?.length === 0) {
       return {};
     }
     const fits =
       revisions !== undefined &&
-      JSON.stringify(revisions).length <= REVISION_CARRY_CHARACTERS;
+      JSON.stringify(revisions).length <= REVISION_RESPONSE_CHARACTERS;
     return fits ? {revisions} : {snapshotNeeded: true};
   }
 }
--- a/src/features/peers/common/roster.ts
+++ b/src/features/peers/common/roster.ts
@@ -2,25 +2,25 @@
 
 const CACHE_LIMIT = 8;
 
-/** Names a list of instance ids by its length and a 32-bit FNV-1a hash. */
-export function rosterName(ids: readonly string[]): string {
+/** Identifies a list of instance ids by its length and a 32-bit FNV-1a hash. */
+export function rosterFingerprint(ids: readonly string[]): string {
   const hash = textHash(ids.join('\n'));
   return `${ids.length}-${hash.toString(16)}`;
 }
 
-/** The lists of ids that peers follow, the oldest forgotten first. */
+/** Caches the id lists of peers by fingerprint; evicts the oldest first. */
 export class RosterCache {
   private readonly rosters = new Map<string, readonly string[]>();
 
-  get(name: string): readonly string[] | undefined {
-    return this.rosters.get(name);
+  get(fingerprint: string): readonly string[] | undefined {
+    return this.rosters.get(fingerprint);
   }
 
-  /** Keeps a list under its own name. */
+  /** Adds a list under its fingerprint. */
   add(ids: readonly string[]): void {
-    const name = rosterName(ids);
-    this.rosters.delete(name);
-    this.rosters.set(name, ids);
+    const fingerprint = rosterFingerprint(ids);
+    this.rosters.delete(fingerprint);
+    this.rosters.set(fingerprint, ids);
     const oldest = this.rosters.keys().next().value;
     if (this.rosters.size > CACHE_LIMIT && oldest !== undefined) {
       this.rosters.delete(oldest);
--- a/src/features/peers/node/peerRouter.ts
+++ b/src/features/peers/node/peerRouter.ts
@@ -7,19 +7,19 @@
 import {ConfigurationRevision} from '../../configuration/common/configuration.js';
 import {
   AgedRecord,
-  ExchangeAnswer,
+  ExchangeResponse,
   ExchangeRequest,
   PeerNotice,
-  PeerNoticeAnswer,
+  PeerNoticeResponse,
   PeerSnapshot,
-  RosterAnswer,
+  RosterResponse,
 } from '../common/peerMessages.js';
 import {PeerResponder} from '../common/peerResponder.js';
 
-const TEXT_LIMIT = 256;
+const TEXT_LENGTH_LIMIT = 256;
 const REVISION_LIMIT = 100;
 
-const text = zod.string().max(TEXT_LIMIT);
+const text = zod.string().max(TEXT_LENGTH_LIMIT);
 const revisionNumber = zod.int().min(0);
 
 const recordSchema = zod.object({
@@ -50,21 +50,21 @@
   revisions: zod.array(revisionSchema).max(REVISION_LIMIT).optional(),
 });
 
-/** The calls that control programs make to each other. */
+/** Creates the procedures that control programs call on each other. */
 export function createPeerRouter(responder: PeerResponder) {
   return createRpcRouter({
     peer: createRpcRouter({
       exchange: peerProcedure
         .input(exchangeSchema)
-        .mutation(({input}): ExchangeAnswer =>
+        .mutation(({input}): ExchangeResponse =>
           responder.exchange(toRequest(input)),
         ),
       notice: peerProcedure
         .input(noticeSchema)
-        .mutation(({input}): PeerNoticeAnswer =>
+        .mutation(({input}): PeerNoticeResponse =>
           responder.notice(toNotice(input)),
         ),
-      roster: peerProcedure.query((): RosterAnswer => responder.roster()),
+      roster: peerProcedure.query((): RosterResponse => responder.roster()),
       records: peerProcedure.query((): readonly AgedRecord[] =>
         responder.records(),
       ),
@@ -73,7 +73,7 @@
   });
 }
 
-/** The type of the router, for clients. */
+/** The router type, from which clients derive their calls. */
 export type PeerRouter = ReturnType<typeof createPeerRouter>;
 
 function toRequest(input: zod.infer<typeof exchangeSchema>): ExchangeRequest {
@@ -87,7 +87,7 @@
     revision,
     ...(members === undefined ? {} : {members}),
   };
-  // Peers are authenticated and hold only operations that a proposer validated.
+  // Peers are authenticated, and proposers validated all committed operations.
   const revisions = input.revisions as unknown as
     readonly ConfigurationRevision[] | undefined;
   return revisions === undefined ? notice : {...notice, revisions};
--- a/src/features/peers/node/rpcPeerConnection.ts
+++ b/src/features/peers/node/rpcPeerConnection.ts
@@ -5,16 +5,16 @@
 import {PeerConnection, PeerError} from '../common/peerConnection.js';
 import {
   AgedRecord,
-  ExchangeAnswer,
+  ExchangeResponse,
   ExchangeRequest,
   PeerNotice,
-  PeerNoticeAnswer,
+  PeerNoticeResponse,
   PeerSnapshot,
-  RosterAnswer,
+  RosterResponse,
 } from '../common/peerMessages.js';
 import {PeerRouter} from './peerRouter.js';
 
-/** Clients kept; the one unused for longest is forgotten first. */
+/** Maximum number of cached clients; the least recently used is evicted first. */
 const CLIENT_LIMIT = 512;
 
 type PeerClient = ReturnType<
@@ -22,7 +22,7 @@
 >;
 type PeerCalls = PeerClient['peer'];
 
-/** Calls peers over tRPC; keeps a bounded number of clients over one set of connections. */
+/** Calls peers over tRPC. A bounded cache of clients shares one set of connections. */
 export class RpcPeerConnection extends PeerConnection implements Disposable {
   private readonly clients = new Map<string, PeerClient>();
   private readonly connections: RpcConnections;
@@ -36,7 +36,7 @@
     address: string,
     request: ExchangeRequest,
     token: CancellationToken,
-  ): Promise<Result<ExchangeAnswer, PeerError>> {
+  ): Promise<Result<ExchangeResponse, PeerError>> {
     return this.call(address, peer =>
       peer.exchange.mutate(request, {signal: token.signal}),
     );
@@ -46,8 +46,8 @@
     address: string,
     notice: PeerNotice,
     token: CancellationToken,
-  ): Promise<Result<PeerNoticeAnswer, PeerError>> {
-    // The router reads operations loosely; their shape was checked when they were proposed.
+  ): Promise<Result<PeerNoticeResponse, PeerError>> {
+    // The router's schema of operations is loose; they were validated when proposed.
     const message = notice as unknown as Parameters<
       PeerCalls['notice']['mutate']
     >[0];
@@ -59,7 +59,7 @@
   override roster(
     address: string,
     token: CancellationToken,
-  ): Promise<Result<RosterAnswer, PeerError>> {
+  ): Promise<Result<RosterResponse, PeerError>> {
     return this.call(address, peer =>
       peer.roster.query(undefined, {signal: token.signal}),
     );
@@ -93,8 +93,8 @@
     send: (peer: PeerCalls) => Promise<unknown>,
   ): Promise<Result<T, PeerError>> {
     try {
-      const answer = await send(this.client(address).peer);
-      return success(answer as T);
+      const response = await send(this.client(address).peer);
+      return success(response as T);
     } catch (error) {
       const detail = error instanceof Error ? error.message : String(error);
       return failure({kind: 'unreachable', detail});
--- a/src/features/peers/test/peerCalls.test.ts
+++ b/src/features/peers/test/peerCalls.test.ts
@@ -71,7 +71,7 @@
 });
 
 describe('calls between control programs', () => {
-  it('carry revisions and records', async () => {
+  it('transfer revisions and records', async () => {
     const connection = new RpcPeerConnection(KEY);
     const revision = {
       revision: 1,
@@ -80,14 +80,20 @@
       nonce: 'n',
       committedAtWallMilliseconds: 0,
     };
-    const told = await connection.notify(
+    const noticeResponse = await connection.notify(
       address,
       {record, revision: 1, revisions: [revision]},
       neverCancelled,
     );
-    expect(told).toEqual({ok: true, value: {revision: 1}});
-    const answer = await connection.exchange(address, request, neverCancelled);
-    expect(answer).toMatchObject({value: {revision: 1, revisions: [revision]}});
+    expect(noticeResponse).toEqual({ok: true, value: {revision: 1}});
+    const response = await connection.exchange(
+      address,
+      request,
+      neverCancelled,
+    );
+    expect(response).toMatchObject({
+      value: {revision: 1, revisions: [revision]},
+    });
     const snapshot = await connection.snapshot(address, neverCancelled);
     expect(snapshot).toMatchObject({value: {configuration: {revision: 1}}});
     connection.dispose();
@@ -102,12 +108,16 @@
     },
   ])('are refused with $name', async ({key, request}) => {
     const connection = new RpcPeerConnection(key);
-    const answer = await connection.exchange(address, request, neverCancelled);
-    expect(answer.ok).toBe(false);
+    const response = await connection.exchange(
+      address,
+      request,
+      neverCancelled,
+    );
+    expect(response.ok).toBe(false);
     connection.dispose();
   });
 
-  it('hand views to the entry program as they change, and its announcement back', async () => {
+  it('send changed views to the entry program and its announcement to the control program', async () => {
     const announcement = {incarnation: 'e1', leaving: false};
     const source = new ControlViewSource(
       address,
