--- a/src/features/configuration/common/callDeadline.ts
+++ b/src/features/configuration/common/callDeadline.ts
@@ -4,7 +4,7 @@
 } from '../../../base/common/cancellation.js';
 import {Clock} from '../../../base/common/clock.js';
 
-/** Runs a call with a token that is cancelled after a time; `parent` may be undefined for calls that must go on. */
+/** Runs a call with a token that is cancelled after a timeout. Without a parent, the call outlives its caller. */
 export async function withDeadline<T>(
   clock: Clock,
   parent: CancellationToken | undefined,
--- a/src/features/configuration/common/configuration.ts
+++ b/src/features/configuration/common/configuration.ts
@@ -1,31 +1,31 @@
 import {Finding} from '../../../base/common/finding.js';
 import {Result} from '../../../base/common/result.js';
 
-/** The configuration that operators state: targets per class, accounts, models and services. No weights, no addresses. */
+/** The configuration that operators define: class targets, accounts, models and services; no weights or addresses. */
 
-/** A class of work and its targets. */
+/** A class of requests with common targets. */
 export interface ClassOfWork {
   readonly name: string;
-  /** Time to the first token (or to the whole answer of a plain service), for 95 in 100. */
+  /** Target for the 95th percentile of the time to the first token, or to the whole response of a plain service. */
   readonly firstTokenMilliseconds: number;
-  /** Mean time between tokens, for 95 in 100. */
+  /** Target for the 95th percentile of a request's mean time between tokens. */
   readonly betweenTokensMilliseconds: number;
-  /** Time to the whole reply; work that can't meet it is refused. */
+  /** Maximum time to the whole response; requests that can't meet it are refused. */
   readonly deadlineMilliseconds: number;
-  /** Throughput wanted, used by placement and to divide capacity between classes. */
+  /** Target throughput, used by placement and to divide capacity between classes. */
   readonly requestsPerSecond: number;
-  /** Whether work of this class may be run again (idempotent). */
+  /** Whether requests of this class are idempotent and may be executed again. */
   readonly repeatable: boolean;
 }
 
-/** A client account; its bearer key is kept as a SHA-256 hash. */
+/** A client account; only the SHA-256 hash of its bearer key is stored. */
 export interface ClientAccount {
   readonly name: string;
   /** Hex SHA-256 of the bearer key. */
   readonly keyHash: string;
 }
 
-/** A model in use. */
+/** A model that the system serves. */
 export interface Model {
   readonly name: string;
   readonly version: string;
@@ -36,19 +36,19 @@
 /** One kind of call to a plain service. */
 export interface ServiceCall {
   readonly method: string;
-  /** The call matches paths that start with this. */
+  /** Matches paths that start with this prefix. */
   readonly pathPrefix: string;
-  /** Whether the call may be run again (idempotent). */
+  /** Whether the call is idempotent and may be executed again. */
   readonly repeatable: boolean;
 }
 
-/** A plain service; calls that match nothing count as not repeatable. */
+/** A plain service; calls that match no entry are treated as not repeatable. */
 export interface PlainService {
   readonly name: string;
   readonly calls: readonly ServiceCall[];
 }
 
-/** One accepted revision of the whole configuration; keyed by name, read-only. */
+/** The whole configuration at an accepted revision, with entries by name. */
 export interface Configuration {
   readonly revision: number;
   readonly classes: Readonly<Record<string, ClassOfWork>>;
@@ -66,7 +66,7 @@
   services: {},
 };
 
-/** One change to the configuration; a revision carries a list of them, applied together. */
+/** A change to one entry of the configuration; the operations of a revision are applied atomically. */
 export type ConfigurationOperation =
   | {readonly kind: 'setClass'; readonly value: ClassOfWork}
   | {readonly kind: 'removeClass'; readonly name: string}
@@ -77,12 +77,12 @@
   | {readonly kind: 'setService'; readonly value: PlainService}
   | {readonly kind: 'removeService'; readonly name: string};
 
-/** A committed change: its number, what it does, and who proposed it. */
+/** A committed change of the configuration. */
 export interface ConfigurationRevision {
   readonly revision: number;
   readonly operations: readonly ConfigurationOperation[];
   readonly operator: string;
-  /** Identifies the proposal, so that a lost answer can be resolved by reading back. */
+  /** Identifies the proposal, so that the outcome of a commit without response can be read back. */
   readonly nonce: string;
   readonly committedAtWallMilliseconds: number;
 }
@@ -95,10 +95,10 @@
       readonly winningRevision: number;
       readonly operator: string;
     }
-  /** The table refused or can't be reached: the change is not accepted. */
+  /** The table refused the change or is unreachable; the change is not accepted. */
   | {readonly kind: 'unavailable'; readonly detail: string}
-  /** The table could not be read back in time: the change may or may not have been accepted. */
+  /** The outcome could not be read back from the table in time; the change may or may not have been accepted. */
   | {readonly kind: 'outcomeUnknown'; readonly nonce: string};
 
-/** What a proposal came to. */
+/** The committed revision, or why the proposal was not accepted. */
 export type ProposalResult = Result<ConfigurationRevision, ProposalError>;
--- a/src/features/configuration/common/configurationProposer.ts
+++ b/src/features/configuration/common/configurationProposer.ts
@@ -15,25 +15,25 @@
 import {
   ConfigurationHead,
   ConfigurationStore,
-  SNAPSHOT_EVERY,
+  SNAPSHOT_INTERVAL_REVISIONS,
 } from './configurationStore.js';
 import {Proposal} from './operationSchemas.js';
 
-const CALL_MILLISECONDS = 2_000;
+const CALL_TIMEOUT_MILLISECONDS = 2_000;
 const RESOLVE_ATTEMPTS = 5;
-const RESOLVE_PAUSE_MILLISECONDS = 200;
+const RESOLVE_DELAY_MILLISECONDS = 200;
 
-/** Makes a nonce that no other proposal has. */
+/** Generates a unique nonce for a proposal. */
 export type NonceSource = () => string;
 
-/** Commits proposals by compare-and-set on the head row and finds out what became of them. */
+/** Commits proposals by compare-and-set on the head row and resolves uncertain outcomes. */
 export class ConfigurationProposer {
   constructor(
     private readonly store: ConfigurationStore,
     private readonly reader: ConfigurationReader,
     private readonly replica: ConfigurationReplica,
     private readonly clock: Clock,
-    private readonly nonce: NonceSource,
+    private readonly generateNonce: NonceSource,
     private readonly logger: Logger,
   ) {}
 
@@ -42,14 +42,14 @@
     operator: string,
     token: CancellationToken,
   ): Promise<ProposalResult> {
-    const reading = await this.reader.readHead(token);
-    if (!reading.ok) {
-      return failure(notAccepted(reading.error));
+    const headRead = await this.reader.readHead(token);
+    if (!headRead.ok) {
+      return failure(toUnavailable(headRead.error));
     }
-    const head = reading.value.head;
+    const head = headRead.value.head;
     const expected = proposal.expectedRevision;
     if (expected !== undefined && expected !== head.revision) {
-      return this.conflictAt(head.revision, token);
+      return this.readConflict(head.revision, token);
     }
     if (this.replica.current.revision !== head.revision) {
       return failure({
@@ -77,40 +77,40 @@
       revision: head.revision + 1,
       operations: proposal.operations,
       operator,
-      nonce: this.nonce(),
+      nonce: this.generateNonce(),
       committedAtWallMilliseconds: this.clock.wallMilliseconds(),
     };
     const outcome = await this.call(token, call =>
       this.store.commit(head, revision, call),
     );
     if (!outcome.ok && outcome.error.kind !== 'outcomeUnknown') {
-      return failure(notAccepted(outcome.error));
+      return failure(toUnavailable(outcome.error));
     }
     if (outcome.ok && outcome.value.kind === 'committed') {
-      return this.accept(revision);
+      return this.applyAccepted(revision);
     }
-    return this.resolve(head, revision);
+    return this.resolveOutcome(head, revision);
   }
 
   /**
-   * Finds out who won the revision number. While the row is absent, the lost write may still be
-   * under way; rewriting the head row makes its condition fail for good.
+   * Resolves the outcome of an uncertain commit by reading the revision row back. While the row is absent, the write
+   * may still be in flight; rewriting the head row then makes its condition fail permanently.
    */
-  private async resolve(
+  private async resolveOutcome(
     head: ConfigurationHead,
     revision: ConfigurationRevision,
   ): Promise<ProposalResult> {
     for (let attempt = 0; attempt < RESOLVE_ATTEMPTS; attempt++) {
       if (attempt > 0) {
-        await this.pause(RESOLVE_PAUSE_MILLISECONDS * attempt);
+        await this.pause(RESOLVE_DELAY_MILLISECONDS * attempt);
       }
       const row = await this.call(undefined, call =>
         this.store.readRevision(revision.revision, call),
       );
       if (row.ok && row.value !== undefined) {
-        return this.decide(revision, row.value);
+        return this.compareWithStored(revision, row.value);
       }
-      if (row.ok && (await this.fence(head, revision))) {
+      if (row.ok && (await this.fenceHead(head, revision))) {
         return failure({
           kind: 'unavailable',
           detail:
@@ -121,12 +121,12 @@
     return failure({kind: 'outcomeUnknown', nonce: revision.nonce});
   }
 
-  private decide(
-    ours: ConfigurationRevision,
+  private compareWithStored(
+    proposed: ConfigurationRevision,
     stored: ConfigurationRevision,
   ): ProposalResult {
-    if (stored.nonce === ours.nonce) {
-      return this.accept(stored);
+    if (stored.nonce === proposed.nonce) {
+      return this.applyAccepted(stored);
     }
     return failure({
       kind: 'conflict',
@@ -135,15 +135,15 @@
     });
   }
 
-  private async fence(
-    before: ConfigurationHead,
+  private async fenceHead(
+    previous: ConfigurationHead,
     revision: ConfigurationRevision,
   ): Promise<boolean> {
     const head = await this.call(undefined, call => this.store.readHead(call));
     if (!head.ok || head.value.revision >= revision.revision) {
       return false;
     }
-    if (head.value.rowVersion !== before.rowVersion) {
+    if (head.value.rowVersion !== previous.rowVersion) {
       return true;
     }
     const fenced = await this.call(undefined, call =>
@@ -152,7 +152,7 @@
     return fenced.ok && fenced.value.kind === 'committed';
   }
 
-  private accept(revision: ConfigurationRevision): ProposalResult {
+  private applyAccepted(revision: ConfigurationRevision): ProposalResult {
     this.replica.applyRevisions([revision]);
     this.logger.decision('configurationAccepted', {
       revision: revision.revision,
@@ -162,13 +162,13 @@
     return success(revision);
   }
 
-  private async conflictAt(
+  private async readConflict(
     revision: number,
     token: CancellationToken,
   ): Promise<ProposalResult> {
     const row = await this.store.readRevision(revision, token);
     if (!row.ok) {
-      return failure(notAccepted(row.error));
+      return failure(toUnavailable(row.error));
     }
     return failure({
       kind: 'conflict',
@@ -177,25 +177,28 @@
     });
   }
 
-  /** Writes a snapshot when the revision calls for one. */
+  /** Writes a snapshot if one is due at this revision; returns whether it was written. */
   async snapshotIfDue(
     revision: number,
     token: CancellationToken,
   ): Promise<Result<boolean, StorageError>> {
     const current = this.replica.current;
-    if (revision % SNAPSHOT_EVERY !== 0 || current.revision < revision) {
+    if (
+      revision % SNAPSHOT_INTERVAL_REVISIONS !== 0 ||
+      current.revision < revision
+    ) {
       return success(false);
     }
     const written = await this.store.writeSnapshot(current, token);
     return written.ok ? success(true) : written;
   }
 
-  /** Bounds a call; what settles a commit goes on when the operator is gone. */
+  /** Limits the duration of a call. Calls that resolve an outcome have no parent, so that they outlive the request. */
   private call<T>(
     parent: CancellationToken | undefined,
     call: (token: CancellationToken) => Promise<T>,
   ): Promise<T> {
-    return withDeadline(this.clock, parent, CALL_MILLISECONDS, call);
+    return withDeadline(this.clock, parent, CALL_TIMEOUT_MILLISECONDS, call);
   }
 
   private pause(milliseconds: number): Promise<void> {
@@ -205,7 +208,7 @@
   }
 }
 
-function notAccepted(error: StorageError): ProposalError {
+function toUnavailable(error: StorageError): ProposalError {
   const detail =
     error.kind === 'rateLimited'
       ? `the table is rate-limited; come back in ${error.retryAfterMilliseconds} ms`
--- a/src/features/configuration/common/configurationReader.ts
+++ b/src/features/configuration/common/configurationReader.ts
@@ -5,17 +5,17 @@
 import {ConfigurationReplica} from './configurationReplica.js';
 import {ConfigurationHead, ConfigurationStore} from './configurationStore.js';
 
-/** Pages of 100 rows read in one go at most; the next read goes on from there. */
+/** Maximum number of pages of 100 rows per read; the next read continues from there. */
 const PAGE_LIMIT = 20;
 
-/** A read of the head row that ended well. */
-export interface HeadReading {
+/** A successful read of the head row. */
+export interface HeadReadResult {
   readonly head: ConfigurationHead;
-  /** Monotonic milliseconds before the read was sent: the head was at most this revision then. */
+  /** Monotonic milliseconds before the read was sent, when the head was at most this revision. */
   readonly startedAt: number;
 }
 
-/** Brings the replica up to the table's head. */
+/** Catches the replica up with the head in the table. */
 export class ConfigurationReader {
   constructor(
     private readonly store: ConfigurationStore,
@@ -24,18 +24,18 @@
   ) {}
 
   /**
-   * Reads the head row and, where it is newer, what is missing. Succeeds once the head was read:
-   * what can't be fetched now stays missing, and the replica says so.
+   * Reads the head row and then the revisions that the replica lacks. Succeeds if the head row was read, even if
+   * revisions could not be fetched; the replica then knows of a newer revision than its current one.
    */
   async readHead(
     token: CancellationToken,
-  ): Promise<Result<HeadReading, StorageError>> {
+  ): Promise<Result<HeadReadResult, StorageError>> {
     const startedAt = this.clock.monotonicMilliseconds();
     const head = await this.store.readHead(token);
     if (!head.ok) {
       return head;
     }
-    this.replica.noteRevision(head.value.revision);
+    this.replica.observeRevision(head.value.revision);
     await this.catchUp(head.value, token);
     return success({head: head.value, startedAt});
   }
@@ -44,13 +44,16 @@
     head: ConfigurationHead,
     token: CancellationToken,
   ): Promise<void> {
-    const behind = head.revision - this.replica.current.revision;
-    const trimmed = this.replica.current.revision + 1 < head.firstRevision;
-    if (behind > 0 && (trimmed || this.replica.current.revision === 0)) {
+    const missingCount = head.revision - this.replica.current.revision;
+    const isTrimmed = this.replica.current.revision + 1 < head.firstRevision;
+    if (
+      missingCount > 0 &&
+      (isTrimmed || this.replica.current.revision === 0)
+    ) {
       const snapshot = await this.store.readSnapshot(token);
       if (snapshot.ok) {
         this.replica.applySnapshot(snapshot.value);
-      } else if (trimmed) {
+      } else if (isTrimmed) {
         return;
       }
     }
--- a/src/features/configuration/common/configurationReplica.ts
+++ b/src/features/configuration/common/configurationReplica.ts
@@ -7,47 +7,47 @@
 } from './configuration.js';
 import {applyRevision} from './configurationRules.js';
 
-/** Revisions kept for peers that miss some. */
-const RECENT_LIMIT = 64;
+/** Number of recent revisions kept for peers that lack them. */
+const RECENT_REVISION_LIMIT = 64;
 
-/** This instance's copy of the configuration: goes through the revisions strictly in order, never back. */
+/** This instance's copy of the configuration. Its revision never decreases, and revisions are applied without gaps. */
 export class ConfigurationReplica extends DisposableOwner {
   private readonly changed = this.register(new Emitter<Configuration>());
   private configuration = emptyConfiguration;
-  private recent: readonly ConfigurationRevision[] = [];
+  private recentRevisions: readonly ConfigurationRevision[] = [];
   private known = 0;
 
-  /** Fires after each newer configuration. */
+  /** Fires after each change, with the new configuration. */
   readonly onDidChange = this.changed.event;
 
   get current(): Configuration {
     return this.configuration;
   }
 
-  /** The newest revision that is known to exist; larger than the current one while some are missing. */
+  /** The newest revision known to exist; greater than the current one while revisions are missing. */
   get knownRevision(): number {
     return this.known;
   }
 
-  /** Notes that a revision exists without having it. */
-  noteRevision(revision: number): void {
+  /** Records that a revision exists, without its content. */
+  observeRevision(revision: number): void {
     this.known = Math.max(this.known, revision);
   }
 
-  /** Takes a whole configuration if it is newer. */
+  /** Replaces the configuration if the given one is newer. */
   applySnapshot(configuration: Configuration): void {
     if (configuration.revision > this.configuration.revision) {
-      this.recent = [];
-      this.take(configuration);
+      this.recentRevisions = [];
+      this.setConfiguration(configuration);
     }
   }
 
-  /** Applies the revisions that follow the current one; stops at the first gap. Returns whether any was applied. */
+  /** Applies the revisions that follow the current one; skips others. Returns whether any was applied. */
   applyRevisions(revisions: readonly ConfigurationRevision[]): boolean {
     let next = this.configuration;
     const applied: ConfigurationRevision[] = [];
     for (const revision of revisions) {
-      this.noteRevision(revision.revision);
+      this.observeRevision(revision.revision);
       if (revision.revision === next.revision + 1) {
         next = applyRevision(next, revision);
         applied.push(revision);
@@ -56,25 +56,27 @@
     if (applied.length === 0) {
       return false;
     }
-    this.recent = [...this.recent, ...applied].slice(-RECENT_LIMIT);
-    this.take(next);
+    this.recentRevisions = [...this.recentRevisions, ...applied].slice(
+      -RECENT_REVISION_LIMIT,
+    );
+    this.setConfiguration(next);
     return true;
   }
 
-  /** The revisions that follow one, as far as they are kept without a gap; undefined when a snapshot is needed. */
+  /** The revisions after the given one; undefined if they are no longer all kept, so that a snapshot is needed. */
   revisionsAfter(
     revision: number,
   ): readonly ConfigurationRevision[] | undefined {
     if (revision >= this.configuration.revision) {
       return [];
     }
-    const following = this.recent.filter(item => item.revision > revision);
-    return following[0]?.revision === revision + 1 ? following : undefined;
+    const newer = this.recentRevisions.filter(item => item.revision > revision);
+    return newer[0]?.revision === revision + 1 ? newer : undefined;
   }
 
-  private take(configuration: Configuration): void {
+  private setConfiguration(configuration: Configuration): void {
     this.configuration = configuration;
-    this.noteRevision(configuration.revision);
+    this.observeRevision(configuration.revision);
     this.changed.fire(configuration);
   }
 }
--- a/src/features/configuration/common/configurationRules.ts
+++ b/src/features/configuration/common/configurationRules.ts
@@ -5,17 +5,17 @@
   ConfigurationRevision,
 } from './configuration.js';
 
-/** Pure rules of the configuration: what may be proposed and what a revision changes. */
+/** Validates proposed operations and applies revisions; all functions are pure. */
 
-/** Largest number of entries of one kind; bounds memory and snapshots. */
+/** Maximum number of entries per section; bounds memory use and the size of snapshots. */
 const ENTRY_LIMIT = 20_000;
 
 type Section = 'classes' | 'clientAccounts' | 'models' | 'services';
 
-interface Target {
+interface OperationTarget {
   readonly section: Section;
   readonly name: string;
-  /** Undefined removes the entry. */
+  /** Undefined if the entry is removed. */
   readonly value: unknown;
 }
 
@@ -30,14 +30,14 @@
   removeService: 'services',
 };
 
-function targetOf(operation: ConfigurationOperation): Target {
+function toTarget(operation: ConfigurationOperation): OperationTarget {
   const section = SECTIONS[operation.kind];
   return 'value' in operation
     ? {section, name: operation.value.name, value: operation.value}
     : {section, name: operation.name, value: undefined};
 }
 
-/** Applies the next revision; throws when it isn't the next one. */
+/** Applies a revision; throws if it does not directly follow the current one. */
 export function applyRevision(
   configuration: Configuration,
   revision: ConfigurationRevision,
@@ -61,7 +61,7 @@
     models: {...configuration.models},
     services: {...configuration.services},
   };
-  for (const target of operations.map(targetOf)) {
+  for (const target of operations.map(toTarget)) {
     if (target.value === undefined) {
       delete sections[target.section][target.name];
     } else {
@@ -71,7 +71,7 @@
   return {revision: configuration.revision, ...sections} as Configuration;
 }
 
-/** Checks operations against the configuration they would change; an empty list means valid. */
+/** Checks operations against the configuration to change; returns no findings if they are valid. */
 export function validateOperations(
   configuration: Configuration,
   operations: readonly ConfigurationOperation[],
@@ -83,7 +83,7 @@
     const path = `$.operations[${index}]`;
     const add = (suffix: string, expected: string) =>
       findings.push({source, path: path + suffix, expected});
-    checkTarget(configuration, targetOf(operation), seen, add);
+    checkTarget(configuration, toTarget(operation), seen, add);
     checkValue(operation, add);
   });
   const result = applyOperations(configuration, operations);
@@ -95,7 +95,7 @@
 
 function checkTarget(
   configuration: Configuration,
-  target: Target,
+  target: OperationTarget,
   seen: Set<string>,
   add: AddFinding,
 ): void {
--- a/src/features/configuration/common/configurationSnapshots.ts
+++ b/src/features/configuration/common/configurationSnapshots.ts
@@ -5,18 +5,18 @@
 import {Configuration, emptyConfiguration} from './configuration.js';
 import {padRevision} from './revisionNames.js';
 
-const PREFIX = 'configuration/snapshot/';
-const SNAPSHOTS_KEPT = 3;
+const SNAPSHOT_PREFIX = 'configuration/snapshot/';
+const RETAINED_SNAPSHOTS = 3;
 
-/** Snapshots of the configuration in the object store; the newest few are kept. */
+/** Stores snapshots of the configuration in the object store and keeps only the newest ones. */
 export class ConfigurationSnapshots {
   constructor(private readonly objects: ObjectStore) {}
 
-  /** Reads the newest; the empty configuration when there is none. */
+  /** Reads the newest snapshot; returns the empty configuration if there is none. */
   async read(
     token: CancellationToken,
   ): Promise<Result<Configuration, StorageError>> {
-    const names = await this.objects.list(PREFIX, token);
+    const names = await this.objects.list(SNAPSHOT_PREFIX, token);
     if (!names.ok) {
       return names;
     }
@@ -35,27 +35,29 @@
     );
   }
 
-  /** Writes one and deletes the oldest ones; answers the revision of the oldest one kept. */
+  /** Writes a snapshot and deletes the oldest ones; returns the revision of the oldest one that remains. */
   async write(
     configuration: Configuration,
     token: CancellationToken,
   ): Promise<Result<number | undefined, StorageError>> {
-    const name = PREFIX + padRevision(configuration.revision);
+    const name = SNAPSHOT_PREFIX + padRevision(configuration.revision);
     const body = JSON.stringify(configuration);
     const written = await this.objects.put(name, body, token);
     if (!written.ok) {
       return written;
     }
-    const names = await this.objects.list(PREFIX, token);
+    const names = await this.objects.list(SNAPSHOT_PREFIX, token);
     if (!names.ok) {
       return names;
     }
-    for (const old of names.value.slice(0, -SNAPSHOTS_KEPT)) {
+    for (const old of names.value.slice(0, -RETAINED_SNAPSHOTS)) {
       await this.objects.delete(old, token);
     }
-    const [oldest] = names.value.slice(-SNAPSHOTS_KEPT);
+    const [oldest] = names.value.slice(-RETAINED_SNAPSHOTS);
     return success(
-      oldest === undefined ? undefined : Number(oldest.slice(PREFIX.length)),
+      oldest === undefined
+        ? undefined
+        : Number(oldest.slice(SNAPSHOT_PREFIX.length)),
     );
   }
 }
--- a/src/features/configuration/common/configurationStore.ts
+++ b/src/features/configuration/common/configurationStore.ts
@@ -11,21 +11,21 @@
 import {ConfigurationSnapshots} from './configurationSnapshots.js';
 import {padRevision} from './revisionNames.js';
 
-/** Row that holds the number of the newest revision. */
+/** Key of the row with the number of the newest revision. */
 const HEAD_KEY = 'configuration/head';
 const REVISION_PREFIX = 'configuration/revision/';
 
-/** A snapshot is written each time the revision is a multiple of this. */
-export const SNAPSHOT_EVERY = 64;
+/** Snapshots are written at revisions that are multiples of this. */
+export const SNAPSHOT_INTERVAL_REVISIONS = 64;
 const ROWS_PER_SCAN = 100;
-const TRIM_LIMIT = 90;
+const TRIM_ROW_LIMIT = 90;
 
 /** The head row as read. */
 export interface ConfigurationHead {
   readonly revision: number;
-  /** Version of the row; undefined before the first revision. */
+  /** Version of the head row; undefined before the first revision. */
   readonly rowVersion: number | undefined;
-  /** Revisions from this one on are still in the table. */
+  /** The oldest revision whose row is still in the table. */
   readonly firstRevision: number;
 }
 
@@ -34,11 +34,11 @@
   readonly firstRevision: number;
 }
 
-/** How a commit ended. */
+/** Whether a transaction was committed or lost against a concurrent one. */
 export type CommitOutcome =
   {readonly kind: 'committed'} | {readonly kind: 'conflict'};
 
-/** The log of revisions in the table, and its snapshots; rows older than the oldest snapshot kept are deleted. */
+/** Stores the log of revisions in the table, and its snapshots; deletes rows that the oldest kept snapshot covers. */
 export class ConfigurationStore {
   private readonly snapshots: ConfigurationSnapshots;
 
@@ -56,7 +56,7 @@
     return rows.ok ? success(toHead(rows.value[0])) : rows;
   }
 
-  /** Reads one revision; undefined when it isn't in the table. */
+  /** Reads one revision; returns undefined if the table has no row for it. */
   async readRevision(
     revision: number,
     token: CancellationToken,
@@ -69,7 +69,7 @@
     return success(row && toRevision(row));
   }
 
-  /** Reads the revisions after one, in order, at most 100. */
+  /** Reads up to 100 revisions after the given one, in order. */
   async readAfter(
     revision: number,
     token: CancellationToken,
@@ -84,7 +84,7 @@
     return rows.ok ? success(rows.value.map(toRevision)) : rows;
   }
 
-  /** Writes a revision and moves the head, both or neither. */
+  /** Atomically writes a revision and advances the head. */
   commit(
     head: ConfigurationHead,
     revision: ConfigurationRevision,
@@ -102,7 +102,7 @@
     return this.writeWithHead(head, value, [row], token);
   }
 
-  /** Gives the head row a new version without moving it, so that no commit under way on the old one can succeed. */
+  /** Gives the head row a new version without advancing it, so that no commit in flight on the old version succeeds. */
   rewriteHead(
     head: ConfigurationHead,
     token: CancellationToken,
@@ -111,14 +111,14 @@
     return this.writeWithHead(head, {revision, firstRevision}, [], token);
   }
 
-  /** Reads the newest snapshot; the empty configuration when there is none. */
+  /** Reads the newest snapshot; returns the empty configuration if there is none. */
   readSnapshot(
     token: CancellationToken,
   ): Promise<Result<Configuration, StorageError>> {
     return this.snapshots.read(token);
   }
 
-  /** Writes a snapshot, then deletes rows and snapshots that no starting instance needs. */
+  /** Writes a snapshot, then deletes the snapshots and rows that it makes obsolete. */
   async writeSnapshot(
     configuration: Configuration,
     token: CancellationToken,
@@ -141,7 +141,11 @@
       return head;
     }
     const {firstRevision, revision} = head.value;
-    const end = Math.min(upTo, firstRevision + TRIM_LIMIT - 1, revision - 1);
+    const end = Math.min(
+      upTo,
+      firstRevision + TRIM_ROW_LIMIT - 1,
+      revision - 1,
+    );
     if (end < firstRevision) {
       return success(undefined);
     }
@@ -154,7 +158,7 @@
       });
     }
     const value: HeadValue = {revision, firstRevision: end + 1};
-    // A conflict means that the head moved on: the next snapshot trims instead.
+    // A conflict means that the head advanced concurrently; the next snapshot trims instead.
     const trimmed = await this.writeWithHead(
       head.value,
       value,
@@ -164,7 +168,7 @@
     return trimmed.ok ? success(undefined) : trimmed;
   }
 
-  /** Writes the head, as it was read, together with other rows: all or nothing. */
+  /** Atomically writes the head row, if it is unchanged since it was read, and other rows. */
   private async writeWithHead(
     head: ConfigurationHead,
     value: HeadValue,
--- a/src/features/configuration/common/operationSchemas.ts
+++ b/src/features/configuration/common/operationSchemas.ts
@@ -5,7 +5,7 @@
 import {toFindings} from '../../../infrastructure/settings/common/schemaFindings.js';
 import {ConfigurationOperation} from './configuration.js';
 
-/** What an operation in a proposal must look like. Unknown fields are refused. */
+/** The schemas of proposals and their operations. Unknown fields are rejected. */
 
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 const HASH_PATTERN = /^[0-9a-f]{64}$/;
@@ -30,7 +30,6 @@
   .positive('milliseconds above 0')
   .max(DAY_MILLISECONDS, 'at most one day in milliseconds');
 
-/** The schema of a class of work. */
 const classSchema = zod.strictObject({
   name,
   firstTokenMilliseconds: milliseconds,
@@ -43,7 +42,6 @@
   repeatable: zod.boolean(),
 });
 
-/** The schema of a client account. */
 const clientAccountSchema = zod.strictObject({
   name,
   keyHash: zod
@@ -51,7 +49,6 @@
     .regex(HASH_PATTERN, 'the hex SHA-256 of the key: 64 digits 0-9a-f'),
 });
 
-/** The schema of a model. */
 const modelSchema = zod.strictObject({
   name,
   version: name,
@@ -59,7 +56,6 @@
   adapters: zod.array(name).max(ADAPTER_LIMIT),
 });
 
-/** The schema of a plain service. */
 const serviceSchema = zod.strictObject({
   name,
   calls: zod
@@ -103,11 +99,11 @@
 /** A proposal as an operator sends it. */
 export interface Proposal {
   readonly operations: readonly ConfigurationOperation[];
-  /** The revision that the operator looked at; any when undefined. */
+  /** The revision that the proposal is based on; not checked if undefined. */
   readonly expectedRevision?: number | undefined;
 }
 
-/** Reads a proposal; all findings are reported together. */
+/** Parses a proposal; returns all findings if it is invalid. */
 export function parseProposal(
   body: unknown,
   source: string,
--- a/src/features/configuration/common/revisionNames.ts
+++ b/src/features/configuration/common/revisionNames.ts
@@ -1,6 +1,6 @@
-const NUMBER_WIDTH = 12;
+const REVISION_DIGITS = 12;
 
-/** A revision number as it ends the names of rows and snapshots, which thereby sort by it. */
+/** Formats a revision number with leading zeros, so that the names of rows and snapshots sort by revision. */
 export function padRevision(revision: number): string {
-  return String(revision).padStart(NUMBER_WIDTH, '0');
+  return String(revision).padStart(REVISION_DIGITS, '0');
 }
--- a/src/features/configuration/test/configurationProposer.test.ts
+++ b/src/features/configuration/test/configurationProposer.test.ts
@@ -13,7 +13,7 @@
 import {ConfigurationReplica} from '../common/configurationReplica.js';
 import {
   ConfigurationStore,
-  SNAPSHOT_EVERY,
+  SNAPSHOT_INTERVAL_REVISIONS,
 } from '../common/configurationStore.js';
 
 const clock = new FakeClock();
@@ -25,7 +25,7 @@
   readonly proposer: ConfigurationProposer;
 }
 
-function operator(name: string): Operator {
+function createOperator(name: string): Operator {
   const ports = platform.portsOf(name);
   const store = new ConfigurationStore(ports.table, ports.objects);
   const replica = new ConfigurationReplica();
@@ -43,7 +43,7 @@
 }
 
 async function propose(
-  by: Operator,
+  operator: Operator,
   name: string,
   model: string,
   expectedRevision?: number,
@@ -54,23 +54,25 @@
     operations: [{kind: 'setModel' as const, value}],
     expectedRevision,
   };
-  void by.proposer.propose(proposal, name, neverCancelled).then(outcome => {
-    result = outcome;
-  });
+  void operator.proposer
+    .propose(proposal, name, neverCancelled)
+    .then(outcome => {
+      result = outcome;
+    });
   for (let step = 0; step < 300 && result === undefined; step++) {
     await clock.advanceAsync(100);
   }
   if (result === undefined) {
-    throw new Error('no outcome in time');
+    throw new Error('proposal did not complete within 30 s of simulated time');
   }
   return result;
 }
 
-function kindOf(result: ProposalResult): string {
+function outcomeOf(result: ProposalResult): string {
   return result.ok ? 'accepted' : result.error.kind;
 }
 
-function rowsWith(text: string): number {
+function countRowsWith(text: string): number {
   return platform.rows
     .scan('configuration/revision/', undefined, 100)
     .filter(row => row.value.includes(text)).length;
@@ -92,33 +94,33 @@
 
   // prettier-ignore
   const faults: readonly FaultCase[] = [
-    {name: 'the table down before', fault: {kind: 'down'}, access: 'read', times: 1, outcome: 'unavailable', rows: 0},
-    {name: 'the table down at the commit', fault: {kind: 'down'}, access: 'write', times: 1, outcome: 'unavailable', rows: 0},
+    {name: 'the table down before the commit', fault: {kind: 'down'}, access: 'read', times: 1, outcome: 'unavailable', rows: 0},
+    {name: 'the table down during the commit', fault: {kind: 'down'}, access: 'write', times: 1, outcome: 'unavailable', rows: 0},
     {name: 'the commit rate-limited', fault: {kind: 'rateLimited', retryAfterMilliseconds: 5}, access: 'write', times: 1, outcome: 'unavailable', rows: 0},
-    {name: 'the answer lost after the effect', fault: {kind: 'answerLost'}, access: 'write', times: 1, outcome: 'accepted', rows: 1},
-    {name: 'the request lost', fault: {kind: 'requestLost'}, access: 'write', times: 1, outcome: 'unavailable', rows: 0},
-    {name: 'the request late by seconds', fault: {kind: 'slow', milliseconds: 5_000}, access: 'write', times: 1, outcome: 'unavailable', rows: 0},
-    {name: 'the request and its fencing lost', fault: {kind: 'requestLost'}, access: 'write', times: 3, outcome: 'unavailable', rows: 0},
+    {name: 'the commit response lost', fault: {kind: 'answerLost'}, access: 'write', times: 1, outcome: 'accepted', rows: 1},
+    {name: 'the commit request lost', fault: {kind: 'requestLost'}, access: 'write', times: 1, outcome: 'unavailable', rows: 0},
+    {name: 'the commit request delayed', fault: {kind: 'slow', milliseconds: 5_000}, access: 'write', times: 1, outcome: 'unavailable', rows: 0},
+    {name: 'the commit and fencing requests lost', fault: {kind: 'requestLost'}, access: 'write', times: 3, outcome: 'unavailable', rows: 0},
     {name: 'all writes lost', fault: {kind: 'requestLost'}, access: 'write', times: 100, outcome: 'outcomeUnknown', rows: 0},
   ];
 
-  it.each(faults)('with $name', async row => {
-    const ana = operator('ana');
+  it.each(faults)('has the expected outcome with $name', async row => {
+    const ana = createOperator('ana');
     platform.addFault(row.fault, {
       part: 'table',
       access: row.access,
       times: row.times,
     });
     const result = await propose(ana, 'ana', 'small');
-    expect(kindOf(result)).toBe(row.outcome);
+    expect(outcomeOf(result)).toBe(row.outcome);
     await clock.advanceAsync(20_000);
-    expect(rowsWith('small')).toBe(row.rows);
+    expect(countRowsWith('small')).toBe(row.rows);
     platform.clearFaults();
-    expect(kindOf(await propose(ana, 'ana', 'next'))).toBe('accepted');
+    expect(outcomeOf(await propose(ana, 'ana', 'next'))).toBe('accepted');
   });
 
-  it('with the table down after the lost answer is unknown, then found', async () => {
-    const ana = operator('ana');
+  it('has an unknown outcome when the table fails after a lost response, and is found later', async () => {
+    const ana = createOperator('ana');
     platform.addFault(
       {kind: 'answerLost'},
       {part: 'table', access: 'write', times: 1},
@@ -131,15 +133,17 @@
       {kind: 'down'},
       {part: 'table', access: 'read', times: 100},
     );
-    expect(kindOf(await propose(ana, 'ana', 'small'))).toBe('outcomeUnknown');
+    expect(outcomeOf(await propose(ana, 'ana', 'small'))).toBe(
+      'outcomeUnknown',
+    );
     platform.clearFaults();
     await ana.reader.readHead(neverCancelled);
     expect(ana.replica.current.models).toHaveProperty('small');
   });
 
-  it('that comes second names the winner', async () => {
-    const ana = operator('ana');
-    const luz = operator('luz');
+  it('on an outdated revision is refused with the winning revision and operator', async () => {
+    const ana = createOperator('ana');
+    const luz = createOperator('luz');
     await propose(ana, 'ana', 'small');
     const stale = await propose(luz, 'luz', 'large', 0);
     expect(stale).toMatchObject({
@@ -148,9 +152,9 @@
   });
 
   it.each([{lost: false}, {lost: true}])(
-    'of racing operators wins once, answers lost: $lost',
+    'is accepted from only one of several concurrent operators, responses lost: $lost',
     async ({lost}) => {
-      const operators = ['ana', 'luz', 'eva'].map(operator);
+      const operators = ['ana', 'luz', 'eva'].map(createOperator);
       if (lost) {
         platform.addFault(
           {kind: 'answerLost'},
@@ -163,7 +167,7 @@
           propose(by, names[index] ?? '', `model-${index}`),
         ),
       );
-      const kinds = results.map(kindOf).sort();
+      const kinds = results.map(outcomeOf).sort();
       expect(kinds).toEqual(['accepted', 'conflict', 'conflict']);
       const winner = names[results.findIndex(result => result.ok)];
       results.forEach(result => {
@@ -174,15 +178,15 @@
           });
         }
       });
-      expect(rowsWith('model-')).toBe(1);
+      expect(countRowsWith('model-')).toBe(1);
     },
   );
 });
 
-describe('the log', () => {
-  it('is read by a starting instance from a snapshot and few rows, and is trimmed', async () => {
-    const ana = operator('ana');
-    const total = SNAPSHOT_EVERY * 5 + 3;
+describe('the revision log', () => {
+  it('is trimmed, and read by a starting instance from a snapshot and few rows', async () => {
+    const ana = createOperator('ana');
+    const total = SNAPSHOT_INTERVAL_REVISIONS * 5 + 3;
     for (let revision = 1; revision <= total; revision++) {
       await propose(ana, 'ana', `model-${revision}`);
       await ana.proposer.snapshotIfDue(revision, neverCancelled);
@@ -192,23 +196,23 @@
       undefined,
       1_000,
     );
-    expect(rows.length).toBeLessThanOrEqual(SNAPSHOT_EVERY * 3);
+    expect(rows.length).toBeLessThanOrEqual(SNAPSHOT_INTERVAL_REVISIONS * 3);
     expect([...platform.objects.keys()]).toHaveLength(3);
     const before = platform.counts.reads;
-    const late = operator('luz');
-    await late.reader.readHead(neverCancelled);
-    expect(late.replica.current).toEqual(ana.replica.current);
+    const startingInstance = createOperator('luz');
+    await startingInstance.reader.readHead(neverCancelled);
+    expect(startingInstance.replica.current).toEqual(ana.replica.current);
     expect(platform.counts.reads - before).toBeLessThanOrEqual(4);
   });
 
-  it('goes on after a trim that raced with a proposal', async () => {
-    const ana = operator('ana');
+  it('accepts proposals after a trim that conflicted with one', async () => {
+    const ana = createOperator('ana');
     await propose(ana, 'ana', 'small');
     platform.addFault(
       {kind: 'slow', milliseconds: 300},
       {part: 'table', instance: 'luz', access: 'write', times: 1},
     );
-    const luz = operator('luz');
+    const luz = createOperator('luz');
     const racing = propose(luz, 'luz', 'large');
     const head = JSON.stringify({revision: 1, firstRevision: 1});
     await platform
@@ -218,8 +222,8 @@
         'all',
         neverCancelled,
       );
-    expect(kindOf(await racing)).toBe('unavailable');
-    expect(rowsWith('large')).toBe(0);
-    expect(kindOf(await propose(luz, 'luz', 'third'))).toBe('accepted');
+    expect(outcomeOf(await racing)).toBe('unavailable');
+    expect(countRowsWith('large')).toBe(0);
+    expect(outcomeOf(await propose(luz, 'luz', 'third'))).toBe('accepted');
   });
 });
--- a/src/features/configuration/test/configurationRules.test.ts
+++ b/src/features/configuration/test/configurationRules.test.ts
@@ -40,7 +40,7 @@
   };
 }
 
-const inUse: Configuration = applyRevision(
+const current: Configuration = applyRevision(
   emptyConfiguration,
   revisionOf(1, [
     {kind: 'setClass', value: orders},
@@ -91,7 +91,7 @@
     );
   });
 
-  it('says that operators state targets only', () => {
+  it('explains that operators define targets only', () => {
     const value = {...orders, weight: 3};
     const parsed = parseProposal(
       {operations: [{kind: 'setClass', value}]},
@@ -110,7 +110,9 @@
     {},
     {operations: []},
     {operations: [{kind: 'other'}]},
-  ])('refuses %j', body => expect(parseProposal(body, 'body').ok).toBe(false));
+  ])('refuses the body %j', body =>
+    expect(parseProposal(body, 'body').ok).toBe(false),
+  );
 });
 
 describe('validateOperations', () => {
@@ -120,17 +122,17 @@
     readonly paths: readonly string[];
   }> = [
     {
-      name: 'nothing wrong',
+      name: 'no fault in a valid change',
       operations: [{kind: 'setClass', value: {...orders, name: 'other'}}],
       paths: [],
     },
     {
-      name: 'the last class in use removed',
+      name: 'the removal of the last class in use',
       operations: [{kind: 'removeClass', name: 'orders'}],
       paths: ['$.operations'],
     },
     {
-      name: 'the last class replaced',
+      name: 'no fault in replacing the last class',
       operations: [
         {kind: 'removeClass', name: 'orders'},
         {kind: 'setClass', value: {...orders, name: 'other'}},
@@ -138,7 +140,7 @@
       paths: [],
     },
     {
-      name: 'unknown entries removed',
+      name: 'the removal of unknown entries',
       operations: [
         {kind: 'removeModel', name: 'x'},
         {kind: 'removeService', name: 'constructor'},
@@ -146,7 +148,7 @@
       paths: ['$.operations[0].name', '$.operations[1].name'],
     },
     {
-      name: 'an entry twice',
+      name: 'two operations on one entry',
       operations: [
         {kind: 'setModel', value: model},
         {kind: 'removeModel', name: 'm'},
@@ -154,21 +156,21 @@
       paths: ['$.operations[1].name'],
     },
     {
-      name: 'a first token after the deadline',
+      name: 'a first-token target after the deadline',
       operations: [
         {kind: 'setClass', value: {...orders, firstTokenMilliseconds: 9_001}},
       ],
       paths: ['$.operations[0].value.firstTokenMilliseconds'],
     },
     {
-      name: 'a shared key',
+      name: 'a key shared by two accounts',
       operations: [
         {kind: 'setClientAccount', value: {...account, name: 'two'}},
       ],
       paths: ['$.operations'],
     },
     {
-      name: 'a call twice',
+      name: 'a duplicate call',
       operations: [
         {
           kind: 'setService',
@@ -186,13 +188,13 @@
   ];
 
   it.each(cases)('finds $name', ({operations, paths}) => {
-    const findings = validateOperations(inUse, operations);
+    const findings = validateOperations(current, operations);
     expect(findings.map(finding => finding.path)).toEqual(paths);
   });
 });
 
 describe('ConfigurationReplica', () => {
-  it('goes through revisions in order whatever order they come in, and never back', () => {
+  it('applies revisions in order regardless of arrival order, and never goes back', () => {
     const all = Array.from({length: 12}, (_, index) => revisionOf(index + 1));
     const expected = all.reduce(applyRevision, emptyConfiguration);
     fastCheck.assert(
@@ -217,7 +219,7 @@
     );
   });
 
-  it('gives what follows a revision, or says that it lacks some', () => {
+  it('returns the revisions after one, or undefined if some are missing', () => {
     const replica = new ConfigurationReplica();
     replica.applySnapshot({...emptyConfiguration, revision: 4});
     replica.applyRevisions([revisionOf(5), revisionOf(6)]);
--- a/src/features/peers/common/localState.ts
+++ b/src/features/peers/common/localState.ts
@@ -135,7 +135,7 @@
 
   /** Adds a read of the head row by this or another instance. */
   addHeadObservation(observation: HeadObservation): void {
-    this.replica.noteRevision(observation.revision);
+    this.replica.observeRevision(observation.revision);
     this.confirmation.addObservation(
       observation,
       this.replica.current.revision,
--- a/src/features/peers/common/peerExchanger.ts
+++ b/src/features/peers/common/peerExchanger.ts
@@ -192,7 +192,7 @@
     response: ExchangeResponse,
     token: CancellationToken,
   ): Promise<void> {
-    this.state.replica.noteRevision(response.revision);
+    this.state.replica.observeRevision(response.revision);
     this.state.replica.applyRevisions(response.revisions ?? []);
     this.snapshotNeededCount =
       response.snapshotNeeded === true ? this.snapshotNeededCount + 1 : 0;
--- a/src/features/peers/common/peerResponder.ts
+++ b/src/features/peers/common/peerResponder.ts
@@ -40,7 +40,7 @@
   }
 
   exchange(request: ExchangeRequest): ExchangeResponse {
-    this.state.replica.noteRevision(request.revision);
+    this.state.replica.observeRevision(request.revision);
     this.applyRecord(request.record);
     this.state.noteSelf();
     const evidence = this.state.confirmation.evidence;
@@ -64,7 +64,7 @@
 
   notice(notice: PeerNotice): PeerNoticeResponse {
     this.applyRecord(notice.record);
-    this.state.replica.noteRevision(notice.revision);
+    this.state.replica.observeRevision(notice.revision);
     this.state.replica.applyRevisions(notice.revisions ?? []);
     this.state.noteSelf();
     this.learned.fire();
