--- a/src/features/configuration/common/configurationProposer.ts
+++ b/src/features/configuration/common/configurationProposer.ts
@@ -33,7 +33,7 @@
     private readonly reader: ConfigurationReader,
     private readonly replica: ConfigurationReplica,
     private readonly clock: Clock,
-    private readonly generateNonce: NonceSource,
+    private readonly nonce: NonceSource,
     private readonly logger: Logger,
   ) {}
 
@@ -77,7 +77,7 @@
       revision: head.revision + 1,
       operations: proposal.operations,
       operator,
-      nonce: this.generateNonce(),
+      nonce: this.nonce(),
       committedAtWallMilliseconds: this.clock.wallMilliseconds(),
     };
     const outcome = await this.call(token, call =>
--- a/src/features/membership/test/listReading.test.ts
+++ b/src/features/membership/test/listReading.test.ts
@@ -92,46 +92,46 @@
     {
       name: 'removes one of four members at once',
       reads: ['abc'],
-      seen: '',
+      heard: '',
       remaining: 'abc',
     },
     {
       name: 'keeps members lacking from one read',
       reads: ['ab12'],
-      seen: '',
+      heard: '',
       remaining: 'abcdefgh12',
     },
     {
       name: 'removes half lacking from two reads',
       reads: ['abcd', 'abcd'],
-      seen: '',
+      heard: '',
       remaining: 'abcd',
     },
     {
       name: 'keeps members back in the next read',
       reads: ['', 'abcdefgh'],
-      seen: '',
+      heard: '',
       remaining: 'abcdefgh',
     },
     {
       name: 'keeps all while one was seen recently',
       reads: ['', '', ''],
-      seen: 'h',
+      heard: 'h',
       remaining: 'abcdefgh',
     },
     {
       name: 'removes all if none was seen recently',
       reads: ['', ''],
-      seen: '',
+      heard: '',
       remaining: '',
     },
     {
       name: 'keeps halves lacking from one read each',
       reads: ['abcd', 'efgh'],
-      seen: '',
+      heard: '',
       remaining: 'abcdefgh',
     },
-  ])('$name', async ({name, reads, seen, remaining}) => {
+  ])('$name', async ({name, reads, heard, remaining}) => {
     const clock = new FakeClock();
     const platform = new InMemoryPlatform(clock);
     const memberList = new MergedMemberList();
@@ -146,7 +146,7 @@
       scheduler,
       clock,
       new SilentLogger(),
-      id => seen.includes(id),
+      id => heard.includes(id),
     );
     const first = name.startsWith('removes one of four') ? 'abcd' : 'abcdefgh';
     for (const ids of [first, ...reads]) {
--- a/src/features/membership/test/membership.test.ts
+++ b/src/features/membership/test/membership.test.ts
@@ -186,35 +186,35 @@
       name: 'ready if its record says so',
       state: 'live' as const,
       record,
-      isRecentlySeen: true,
+      heard: true,
       ready: true,
     },
     {
       name: 'not ready if it was not seen recently',
       state: 'live' as const,
       record,
-      isRecentlySeen: false,
+      heard: false,
       ready: false,
     },
     {
       name: 'not ready if listed as leaving',
       state: 'leaving' as const,
       record,
-      isRecentlySeen: true,
+      heard: true,
       ready: false,
     },
     {
       name: 'not ready if its record says leaving',
       state: 'live' as const,
       record: {...record, leaving: true},
-      isRecentlySeen: true,
+      heard: true,
       ready: false,
     },
-  ])('shows an instance as $name', ({state, record, isRecentlySeen, ready}) => {
+  ])('shows an instance as $name', ({state, record, heard, ready}) => {
     const directory = new InstanceDirectory();
     directory.applyList([instanceMember('a', state)]);
     directory.updateRecord(record, 10);
-    expect(directory.views(() => isRecentlySeen)[0]).toMatchObject({
+    expect(directory.views(() => heard)[0]).toMatchObject({
       ready,
       incarnation: 'a1',
     });
