--- a/src/features/callers/common/callerHeaders.ts
+++ b/src/features/callers/common/callerHeaders.ts
@@ -1,9 +1,9 @@
 import {Finding} from '../../../base/common/finding.js';
 import {ClassOfWork} from '../../configuration/common/configuration.js';
 
-/** Reading of the request headers that callers send. */
+/** Parses and validates the headers of caller requests. */
 
-/** Names of the headers, as documented in docs/CALLERS.md. */
+/** Header names, as documented in docs/CALLERS.md. */
 export const headerNames = {
   authorization: 'Authorization',
   idempotencyKey: 'Idempotency-Key',
@@ -12,34 +12,37 @@
   contentType: 'Content-Type',
 } as const;
 
-/** Longest Idempotency-Key in characters. */
-export const IDEMPOTENCY_KEY_LIMIT = 255;
+/** Maximum length of an Idempotency-Key in characters. */
+export const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 
 const HEADER_SOURCE = 'headers';
 const KEY_PATTERN = /^[\x21-\x7e]+$/;
 const BEARER_PATTERN = /^Bearer +([\x21-\x7e]+) *$/i;
 const DEADLINE_PATTERN = /^[0-9]{1,9}$/;
 
-/** Headers by lower-case name; a repeated one is listed apart. */
+/** Headers by lower-case name, and the names of those sent more than once. */
 export interface HeaderIndex {
   readonly values: ReadonlyMap<string, string>;
   readonly duplicates: ReadonlySet<string>;
 }
 
-/** What a request's headers state. */
+/** The parsed headers of a request. */
 export interface CallerHeaders {
   readonly idempotencyKey: string | undefined;
-  /** Whether a key was sent, in the right form or not. */
+  /** Whether a key was sent, valid or not. */
   readonly hasKey: boolean;
-  /** Undefined when findings name the class. */
+  /** Undefined when the class is missing or unknown; `findings` then reports it. */
   readonly classOfWork: ClassOfWork | undefined;
-  /** Milliseconds from arrival; undefined when the caller gave none. */
+  /** Milliseconds from arrival; undefined when the caller sent none. */
   readonly deadlineMilliseconds: number | undefined;
   readonly contentType: string | undefined;
   readonly findings: readonly Finding[];
 }
 
-/** Indexes raw headers (`[name, value, name, value, …]`), so that repeated ones are noticed. */
+/**
+ * Indexes raw headers (`[name, value, name, value, …]`). Node's parsed headers merge or drop repeated
+ * headers, so duplicates can only be detected here.
+ */
 export function indexHeaders(rawHeaders: readonly string[]): HeaderIndex {
   const values = new Map<string, string>();
   const duplicates = new Set<string>();
@@ -53,20 +56,20 @@
   return {values, duplicates};
 }
 
-/** Findings about headers that were sent more than once and must not be. */
+/** Returns a finding for each header of this API that was sent more than once. */
 export function duplicateFindings(headers: HeaderIndex): readonly Finding[] {
   return Object.values(headerNames)
     .filter(name => headers.duplicates.has(name.toLowerCase()))
     .map(name => headerFinding(name, 'sent once, but it was sent repeatedly'));
 }
 
-/** The bearer key, or undefined when there is none in the right form. */
+/** Returns the bearer key, or undefined when it is missing or malformed. */
 export function bearerKey(headers: HeaderIndex): string | undefined {
   const value = headers.values.get('authorization');
   return value === undefined ? undefined : BEARER_PATTERN.exec(value)?.[1];
 }
 
-/** Reads the class, deadline and key; findings are collected. */
+/** Parses the class, deadline and key; `findings` holds all errors. */
 export function readCallerHeaders(
   headers: HeaderIndex,
   classes: Readonly<Record<string, ClassOfWork>>,
@@ -83,7 +86,7 @@
   };
 }
 
-/** The finding for work that may not be repeated and came without a key. */
+/** The finding for non-repeatable work that was sent without a key. */
 export function missingKeyFinding(): Finding {
   return headerFinding(
     headerNames.idempotencyKey,
@@ -91,7 +94,7 @@
   );
 }
 
-/** The finding for a key that was never used and whose grant no longer counts. */
+/** The finding for an unused key whose grant is no longer valid. */
 export function expiredGrantFinding(detail: string): Finding {
   return headerFinding(
     headerNames.idempotencyKey,
@@ -140,13 +143,13 @@
   if (value === undefined) {
     return undefined;
   }
-  if (KEY_PATTERN.test(value) && value.length <= IDEMPOTENCY_KEY_LIMIT) {
+  if (KEY_PATTERN.test(value) && value.length <= MAX_IDEMPOTENCY_KEY_LENGTH) {
     return value;
   }
   findings.push(
     headerFinding(
       headerNames.idempotencyKey,
-      `1 to ${IDEMPOTENCY_KEY_LIMIT} visible ASCII characters`,
+      `1 to ${MAX_IDEMPOTENCY_KEY_LENGTH} visible ASCII characters`,
     ),
   );
   return undefined;
--- a/src/features/callers/common/chatReply.ts
+++ b/src/features/callers/common/chatReply.ts
@@ -1,9 +1,9 @@
 import {FinishReason, ModelReply} from '../../requests/common/request.js';
 import {replyText} from './tokenText.js';
 
-/** Replies in the shape that existing model clients read: whole, and as server-sent events. */
+/** Replies in the OpenAI chat format that existing clients parse: as one JSON body or as server-sent events. */
 
-/** What the parts of one reply have in common. */
+/** The fields that all chunks of a reply share. */
 export interface ReplyIdentity {
   readonly requestId: string;
   readonly model: string;
@@ -12,7 +12,7 @@
   readonly promptTokenCount: number;
 }
 
-/** A whole reply. */
+/** A complete reply. */
 export interface ChatCompletion {
   readonly id: string;
   readonly object: 'chat.completion';
@@ -28,7 +28,6 @@
   readonly usage: ChatUsage;
 }
 
-/** Token counts. */
 export interface ChatUsage {
   readonly prompt_tokens: number;
   readonly completion_tokens: number;
@@ -38,7 +37,6 @@
 const ID_PREFIX = 'chatcmpl-';
 const DONE_EVENT = 'data: [DONE]\n\n';
 
-/** Forms a whole reply. */
 export function toChatCompletion(
   identity: ReplyIdentity,
   reply: ModelReply,
@@ -59,28 +57,34 @@
   };
 }
 
-/** The event that opens a stream. */
+/** The first event of a stream. */
 export function openingEvent(identity: ReplyIdentity): string {
-  return chunkEvent(identity, {role: 'assistant', content: ''}, null);
+  return formatChoiceEvent(identity, {role: 'assistant', content: ''}, null);
 }
 
-/** The event of a part of the text. */
+/** The event for a part of the reply text. */
 export function textEvent(identity: ReplyIdentity, text: string): string {
-  return chunkEvent(identity, {content: text}, null);
+  return formatChoiceEvent(identity, {content: text}, null);
 }
 
-/** The events that end a whole reply, and only a whole one. */
+/** The events that end a complete reply. A truncated reply ends with {@link errorEvent} instead. */
 export function closingEvents(
   identity: ReplyIdentity,
   completion: ChatCompletion,
   includeUsage: boolean,
 ): string {
-  const finish = chunkEvent(identity, {}, completion.choices[0].finish_reason);
-  const usage = includeUsage ? usageEvent(identity, completion.usage) : '';
+  const finish = formatChoiceEvent(
+    identity,
+    {},
+    completion.choices[0].finish_reason,
+  );
+  const usage = includeUsage
+    ? formatUsageEvent(identity, completion.usage)
+    : '';
   return `${finish}${usage}${DONE_EVENT}`;
 }
 
-/** A recorded reply as events; it keeps the id of the request that ran. */
+/** Formats a recorded reply as events, with the ID of the request that produced it. */
 export function replayEvents(
   completion: ChatCompletion,
   includeUsage: boolean,
@@ -93,11 +97,11 @@
   };
   const content = completion.choices[0].message.content;
   const opening = openingEvent(identity);
-  const whole = textEvent(identity, content);
-  return opening + whole + closingEvents(identity, completion, includeUsage);
+  const textPart = textEvent(identity, content);
+  return opening + textPart + closingEvents(identity, completion, includeUsage);
 }
 
-/** Reads a recorded body back; undefined when it is no chat reply. */
+/** Parses a recorded body; undefined when it isn't a chat reply. */
 export function parseChatCompletion(body: string): ChatCompletion | undefined {
   try {
     const value = JSON.parse(body) as Partial<ChatCompletion> | null;
@@ -109,7 +113,7 @@
   }
 }
 
-/** The event that ends a reply which can't be finished. */
+/** The event that ends a reply that can't be completed. */
 export function errorEvent(failureBody: unknown): string {
   return `event: error\ndata: ${JSON.stringify(failureBody)}\n\n`;
 }
@@ -127,19 +131,21 @@
   readonly content?: string;
 }
 
-function chunkEvent(
+function formatChoiceEvent(
   identity: ReplyIdentity,
   delta: ChunkDelta,
   finishReason: FinishReason | null,
 ): string {
-  return chunk(identity, [{index: 0, delta, finish_reason: finishReason}]);
+  return formatChunk(identity, [
+    {index: 0, delta, finish_reason: finishReason},
+  ]);
 }
 
-function usageEvent(identity: ReplyIdentity, usage: ChatUsage): string {
-  return chunk(identity, [], usage);
+function formatUsageEvent(identity: ReplyIdentity, usage: ChatUsage): string {
+  return formatChunk(identity, [], usage);
 }
 
-function chunk(
+function formatChunk(
   identity: ReplyIdentity,
   choices: readonly unknown[],
   usage?: ChatUsage,
--- a/src/features/callers/common/chatRequest.ts
+++ b/src/features/callers/common/chatRequest.ts
@@ -6,15 +6,15 @@
 import {Model} from '../../configuration/common/configuration.js';
 import {ChatMessage} from '../../requests/common/request.js';
 
-/** Reading of the body of `POST /v1/chat/completions`. */
+/** Parses and validates the body of `POST /v1/chat/completions`. */
 
-/** Tokens of a reply when the caller states no limit. */
+/** Limit on reply tokens when the caller sets none. */
 const DEFAULT_OUTPUT_TOKENS = 256;
 
-/** Most tokens of a reply that a caller may ask for. */
-const OUTPUT_TOKEN_LIMIT = 4096;
+/** Highest limit on reply tokens that a caller may set. */
+const MAX_OUTPUT_TOKENS = 4096;
 
-const MESSAGE_LIMIT = 1000;
+const MAX_MESSAGES = 1000;
 const BODY_SOURCE = 'body';
 const ADAPTER_SEPARATOR = ':';
 
@@ -23,14 +23,14 @@
   'a text, or a list of text parts',
 );
 
-const outputLimitSchema = z.int().min(1).max(OUTPUT_TOKEN_LIMIT).nullish();
+const outputLimitSchema = z.int().min(1).max(MAX_OUTPUT_TOKENS).nullish();
 
 const chatSchema = z.object({
   model: z.string().min(1),
   messages: z
     .array(z.object({role: z.string().min(1), content: contentSchema}))
     .min(1)
-    .max(MESSAGE_LIMIT),
+    .max(MAX_MESSAGES),
   stream: z.boolean().nullish(),
   stream_options: z.object({include_usage: z.boolean().optional()}).nullish(),
   max_tokens: outputLimitSchema,
@@ -38,18 +38,18 @@
   n: z.literal(1).nullish(),
 });
 
-/** What a chat body asks for. */
+/** A validated chat request. */
 export interface ChatRequest {
   readonly model: Model;
   readonly adapter: string | undefined;
   readonly messages: readonly ChatMessage[];
   readonly maximumOutputTokens: number;
   readonly stream: boolean;
-  /** Whether a last event with the usage is wanted. */
+  /** Whether the stream ends with a usage event. */
   readonly includeUsage: boolean;
 }
 
-/** Reads a chat body against the models in use; findings are collected. */
+/** Parses a chat body and resolves its model among the configured ones; a failure holds all findings. */
 export function readChatRequest(
   body: string,
   models: Readonly<Record<string, Model>>,
@@ -63,7 +63,8 @@
     ? []
     : parsed.error.issues.flatMap(issue => toFindings(issue, BODY_SOURCE));
   const modelName = modelNameOf(json.value);
-  const target = modelName === undefined ? undefined : find(modelName, models);
+  const target =
+    modelName === undefined ? undefined : findModel(modelName, models);
   if (modelName !== undefined && target === undefined) {
     findings.push(
       bodyFinding('$.model', 'a model in use, or `model:adapter` of one'),
@@ -114,7 +115,7 @@
   return typeof model === 'string' && model !== '' ? model : undefined;
 }
 
-function find(
+function findModel(
   name: string,
   models: Readonly<Record<string, Model>>,
 ): ModelTarget | undefined {
--- a/src/features/callers/common/claimAnswers.ts
+++ b/src/features/callers/common/claimAnswers.ts
@@ -5,39 +5,39 @@
 import {expiredGrantFinding} from './callerHeaders.js';
 import {invalidRequest, maybeExecuted, notExecuted} from './failureBody.js';
 
-/** What a caller is answered for each decision on a claim. */
+/** Maps decisions on key claims to the responses that callers get. */
 
-/** A whole answer to a request, as sent and as recorded. */
-export interface CallerAnswer {
+/** A complete response, as sent and as recorded. */
+export interface ResponseContent {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** Run the request, repeat its recorded answer, or refuse it. */
-export type ClaimAnswer =
+/** What to do with a request after its claim: run it, replay the recorded response, or refuse it. */
+export type ClaimAction =
   | {readonly kind: 'run'}
-  | {readonly kind: 'replay'; readonly answer: CallerAnswer}
+  | {readonly kind: 'replay'; readonly answer: ResponseContent}
   | {readonly kind: 'refuse'; readonly failure: RequestFailure};
 
-/** Milliseconds after which a caller may ask again for a request that is running. */
+/** Milliseconds after which a caller may retry a request that is still running. */
 const RUNNING_RETRY_MILLISECONDS = 1000;
 
-/** Finds the caller address of an incarnation; undefined when no known instance runs it. */
+/** Returns the caller address of the instance that runs an incarnation; undefined when none is known. */
 export type IncarnationAddress = (incarnation: string) => string | undefined;
 
-/** Maps a decision to an answer. */
+/** Maps a claim decision to the action on the request. */
 export function answerForClaim(
   decision: ClaimDecision,
   addressOf: IncarnationAddress,
-): ClaimAnswer {
+): ClaimAction {
   switch (decision.kind) {
     case 'granted':
       return {kind: 'run'};
     case 'duplicate':
-      return answerForOutcome(decision.outcome, []);
+      return actionForOutcome(decision.outcome, []);
     case 'heldElsewhere':
-      return answerHeldElsewhere(decision, addressOf);
+      return actionForKeyHeldElsewhere(decision, addressOf);
     case 'refusedNotRun':
       return refuse(invalidRequest([expiredGrantFinding(decision.detail)]));
     case 'noRoom': {
@@ -46,9 +46,9 @@
       return refuse(notExecuted(error, retryAfterMilliseconds));
     }
     case 'keyReused': {
-      // Work that differs by its class alone may have run under the other class.
-      const state = decision.sameWork ? maybeExecuted : notExecuted;
-      return refuse(state({kind: 'keyReused'}));
+      // The same work may already have run under another class.
+      const createFailure = decision.sameWork ? maybeExecuted : notExecuted;
+      return refuse(createFailure({kind: 'keyReused'}));
     }
     case 'undecided':
       return refuse(
@@ -62,11 +62,11 @@
   }
 }
 
-/** Maps what became of an earlier request with the same key to an answer. */
-function answerForOutcome(
+/** Maps the outcome of an earlier request with the same key to an action. */
+function actionForOutcome(
   outcome: RequestOutcome,
   addresses: readonly string[],
-): ClaimAnswer {
+): ClaimAction {
   switch (outcome.kind) {
     case 'completed':
       return {kind: 'replay', answer: outcome};
@@ -87,14 +87,14 @@
   }
 }
 
-function answerHeldElsewhere(
+function actionForKeyHeldElsewhere(
   decision: Extract<ClaimDecision, {readonly kind: 'heldElsewhere'}>,
   addressOf: IncarnationAddress,
-): ClaimAnswer {
+): ClaimAction {
   const address = addressOf(decision.incarnation);
   const addresses = address === undefined ? [] : [address];
   if (decision.outcome !== undefined) {
-    return answerForOutcome(decision.outcome, addresses);
+    return actionForOutcome(decision.outcome, addresses);
   }
   const {incarnation} = decision;
   return refuse(
@@ -106,6 +106,6 @@
   );
 }
 
-function refuse(failure: RequestFailure): ClaimAnswer {
+function refuse(failure: RequestFailure): ClaimAction {
   return {kind: 'refuse', failure};
 }
--- a/src/features/callers/common/entrypoints.ts
+++ b/src/features/callers/common/entrypoints.ts
@@ -1,17 +1,17 @@
 import {InstanceView} from '../../membership/common/systemView.js';
 
-/** The order in which a client account should use the instances. */
+/** Orders instances by preference for a client account. */
 
-/** Where the answering instance stands. */
+/** Location of the responding instance. */
 export interface Locality {
   readonly dataCentre: string;
   readonly region: string;
 }
 
-/** An instance and its share of the callers relative to the others of its tier. */
+/** An instance and its relative share of the client accounts in its tier. */
 export interface EntrypointCandidate {
   readonly view: InstanceView;
-  /** Over 0; twice the weight draws twice the accounts. */
+  /** Above 0; an instance with twice the weight is first choice for twice as many accounts. */
   readonly weight: number;
 }
 
@@ -20,9 +20,9 @@
 const TWO_TO_THE_32 = 4294967296;
 
 /**
- * Caller addresses, best first: the near data centre, then the region, then the rest; inside each
- * by weighted rendezvous hashing of the client account (score -weight / ln hash). Only ready
- * instances that aren't leaving are named.
+ * Returns caller addresses, best first: the local data centre, then the region, then the rest; within
+ * each tier by weighted rendezvous hashing of the client account (score -weight / ln hash). Instances
+ * that aren't ready or are leaving are left out.
  */
 export function orderEntrypoints(
   candidates: readonly EntrypointCandidate[],
@@ -40,7 +40,7 @@
     .map(({address}) => address);
 }
 
-/** The caller address of the instance that runs an incarnation; undefined when none is known to. */
+/** Returns the caller address of the instance that runs an incarnation; undefined when none is known. */
 export function addressOfIncarnation(
   instances: readonly InstanceView[],
   incarnation: string,
@@ -49,13 +49,13 @@
   return holder?.member.callerAddress;
 }
 
-/** Score of an instance for an account; the highest wins. */
+/** Score of an instance for an account; the instance with the highest score is preferred. */
 export function rendezvousScore(
   clientAccount: string,
-  instance: string,
+  instanceId: string,
   weight: number,
 ): number {
-  return -weight / Math.log(unitHash(`${clientAccount}\n${instance}`));
+  return -weight / Math.log(unitHash(`${clientAccount}\n${instanceId}`));
 }
 
 function tierOf(view: InstanceView, near: Locality): number {
@@ -65,7 +65,7 @@
   return view.member.region === near.region ? 1 : 2;
 }
 
-/** A number in (0, 1): FNV-1a with the finishing steps of murmur3, so that similar names spread. */
+/** Hashes to a number in (0, 1): FNV-1a with the murmur3 finalizer, so that similar names spread evenly. */
 function unitHash(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
--- a/src/features/callers/common/failureBody.ts
+++ b/src/features/callers/common/failureBody.ts
@@ -6,9 +6,8 @@
   RequestFailure,
 } from '../../requests/common/failure.js';
 
-/** How failures look to callers: HTTP status, headers and body. */
+/** Maps failures to the HTTP status, headers and body that callers get. */
 
-/** HTTP status of each kind of failure. */
 const statusByErrorKind: Readonly<Record<RequestError['kind'], number>> = {
   invalidRequest: 400,
   unauthenticated: 401,
@@ -42,7 +41,7 @@
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** The HTTP status of a failure; an instance that holds a request but isn't known gets 503. */
+/** Returns the HTTP status of a failure. A key held by an instance without a known address gives 503, not 421. */
 export function failureStatus(failure: RequestFailure): number {
   const {error, addresses} = failure;
   if (error.kind === 'heldElsewhere' && addresses.length === 0) {
@@ -51,7 +50,6 @@
   return statusByErrorKind[error.kind];
 }
 
-/** The body of a failure. */
 export function toFailureBody(failure: RequestFailure): FailureBody {
   const {error} = failure;
   return {
@@ -66,7 +64,7 @@
   };
 }
 
-/** The Retry-After header in whole seconds, rounded up; undefined when coming back can't help. */
+/** The Retry-After header in whole seconds, rounded up; undefined when a retry can't succeed. */
 export function retryAfterSeconds(failure: RequestFailure): number | undefined {
   const milliseconds = failure.retryAfterMilliseconds;
   if (milliseconds === undefined || !Number.isFinite(milliseconds)) {
@@ -75,7 +73,7 @@
   return Math.ceil(Math.max(0, milliseconds) / MILLISECONDS_PER_SECOND);
 }
 
-/** A failure of a request of which nothing was dispatched. */
+/** A failure of a request that was not dispatched. */
 export function notExecuted(
   error: RequestError,
   retryAfterMilliseconds?: number,
@@ -84,7 +82,7 @@
   return {error, executed: 'no', retryAfterMilliseconds, addresses};
 }
 
-/** A failure of a request that may have run. */
+/** A failure of a request that may have been executed. */
 export function maybeExecuted(
   error: RequestError,
   retryAfterMilliseconds?: number,
@@ -93,12 +91,12 @@
   return {error, executed: 'unknown', retryAfterMilliseconds, addresses};
 }
 
-/** A refusal that names what is wrong with the request. */
+/** Refuses a request as invalid, with a finding for each error. */
 export function invalidRequest(findings: readonly Finding[]): RequestFailure {
   return notExecuted({kind: 'invalidRequest', findings});
 }
 
-/** One sentence for people; holds no key and no content of the request. */
+/** Human-readable message in one sentence; contains no key and no request content. */
 function failureMessage(error: RequestError): string {
   switch (error.kind) {
     case 'invalidRequest':
--- a/src/features/callers/common/replyFormat.ts
+++ b/src/features/callers/common/replyFormat.ts
@@ -6,27 +6,27 @@
   ReplyIdentity,
   textEvent,
 } from './chatReply.js';
-import {CallerAnswer} from './claimAnswers.js';
+import {ResponseContent} from './claimAnswers.js';
 import {tokenText} from './tokenText.js';
 
-/** How an answer is sent: whole, or as events while it is made. */
+/** Formats of a response: one body, or events that are streamed while the reply is generated. */
 
-/** Forms what goes over the connection. */
+/** Formats the parts of a response for the connection. */
 export abstract class ReplyFormat {
-  /** Whether tokens are sent as they are made. */
-  abstract readonly streams: boolean;
-  /** Sent before the first token. */
+  /** Whether tokens are sent as they are generated. */
+  abstract readonly isStreaming: boolean;
+  /** Text sent before the first token. */
   abstract opening(): string;
   abstract token(token: string, index: number): string;
-  /** Sent after a whole reply. */
-  abstract closing(answer: CallerAnswer): string;
-  /** A recorded answer, whole; undefined when it is none of this format. */
-  abstract replay(answer: CallerAnswer): string | undefined;
+  /** Text sent after a complete reply. */
+  abstract closing(content: ResponseContent): string;
+  /** Formats a recorded response; undefined when this format can't represent it. */
+  abstract replay(content: ResponseContent): string | undefined;
 }
 
-/** Sends the body as it is. */
-export class WholeFormat extends ReplyFormat {
-  override readonly streams = false;
+/** Sends the body unchanged once it is complete. */
+export class BufferedFormat extends ReplyFormat {
+  override readonly isStreaming = false;
 
   override opening(): string {
     return '';
@@ -36,25 +36,25 @@
     return '';
   }
 
-  override closing(answer: CallerAnswer): string {
-    return answer.body;
+  override closing(content: ResponseContent): string {
+    return content.body;
   }
 
-  override replay(answer: CallerAnswer): string | undefined {
-    return answer.body;
+  override replay(content: ResponseContent): string | undefined {
+    return content.body;
   }
 }
 
-/** Sends a whole chat reply; recorded answers of other calls are not repeated for it. */
-export class WholeChatFormat extends WholeFormat {
-  override replay(answer: CallerAnswer): string | undefined {
-    return parseChatCompletion(answer.body) && answer.body;
+/** Sends a complete chat reply; replays recorded responses only if they are chat replies. */
+export class BufferedChatFormat extends BufferedFormat {
+  override replay(content: ResponseContent): string | undefined {
+    return parseChatCompletion(content.body) && content.body;
   }
 }
 
-/** Sends a chat reply as server-sent events. */
-export class ChatEventFormat extends ReplyFormat {
-  override readonly streams = true;
+/** Streams a chat reply as server-sent events. */
+export class StreamedChatFormat extends ReplyFormat {
+  override readonly isStreaming = true;
 
   constructor(
     private readonly identity: ReplyIdentity,
@@ -71,13 +71,13 @@
     return textEvent(this.identity, tokenText(token, index));
   }
 
-  override closing(answer: CallerAnswer): string {
-    const completion = parseChatCompletion(answer.body)!;
+  override closing(content: ResponseContent): string {
+    const completion = parseChatCompletion(content.body)!;
     return closingEvents(this.identity, completion, this.includeUsage);
   }
 
-  override replay(answer: CallerAnswer): string | undefined {
-    const completion = parseChatCompletion(answer.body);
+  override replay(content: ResponseContent): string | undefined {
+    const completion = parseChatCompletion(content.body);
     return completion && replayEvents(completion, this.includeUsage);
   }
 }
--- a/src/features/callers/common/requestGate.ts
+++ b/src/features/callers/common/requestGate.ts
@@ -12,21 +12,21 @@
 } from './entrypoints.js';
 import {notExecuted} from './failureBody.js';
 
-/** Whether this instance takes new work, and where callers should go when it doesn't. */
+/** Admission control: whether this instance accepts new work, and where callers should go when it doesn't. */
 
-/** Milliseconds without an answer of the control program after which no new work is taken. */
-const VIEW_AGE_LIMIT_MILLISECONDS = 12000;
+/** Milliseconds without a response of the control program after which new work is refused. */
+const MAX_VIEW_AGE_MILLISECONDS = 12000;
 
-/** Milliseconds after which refused callers may come back to this instance. */
+/** Milliseconds after which refused callers may retry at this instance. */
 export const GATE_RETRY_MILLISECONDS = 1000;
 
-/** What the gate needs to know of its own instance. */
+/** Settings of the instance that the gate belongs to. */
 export interface GateSettings extends Locality {
   readonly id: string;
   readonly concurrentRequestLimit: number;
 }
 
-/** Counts the requests in progress and refuses what can't be taken. */
+/** Limits the requests in progress, and refuses new work while the instance can't serve it. */
 export class RequestGate {
   private inProgress = 0;
   private leaving = false;
@@ -38,23 +38,23 @@
     private readonly settings: GateSettings,
   ) {}
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get count(): number {
     return this.inProgress;
   }
 
-  /** Whether a planned stop has begun. */
+  /** Whether a graceful shutdown has begun. */
   get isLeaving(): boolean {
     return this.leaving;
   }
 
-  /** Whether new work is taken at present. */
+  /** Whether new work is accepted. */
   get isServing(): boolean {
     return this.servingView().ok;
   }
 
-  /** Takes a place, or says why there is none. */
-  enter(): Result<Disposable, RequestFailure> {
+  /** Acquires a slot for one request; fails when all are in use. Dispose the slot to release it. */
+  tryAcquireSlot(): Result<Disposable, RequestFailure> {
     if (this.inProgress >= this.settings.concurrentRequestLimit) {
       return failure(this.tooManyRequests());
     }
@@ -62,7 +62,7 @@
     return success(toDisposable(() => this.leave()));
   }
 
-  /** Refuses new work from now on; resolves when no request is in progress. */
+  /** Refuses new work from now on; resolves once no request is in progress. */
   drain(): Promise<void> {
     this.leaving = true;
     return new Promise(resolve => {
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Caller addresses for an account, best first. This instance is named exactly while it takes new
-   * work: what peers have heard of it comes later.
+   * Returns caller addresses for an account, best first. This instance is included only while it accepts
+   * new work. Its own state decides, because the view of the system lags behind it.
    */
   addressesFor(clientAccount: string): readonly string[] {
     const instances = this.views.current?.instances ?? [];
@@ -86,7 +86,7 @@
     return orderEntrypoints(candidates, clientAccount, this.settings);
   }
 
-  /** The caller address of the instance that runs an incarnation. */
+  /** Returns the caller address of the instance that runs an incarnation; undefined when none is known. */
   addressOf(incarnation: string): string | undefined {
     return addressOfIncarnation(
       this.views.current?.instances ?? [],
@@ -94,13 +94,13 @@
     );
   }
 
-  /** The view to decide new work by, or why none is taken. */
+  /** Returns the current view, or the refusal when this instance doesn't accept new work. */
   servingView(): Result<SystemView, RequestFailure> {
     if (this.leaving) {
       return failure(this.refusal('shuttingDown'));
     }
     const view = this.views.current;
-    if (view === undefined || !this.isConfirmed(view)) {
+    if (view === undefined || !this.hasConfirmedView(view)) {
       return failure(this.refusal('cutOff'));
     }
     if (view.standing.kind === 'leaving') {
@@ -109,20 +109,20 @@
     return success(view);
   }
 
-  private isConfirmed(view: SystemView): boolean {
+  private hasConfirmedView(view: SystemView): boolean {
     const kind = view.standing.kind;
     return (
       view.configuration.revision >= 1 &&
       kind !== 'starting' &&
       kind !== 'cutOff' &&
-      this.isFresh()
+      this.isViewFresh()
     );
   }
 
-  private isFresh(): boolean {
+  private isViewFresh(): boolean {
     const heardAt = this.views.heardAt;
     const now = this.clock.monotonicMilliseconds();
-    return heardAt !== undefined && now - heardAt < VIEW_AGE_LIMIT_MILLISECONDS;
+    return heardAt !== undefined && now - heardAt < MAX_VIEW_AGE_MILLISECONDS;
   }
 
   private refusal(kind: 'shuttingDown' | 'cutOff'): RequestFailure {
--- a/src/features/callers/common/requestLifecycle.ts
+++ b/src/features/callers/common/requestLifecycle.ts
@@ -4,9 +4,8 @@
 } from '../../../infrastructure/stateChart/common/stateChart.js';
 import chartDefinition from './requestLifecycle.chart.json' with {type: 'json'};
 
-/** The life of one request, as the chart in requestLifecycle.chart.json states it. */
+/** Life cycle of a request; requestLifecycle.chart.json defines its state machine. */
 
-/** States of a request. */
 export type RequestState =
   | 'received'
   | 'authenticated'
@@ -17,7 +16,7 @@
   | 'failed'
   | 'cancelled';
 
-/** What happens to a request. */
+/** Events that trigger transitions. */
 export type RequestEvent =
   | 'authenticated'
   | 'claimNeeded'
@@ -31,7 +30,7 @@
   | 'givenUp'
   | 'callerGone';
 
-/** What the chart has the handler do. */
+/** Actions that transitions run. */
 export type RequestAction =
   | 'startClaim'
   | 'startWork'
@@ -44,17 +43,17 @@
   | 'recordOutcome'
   | 'recordNotRun';
 
-/** Carries out the chart's actions, one function each. */
+/** Implementations of the actions. */
 export type RequestActions = Readonly<Record<RequestAction, () => void>>;
 
-/** The chart of a request, ready to be interpreted. */
+/** The state machine of a request. */
 export const requestChart = new StateChart<
   RequestState,
   RequestEvent,
   RequestAction
 >(chartDefinition);
 
-/** Holds the state of one request and runs the actions that events lead to. */
+/** Tracks the state of one request and runs the actions of its transitions. */
 export class RequestLifecycle {
   private readonly instance = new ChartInstance(requestChart);
 
@@ -64,7 +63,7 @@
     return this.instance.state;
   }
 
-  /** Applies an event; false when it has no meaning in the present state. */
+  /** Applies an event; returns false when the current state doesn't handle it. */
   send(event: RequestEvent): boolean {
     const step = this.instance.send(event);
     for (const action of step.actions) {
--- a/src/features/callers/common/serviceDispatcher.ts
+++ b/src/features/callers/common/serviceDispatcher.ts
@@ -4,33 +4,33 @@
 import {ClassOfWork} from '../../configuration/common/configuration.js';
 import {RequestFailure} from '../../requests/common/failure.js';
 
-/** Calls to plain services, as accepted from callers. */
+/** Dispatch of callers' calls to plain services. */
 
-/** One call to pass on to a replica of a plain service. */
+/** A call to forward to a replica of a plain service. */
 export interface ServiceCallRequest {
   /** Unique for each attempt by a caller. */
   readonly requestId: string;
   readonly service: string;
   readonly method: string;
-  /** Path and query after the service's name; starts with `/` and holds no dot segments. */
+  /** Path and query after the service name; starts with `/` and contains no dot segments. */
   readonly path: string;
   readonly contentType: string | undefined;
   readonly body: string;
   /** The caller's Idempotency-Key, or undefined. */
   readonly idempotencyKey: string | undefined;
-  /** What the key stands for, to tell a resubmission from another request with the key. */
+  /** Fingerprint of the request, to tell a resubmission from a different request with the same key. */
   readonly fingerprint?: string | undefined;
   readonly clientAccount: string;
   readonly classOfWork: ClassOfWork;
-  /** Whether both the class and the call may be run again; only then may it be retried after it may have run. */
+  /** Whether both the class and the call allow repeats; only then is a call retried that may have run. */
   readonly repeatable: boolean;
-  /** Monotonic milliseconds by which the whole answer is due. */
+  /** Monotonic milliseconds by which the complete response is due. */
   readonly deadlineAt: number;
 }
 
-/** Sends a call to a replica of its service, with retries only where they are safe. */
+/** Sends calls to replicas of their service and retries only where a repeat is safe. */
 export abstract class ServiceDispatcher {
-  /** Resolves with the whole answer, or with a failure that says truthfully whether it ran. */
+  /** Resolves with the complete response, or with a failure that states whether the call was executed. */
   abstract dispatch(
     request: ServiceCallRequest,
     token: CancellationToken,
--- a/src/features/callers/common/serviceCalls.ts
+++ b/src/features/callers/common/serviceTarget.ts
@@ -1,9 +1,9 @@
 import {Finding} from '../../../base/common/finding.js';
 import {failure, Result, success} from '../../../base/common/result.js';
 
-/** Reading of calls to plain services. */
+/** Parses the URLs of calls to plain services. */
 
-/** The service and the path after its name, query included. */
+/** The service name and the path after it, including the query. */
 export interface ServiceTarget {
   readonly service: string;
   readonly path: string;
@@ -11,11 +11,11 @@
 
 const SERVICE_PREFIX = '/v1/services/';
 const PATH_CHARACTERS = /^[\x21-\x7e]*$/;
-const AMBIGUOUS_STEP = /(^|\/)(\.|%2e){1,2}(\/|$)|\/\/|\\|%2f|%5c/i;
+const AMBIGUOUS_SEGMENT = /(^|\/)(\.|%2e){1,2}(\/|$)|\/\/|\\|%2f|%5c/i;
 
 /**
- * Splits a request's URL. Paths that a service could read as another path than the router does
- * (dot segments, encoded slashes) are refused: whether a call may be repeated hangs on its path.
+ * Splits a request URL into service and path. Refuses paths that a service could resolve differently
+ * from the router (dot segments, encoded slashes), because the path decides whether a call may be repeated.
  */
 export function readServiceTarget(
   url: string,
@@ -23,10 +23,10 @@
   const rest = url.slice(SERVICE_PREFIX.length);
   const end = rest.search(/[/?]/);
   const service = end < 0 ? rest : rest.slice(0, end);
-  const after = end < 0 ? '/' : rest.slice(end);
-  const path = after.startsWith('/') ? after : `/${after}`;
+  const suffix = end < 0 ? '/' : rest.slice(end);
+  const path = suffix.startsWith('/') ? suffix : `/${suffix}`;
   const [pathOnly] = path.split('?', 1);
-  if (!PATH_CHARACTERS.test(path) || AMBIGUOUS_STEP.test(pathOnly!)) {
+  if (!PATH_CHARACTERS.test(path) || AMBIGUOUS_SEGMENT.test(pathOnly!)) {
     return failure([
       {
         source: 'url',
--- a/src/features/callers/common/tokenText.ts
+++ b/src/features/callers/common/tokenText.ts
@@ -1,11 +1,11 @@
 import {ChatMessage} from '../../requests/common/request.js';
 
-/** Between texts and tokens: a token is a word, and words are joined by one space. */
+/** Converts between text and tokens: each word is a token, and words are joined by one space. */
 
 const WORD_PATTERN = /\S+/g;
 const SEPARATOR = ' ';
 
-/** Splits messages into token texts; the role opens each message. */
+/** Splits messages into tokens; each message starts with a token for its role. */
 export function promptTokens(
   messages: readonly ChatMessage[],
 ): readonly string[] {
@@ -15,12 +15,12 @@
   ]);
 }
 
-/** What a token adds to the text of a reply; the parts of all tokens make the whole text. */
+/** The text that a token adds to a reply; the concatenation over all tokens equals {@link replyText}. */
 export function tokenText(token: string, index: number): string {
   return index === 0 ? token : `${SEPARATOR}${token}`;
 }
 
-/** The whole text of a reply. */
+/** The complete text of a reply. */
 export function replyText(tokens: readonly string[]): string {
   return tokens.join(SEPARATOR);
 }
--- a/src/features/callers/node/accountIndex.ts
+++ b/src/features/callers/node/accountIndex.ts
@@ -5,12 +5,12 @@
   Configuration,
 } from '../../configuration/common/configuration.js';
 
-/** Finds the client account of a bearer key by the key's SHA-256; the key itself is not kept. */
+/** Looks up client accounts by the SHA-256 of their bearer key, so that no key is stored. */
 export class AccountIndex {
   private configuration: Configuration | undefined;
   private byHash: ReadonlyMap<string, ClientAccount> = new Map();
 
-  /** The account that a key belongs to under a configuration. */
+  /** Returns the account of a key; rebuilds the index when the configuration has changed. */
   find(
     configuration: Configuration,
     bearerKey: string,
--- a/src/features/callers/node/bodyReader.ts
+++ b/src/features/callers/node/bodyReader.ts
@@ -5,8 +5,8 @@
 import {invalidRequest, notExecuted} from '../common/failureBody.js';
 
 /**
- * Reads a request's body as UTF-8 text up to a limit; past the limit it stops reading. Resolves to
- * undefined when the caller has gone.
+ * Reads a request body as UTF-8 text and stops reading once it exceeds the limit. Resolves to undefined
+ * when the caller disconnects.
  */
 export async function readBody(
   request: IncomingMessage,
@@ -16,9 +16,9 @@
     return failure(notExecuted({kind: 'tooLarge', limitBytes}));
   }
   const chunks: Buffer[] = [];
-  const ending = await collect(request, limitBytes, chunks);
-  switch (ending) {
-    case 'whole':
+  const outcome = await collectChunks(request, limitBytes, chunks);
+  switch (outcome) {
+    case 'complete':
       return decode(Buffer.concat(chunks));
     case 'tooLarge':
       return failure(notExecuted({kind: 'tooLarge', limitBytes}));
@@ -27,13 +27,13 @@
   }
 }
 
-type BodyEnding = 'whole' | 'tooLarge' | 'callerGone';
+type ReadOutcome = 'complete' | 'tooLarge' | 'callerGone';
 
-function collect(
+function collectChunks(
   request: IncomingMessage,
   limitBytes: number,
   chunks: Buffer[],
-): Promise<BodyEnding> {
+): Promise<ReadOutcome> {
   return new Promise(resolve => {
     let size = 0;
     request.on('data', (chunk: Buffer) => {
@@ -46,7 +46,7 @@
       request.removeAllListeners('data');
       resolve('tooLarge');
     });
-    request.once('end', () => resolve('whole'));
+    request.once('end', () => resolve('complete'));
     request.once('error', () => resolve('callerGone'));
     request.once('close', () => resolve('callerGone'));
   });
--- a/src/features/callers/node/callerAuthenticator.ts
+++ b/src/features/callers/node/callerAuthenticator.ts
@@ -12,11 +12,11 @@
 import {invalidRequest, notExecuted} from '../common/failureBody.js';
 import {AccountIndex} from './accountIndex.js';
 
-/** Tells which client account a request comes from. */
+/** Authenticates requests by their bearer key. */
 export class CallerAuthenticator {
   private readonly index = new AccountIndex();
 
-  /** The account, or why the request counts as nobody's. */
+  /** Returns the client account of a request, or the reason why authentication failed. */
   authenticate(
     headers: HeaderIndex,
     configuration: Configuration,
--- a/src/features/callers/node/callerServices.ts
+++ b/src/features/callers/node/callerDependencies.ts
@@ -7,17 +7,17 @@
 import {RequestGate} from '../common/requestGate.js';
 import {ServiceDispatcher} from '../common/serviceDispatcher.js';
 
-/** Settings of the callers' side. */
+/** Settings of the caller API. */
 export interface CallerSettings {
-  /** IP address and port for callers. */
+  /** IP address and port that callers connect to. */
   readonly callerAddress: string;
   readonly bodyLimitBytes: number;
   readonly concurrentRequestLimit: number;
   readonly entrypointsSeconds: number;
 }
 
-/** The parts that the callers' side works with. */
-export interface CallerServices {
+/** Dependencies of the caller API. */
+export interface CallerDependencies {
   readonly settings: CallerSettings;
   readonly views: SystemViewSource;
   readonly gate: RequestGate;
--- a/src/features/callers/node/callerResponse.ts
+++ b/src/features/callers/node/callerResponse.ts
@@ -2,26 +2,26 @@
 
 import {Clock} from '../../../base/common/clock.js';
 import {RequestFailure} from '../../requests/common/failure.js';
-import {CallerAnswer} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimAnswers.js';
 import {
   failureStatus,
   retryAfterSeconds,
   toFailureBody,
 } from '../common/failureBody.js';
 
-/** Milliseconds for which a caller may leave a full buffer unread. */
-const STALL_LIMIT_MILLISECONDS = 10000;
+/** Milliseconds for which a caller may leave a full send buffer unread. */
+const STALL_TIMEOUT_MILLISECONDS = 10000;
 
-/** Milliseconds for which a connection stays open after a refusal whose request was not read whole. */
-const LINGER_MILLISECONDS = 500;
+/** Milliseconds for which a connection stays open after a refusal that left the request body unread. */
+const REFUSAL_LINGER_MILLISECONDS = 500;
 
 const JSON_TYPE = 'application/json; charset=utf-8';
 const EVENT_TYPE = 'text/event-stream; charset=utf-8';
 
-/** Header that names the request in answers and logs. */
+/** Response header with the request ID that the logs use. */
 const REQUEST_ID_HEADER = 'Redwing-Request-Id';
 
-/** One answer to a caller; buffers at most what the connection's high-water mark allows. */
+/** A response to a caller. Buffers events only up to the high-water mark of the connection. */
 export class CallerResponse {
   constructor(
     private readonly response: ServerResponse,
@@ -29,11 +29,11 @@
     private readonly isLeaving: () => boolean,
     private readonly onDidStall: () => void = () => undefined,
   ) {
-    // A write that races with the caller's going reports it as an error event; `close` tells it already.
+    // A write after the caller disconnects emits an error; the `close` event already reports the disconnect.
     response.on('error', () => undefined);
   }
 
-  /** The status sent, or 0 when none was. */
+  /** The HTTP status sent, or 0 before the headers are sent. */
   get status(): number {
     return this.response.headersSent ? this.response.statusCode : 0;
   }
@@ -42,19 +42,18 @@
     this.response.setHeader(REQUEST_ID_HEADER, requestId);
   }
 
-  /** Sends a whole answer. */
-  sendWhole(answer: CallerAnswer): void {
-    this.writeHead(answer.status, answer.contentType, answer.body);
-    this.finish(answer.body);
+  /** Sends a complete response. */
+  sendContent(content: ResponseContent): void {
+    this.writeHead(content.status, content.contentType, content.body);
+    this.endWith(content.body);
   }
 
-  /** Sends a JSON body. */
   sendJson(status: number, body: unknown): void {
     const text = JSON.stringify(body);
-    this.sendWhole({status, contentType: JSON_TYPE, body: text});
+    this.sendContent({status, contentType: JSON_TYPE, body: text});
   }
 
-  /** Sends a failure. When the request's body was left unread the connection closes after it. */
+  /** Sends a failure; closes the connection afterwards when the request body has not been read completely. */
   sendFailure(failure: RequestFailure): void {
     const seconds = retryAfterSeconds(failure);
     if (seconds !== undefined) {
@@ -71,31 +70,31 @@
     this.sendAndLinger(failureStatus(failure), JSON.stringify(body));
   }
 
-  /** Starts a stream of events. */
-  openEvents(firstEvent: string): void {
+  /** Sends the headers of an event stream and its first event. */
+  startEventStream(firstEvent: string): void {
     this.response.setHeader('Cache-Control', 'no-store');
     this.writeHead(200, EVENT_TYPE);
     this.response.write(firstEvent);
   }
 
-  /** Writes an event; the promise holds until the caller has read enough, or has gone. */
+  /** Writes an event. The promise, if any, settles once the send buffer drains or the caller disconnects. */
   writeEvent(event: string): void | Promise<void> {
     if (this.response.destroyed || this.response.write(event)) {
       return undefined;
     }
-    return this.drained();
+    return this.waitForDrain();
   }
 
-  /** Ends the answer. */
-  finish(last: string): void {
-    const timer = this.clock.setTimer(STALL_LIMIT_MILLISECONDS, () =>
+  /** Ends the response; drops the connection if the caller doesn't read the rest in time. */
+  endWith(finalChunk: string): void {
+    const timer = this.clock.setTimer(STALL_TIMEOUT_MILLISECONDS, () =>
       this.response.destroy(),
     );
     this.response.once('close', () => timer.dispose());
-    this.response.end(last, () => timer.dispose());
+    this.response.end(finalChunk, () => timer.dispose());
   }
 
-  /** Closes the connection without an orderly end. */
+  /** Drops the connection without completing the response. */
   destroy(): void {
     this.response.destroy();
   }
@@ -111,21 +110,21 @@
     }
   }
 
-  /** Closing at once with unread input would reset the connection and could lose the answer. */
+  /** Delays the close: closing a socket with unread input resets the connection, which can lose the response. */
   private sendAndLinger(status: number, body: string): void {
     this.response.req.pause();
     this.response.setHeader('Connection', 'close');
     this.writeHead(status, JSON_TYPE, body);
     this.response.write(body);
-    const timer = this.clock.setTimer(LINGER_MILLISECONDS, () =>
+    const timer = this.clock.setTimer(REFUSAL_LINGER_MILLISECONDS, () =>
       this.response.end(),
     );
     this.response.once('close', () => timer.dispose());
   }
 
-  private drained(): Promise<void> {
+  private waitForDrain(): Promise<void> {
     return new Promise(resolve => {
-      const timer = this.clock.setTimer(STALL_LIMIT_MILLISECONDS, () => {
+      const timer = this.clock.setTimer(STALL_TIMEOUT_MILLISECONDS, () => {
         this.onDidStall();
         settle();
       });
@@ -143,8 +142,8 @@
 
 function hasUnreadBody(request: IncomingMessage): boolean {
   const {headers} = request;
-  const announced =
+  const hasBody =
     headers['transfer-encoding'] !== undefined ||
     Number(headers['content-length'] ?? 0) > 0;
-  return announced && !request.complete;
+  return hasBody && !request.complete;
 }
--- a/src/features/callers/node/callerServer.ts
+++ b/src/features/callers/node/callerServer.ts
@@ -6,56 +6,57 @@
 import {maybeExecuted, notExecuted} from '../common/failureBody.js';
 import {CallerAuthenticator} from './callerAuthenticator.js';
 import {CallerResponse} from './callerResponse.js';
-import {CallerServices} from './callerServices.js';
+import {CallerDependencies} from './callerDependencies.js';
 import {ChatHandler} from './chatHandler.js';
-import {ConnectionWatch} from './connectionWatch.js';
-import {OpenConnections} from './openConnections.js';
+import {PipeliningGuard} from './pipeliningGuard.js';
+import {ConnectionTracker} from './connectionTracker.js';
 import {QueryHandlers} from './queryHandlers.js';
 import {RequestExchange} from './requestExchange.js';
 import {ServiceHandler} from './serviceHandler.js';
 
-/** Milliseconds for a caller to send a whole request. */
-const REQUEST_LIMIT_MILLISECONDS = 30000;
+/** Milliseconds within which a caller must send a complete request. */
+const REQUEST_TIMEOUT_MILLISECONDS = 30000;
 
-/** Milliseconds for a caller to send the headers. */
-const HEADERS_LIMIT_MILLISECONDS = 10000;
+/** Milliseconds within which a caller must send the headers. */
+const HEADERS_TIMEOUT_MILLISECONDS = 10000;
 
-/** Milliseconds for which an idle connection stays open; callers are told whole seconds of it. */
-const KEEP_ALIVE_MILLISECONDS = 3000;
+/** Milliseconds for which an idle connection stays open; the Keep-Alive header states whole seconds. */
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 3000;
 
-/** Milliseconds of a stop in which callers may still use the connections that they kept. */
-const STOP_MILLISECONDS = KEEP_ALIVE_MILLISECONDS + 500;
+/** Milliseconds of a shutdown in which callers may still send requests on kept-alive connections. */
+const KEPT_CONNECTION_GRACE_MILLISECONDS =
+  KEEP_ALIVE_TIMEOUT_MILLISECONDS + 500;
 
-/** Open connections for each request that may be in progress. */
+/** Maximum number of open connections per permitted concurrent request. */
 const CONNECTIONS_PER_REQUEST = 4;
 
-/** Routes whose match is remembered; the paths of keys vary without end. */
+/** Capacity of the route cache; it is bounded because each idempotency key has a path of its own. */
 const ROUTE_CACHE_SIZE = 100;
 
-/** Milliseconds that given-up requests have to send their last answer. */
-const LAST_ANSWER_MILLISECONDS = 1000;
+/** Milliseconds for aborted requests to send their final response. */
+const FINAL_RESPONSE_TIMEOUT_MILLISECONDS = 1000;
 
-/** The callers' HTTP server. */
+/** The HTTP server for callers. */
 export class CallerServer {
   private readonly running = new Set<RequestExchange>();
   private readonly server: Server;
-  private readonly connections: OpenConnections;
+  private readonly connections: ConnectionTracker;
 
-  constructor(private readonly services: CallerServices) {
+  constructor(private readonly services: CallerDependencies) {
     this.server = createServer({
-      requestTimeout: REQUEST_LIMIT_MILLISECONDS,
-      headersTimeout: HEADERS_LIMIT_MILLISECONDS,
-      keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
+      requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
+      headersTimeout: HEADERS_TIMEOUT_MILLISECONDS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
     });
     const {concurrentRequestLimit} = services.settings;
     this.server.maxConnections =
       concurrentRequestLimit * CONNECTIONS_PER_REQUEST;
-    new ConnectionWatch(this.server);
-    this.connections = new OpenConnections(this.server);
+    new PipeliningGuard(this.server);
+    this.connections = new ConnectionTracker(this.server);
     this.addRoutes();
   }
 
-  /** Listens; resolves with the port. */
+  /** Starts to listen; resolves with the port. */
   async listen(host: string, port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -69,27 +70,31 @@
   }
 
   /**
-   * Refuses new work, waits for requests in progress up to a limit, gives up what is left and
-   * closes. Kept connections are closed only when a caller wouldn't use them any more: a request
-   * cut off unanswered leaves open whether it ran. Resolves with the number of requests given up.
+   * Refuses new work, waits for requests in progress up to a limit, aborts the remaining ones and closes.
+   * Kept-alive connections stay open until callers no longer reuse them: a caller whose request is cut off
+   * without a response can't know whether it ran. Resolves with the number of aborted requests.
    */
   async drain(limitMilliseconds: number): Promise<number> {
     const {clock, gate} = this.services;
-    const stopAt = clock.monotonicMilliseconds() + STOP_MILLISECONDS;
+    const graceEndsAt =
+      clock.monotonicMilliseconds() + KEPT_CONNECTION_GRACE_MILLISECONDS;
     const idle = gate.drain();
-    await settledWithin(idle, limitMilliseconds, clock);
+    await waitAtMost(idle, limitMilliseconds, clock);
     const givenUp = gate.count;
     for (const exchange of this.running) {
-      exchange.giveUp({kind: 'shuttingDown'});
+      exchange.abort({kind: 'shuttingDown'});
     }
     if (givenUp > 0) {
-      await settledWithin(idle, LAST_ANSWER_MILLISECONDS, clock);
+      await waitAtMost(idle, FINAL_RESPONSE_TIMEOUT_MILLISECONDS, clock);
     }
-    const left = Math.max(0, stopAt - clock.monotonicMilliseconds());
-    await settledWithin(this.connections.whenNone(), left, clock);
+    const remainingGrace = Math.max(
+      0,
+      graceEndsAt - clock.monotonicMilliseconds(),
+    );
+    await waitAtMost(this.connections.whenAllClosed(), remainingGrace, clock);
     this.connections.stopListening();
-    const unused = this.connections.whenNone();
-    await settledWithin(unused, LAST_ANSWER_MILLISECONDS, clock);
+    const allClosed = this.connections.whenAllClosed();
+    await waitAtMost(allClosed, FINAL_RESPONSE_TIMEOUT_MILLISECONDS, clock);
     await this.close();
     return givenUp;
   }
@@ -113,7 +118,7 @@
       routerCacheSize: ROUTE_CACHE_SIZE,
       defaultRoute: (_request, response) => this.sendNotFound(response),
       errorHandler: (error, _request, response) =>
-        this.sendUnexpected(error, response),
+        this.sendInternalError(error, response),
     });
     routes.get('/v1/health', (_request, response) => queries.health(response));
     routes.get('/v1/entrypoints', (request, response) =>
@@ -132,29 +137,31 @@
 
   private sendNotFound(response: ServerResponse): void {
     const what = 'such call; see docs/CALLERS.md';
-    this.open(response).sendFailure(notExecuted({kind: 'notFound', what}));
+    this.createResponse(response).sendFailure(
+      notExecuted({kind: 'notFound', what}),
+    );
   }
 
-  private sendUnexpected(error: Error, response: ServerResponse): void {
+  private sendInternalError(error: Error, response: ServerResponse): void {
     this.services.logger.error('unexpected error', {detail: error.message});
     if (response.headersSent) {
       response.destroy();
       return;
     }
     const detail = 'internal error';
-    this.open(response).sendFailure(
+    this.createResponse(response).sendFailure(
       maybeExecuted({kind: 'upstreamFailed', detail}),
     );
   }
 
-  private open(response: ServerResponse): CallerResponse {
+  private createResponse(response: ServerResponse): CallerResponse {
     const {clock, gate} = this.services;
     return new CallerResponse(response, clock, () => gate.isLeaving);
   }
 }
 
-/** Waits for a promise, for a time at most; leaves no timer behind. */
-async function settledWithin(
+/** Waits for a promise until a timeout; disposes the timer when the promise settles first. */
+async function waitAtMost(
   promise: Promise<void>,
   milliseconds: number,
   clock: Clock,
--- a/src/features/callers/node/chatHandler.ts
+++ b/src/features/callers/node/chatHandler.ts
@@ -6,13 +6,13 @@
 import {missingKeyFinding} from '../common/callerHeaders.js';
 import {ReplyIdentity, toChatCompletion} from '../common/chatReply.js';
 import {ChatRequest, readChatRequest} from '../common/chatRequest.js';
-import {CallerAnswer} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimAnswers.js';
 import {invalidRequest} from '../common/failureBody.js';
 import {promptTokens} from '../common/tokenText.js';
 import {
-  ChatEventFormat,
+  StreamedChatFormat,
   ReplyFormat,
-  WholeChatFormat,
+  BufferedChatFormat,
 } from '../common/replyFormat.js';
 import {fingerprintOf, RequestIdentity} from './requestFingerprint.js';
 import {ExchangePlan} from './requestExchange.js';
@@ -21,7 +21,7 @@
 const JSON_TYPE = 'application/json; charset=utf-8';
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** `POST /v1/chat/completions`, whole and as server-sent events. */
+/** `POST /v1/chat/completions`, as one body or as server-sent events. */
 export class ChatHandler extends WorkHandler {
   protected override readonly name = 'chat';
 
@@ -50,22 +50,22 @@
       arrivedAt: input.arrivedAt,
       deadlineAt,
     };
-    return success(this.planFor(request, chat.value, input));
+    return success(this.createPlan(request, chat.value, input));
   }
 
-  private planFor(
+  private createPlan(
     request: ModelRequest,
     chat: ChatRequest,
     {method}: WorkInput,
   ): ExchangePlan {
-    const identity = this.identify(request);
+    const identity = this.createReplyIdentity(request);
     return {
       claimedKey: this.claimedKey({
         ...request,
-        fingerprint: () => fingerprintOf(chatIdentity(request, method)),
+        fingerprint: () => fingerprintOf(toRequestIdentity(request, method)),
       }),
       deadlineAt: request.deadlineAt,
-      format: chooseFormat(chat, identity),
+      format: createReplyFormat(chat, identity),
       work: (sink, token) => this.run(request, identity, sink, token),
     };
   }
@@ -75,21 +75,19 @@
     identity: ReplyIdentity,
     sink: TokenSink,
     token: CancellationToken,
-  ): Promise<Result<CallerAnswer, RequestFailure>> {
+  ): Promise<Result<ResponseContent, RequestFailure>> {
     const reply = await this.services.driver.run(request, sink, token);
     if (!reply.ok) {
       return reply;
     }
     if (reply.value.requestId !== request.requestId) {
-      throw new Error(
-        'The pipeline answered with the reply to another request',
-      );
+      throw new Error('The pipeline returned the reply of another request');
     }
     const body = JSON.stringify(toChatCompletion(identity, reply.value));
     return success({status: 200, contentType: JSON_TYPE, body});
   }
 
-  private identify(request: ModelRequest): ReplyIdentity {
+  private createReplyIdentity(request: ModelRequest): ReplyIdentity {
     const wall = this.services.clock.wallMilliseconds();
     return {
       requestId: request.requestId,
@@ -100,21 +98,32 @@
   }
 }
 
-/** The fields that the reply hangs on; a recorded reply may be asked for whole or as events. */
-function chatIdentity(request: ModelRequest, method: string): RequestIdentity {
+/** The fields that determine the reply. Streaming isn't one: a recorded reply can be sent in either format. */
+function toRequestIdentity(
+  request: ModelRequest,
+  method: string,
+): RequestIdentity {
   const {model, adapter, messages, maximumOutputTokens} = request;
-  const read = [model.name, adapter ?? null, messages, maximumOutputTokens];
+  const outputFields = [
+    model.name,
+    adapter ?? null,
+    messages,
+    maximumOutputTokens,
+  ];
   return {
     kind: 'chat',
     method,
     path: '',
-    body: JSON.stringify(read),
+    body: JSON.stringify(outputFields),
     classOfWork: request.classOfWork.name,
   };
 }
 
-function chooseFormat(chat: ChatRequest, identity: ReplyIdentity): ReplyFormat {
+function createReplyFormat(
+  chat: ChatRequest,
+  identity: ReplyIdentity,
+): ReplyFormat {
   return chat.stream
-    ? new ChatEventFormat(identity, chat.includeUsage)
-    : new WholeChatFormat();
+    ? new StreamedChatFormat(identity, chat.includeUsage)
+    : new BufferedChatFormat();
 }
--- a/src/features/callers/node/openConnections.ts
+++ b/src/features/callers/node/connectionTracker.ts
@@ -1,10 +1,10 @@
 import {Server} from 'node:http';
 import {Server as NetServer, Socket} from 'node:net';
 
-/** The open connections of an HTTP server, for stops that answer what callers have already sent. */
-export class OpenConnections {
+/** Tracks the open connections of an HTTP server, so that a shutdown can respond to requests already sent. */
+export class ConnectionTracker {
   private readonly sockets = new Set<Socket>();
-  private notifyNone: () => void = () => undefined;
+  private resolveAllClosed: () => void = () => undefined;
 
   constructor(private readonly server: Server) {
     server.on('connection', (socket: Socket) => {
@@ -13,27 +13,27 @@
     });
   }
 
-  /** Resolves when none is open. */
-  whenNone(): Promise<void> {
+  /** Resolves once no connection is open. */
+  whenAllClosed(): Promise<void> {
     return new Promise(resolve => {
-      this.notifyNone = resolve;
-      this.notifyWhenNone();
+      this.resolveAllClosed = resolve;
+      this.notifyIfAllClosed();
     });
   }
 
-  /** Takes no further connections; unlike `server.close` it leaves idle ones open. */
+  /** Stops accepting connections; unlike `server.close`, leaves idle connections open. */
   stopListening(): void {
     NetServer.prototype.close.call(this.server);
   }
 
   private remove(socket: Socket): void {
     this.sockets.delete(socket);
-    this.notifyWhenNone();
+    this.notifyIfAllClosed();
   }
 
-  private notifyWhenNone(): void {
+  private notifyIfAllClosed(): void {
     if (this.sockets.size === 0) {
-      this.notifyNone();
+      this.resolveAllClosed();
     }
   }
 }
--- a/src/features/callers/node/keyClaim.ts
+++ b/src/features/callers/node/keyClaim.ts
@@ -3,65 +3,65 @@
 import {RequestOutcome} from '../../requests/common/request.js';
 import {
   answerForClaim,
-  ClaimAnswer,
+  ClaimAction,
   IncarnationAddress,
 } from '../common/claimAnswers.js';
 
-/** The key that is claimed before anything is dispatched. */
+/** An idempotency key to claim before the request is dispatched. */
 export interface ClaimedKey {
   readonly clientAccount: string;
   readonly key: string;
-  /** What the key stands for. */
+  /** Fingerprint of the request that uses the key. */
   readonly fingerprint: string;
 }
 
-/** What a claim works with. */
-export interface KeyClaimServices {
+/** Dependencies of {@link KeyClaim}. */
+export interface KeyClaimDependencies {
   readonly claims: ClaimService;
   readonly addressOf: IncarnationAddress;
-  /** Told of faults in our own code; never of a caller's. */
-  readonly onUnexpected: (error: unknown) => void;
+  /** Reports internal errors; errors of callers are never reported here. */
+  readonly onUnexpectedError: (error: unknown) => void;
 }
 
-const RETRY_MILLISECONDS = 1000;
+const INTERNAL_ERROR_RETRY_MILLISECONDS = 1000;
 
-/** The claim of one request on its key; its outcome is recorded once, and only when it was granted. */
+/** The claim of one request on its idempotency key. Records the outcome of a granted claim exactly once. */
 export class KeyClaim {
-  private outstanding = false;
+  private isOutcomePending = false;
 
   constructor(
-    private readonly claimed: ClaimedKey,
-    private readonly services: KeyClaimServices,
+    private readonly claimedKey: ClaimedKey,
+    private readonly services: KeyClaimDependencies,
   ) {}
 
-  /** Asks for the key and says what to answer. */
-  async decide(token: CancellationToken): Promise<ClaimAnswer> {
+  /** Requests the key and returns what to do with the request. */
+  async decide(token: CancellationToken): Promise<ClaimAction> {
     const decision = await this.ask(token);
-    this.outstanding = decision.kind === 'granted';
+    this.isOutcomePending = decision.kind === 'granted';
     return answerForClaim(decision, this.services.addressOf);
   }
 
   /** Records the outcome of a granted key; later calls have no effect. */
   record(outcome: RequestOutcome): void {
-    if (!this.outstanding) {
+    if (!this.isOutcomePending) {
       return;
     }
-    this.outstanding = false;
-    const {clientAccount, key} = this.claimed;
+    this.isOutcomePending = false;
+    const {clientAccount, key} = this.claimedKey;
     this.services.claims.complete(clientAccount, key, outcome);
   }
 
   private async ask(token: CancellationToken): Promise<ClaimDecision> {
     try {
-      const {clientAccount, key, fingerprint} = this.claimed;
+      const {clientAccount, key, fingerprint} = this.claimedKey;
       const {claims} = this.services;
       return await claims.claim(clientAccount, key, token, fingerprint);
     } catch (error) {
-      this.services.onUnexpected(error);
+      this.services.onUnexpectedError(error);
       return {
         kind: 'undecided',
         detail: 'internal error',
-        retryAfterMilliseconds: RETRY_MILLISECONDS,
+        retryAfterMilliseconds: INTERNAL_ERROR_RETRY_MILLISECONDS,
       };
     }
   }
--- a/src/features/callers/node/keyedRefusals.ts
+++ b/src/features/callers/node/preClaimRefusals.ts
@@ -1,28 +1,29 @@
 import {RequestFailure} from '../../requests/common/failure.js';
 import {HeaderIndex, headerNames} from '../common/callerHeaders.js';
 import {CallerAuthenticator} from './callerAuthenticator.js';
-import {CallerServices} from './callerServices.js';
+import {CallerDependencies} from './callerDependencies.js';
 
 /**
- * States refusals that come before a key is claimed. A key may be running or have run, here or elsewhere, under
- * an earlier submission; then `executed: no` would be untrue of the request, though this submission ran nothing.
+ * Sets the execution status of refusals that are sent before the key is claimed. An earlier submission with the
+ * key may be running or have run on any instance. `executed: no` would then be wrong for the request, although
+ * this submission executed nothing.
  */
-export class KeyedRefusals {
+export class PreClaimRefusals {
   constructor(
-    private readonly services: Pick<CallerServices, 'claims' | 'views'>,
+    private readonly services: Pick<CallerDependencies, 'claims' | 'views'>,
     private readonly authenticator: CallerAuthenticator,
   ) {}
 
-  /** The refusal, with `executed: unknown` where the request has a key of which more isn't known. */
+  /** Returns the refusal; with `executed: unknown` when the request has a key that may have been used. */
   state(refusal: RequestFailure, headers: HeaderIndex): RequestFailure {
     const name = headerNames.idempotencyKey.toLowerCase();
     const key = headers.values.get(name);
-    return key === undefined || this.isSurelyNotRun(key, headers)
+    return key === undefined || this.isKnownNotRun(key, headers)
       ? refusal
       : {...refusal, executed: 'unknown'};
   }
 
-  private isSurelyNotRun(key: string, headers: HeaderIndex): boolean {
+  private isKnownNotRun(key: string, headers: HeaderIndex): boolean {
     const {claims, views} = this.services;
     const configuration = views.current?.configuration;
     if (configuration === undefined) {
--- a/src/features/callers/node/queryHandlers.ts
+++ b/src/features/callers/node/queryHandlers.ts
@@ -5,7 +5,10 @@
 import {ClientAccount} from '../../configuration/common/configuration.js';
 import {RequestFailure} from '../../requests/common/failure.js';
 import {RequestOutcome} from '../../requests/common/request.js';
-import {IDEMPOTENCY_KEY_LIMIT, indexHeaders} from '../common/callerHeaders.js';
+import {
+  MAX_IDEMPOTENCY_KEY_LENGTH,
+  indexHeaders,
+} from '../common/callerHeaders.js';
 import {
   maybeExecuted,
   notExecuted,
@@ -14,43 +17,46 @@
 import {GATE_RETRY_MILLISECONDS} from '../common/requestGate.js';
 import {CallerAuthenticator} from './callerAuthenticator.js';
 import {CallerResponse} from './callerResponse.js';
-import {CallerServices} from './callerServices.js';
+import {CallerDependencies} from './callerDependencies.js';
 
-/** Milliseconds that a look-up of a key may take. */
-const LOOK_UP_LIMIT_MILLISECONDS = 5000;
+/** Timeout of the lookup of a key. */
+const LOOK_UP_TIMEOUT_MILLISECONDS = 5000;
 
-const OUTCOME_PREFIX = '/v1/requests/';
+const OUTCOME_PATH_PREFIX = '/v1/requests/';
 
-/** The answer of `GET /v1/entrypoints`. */
+/** The response body of `GET /v1/entrypoints`. */
 export interface EntrypointsBody {
   /** Caller addresses, best first. */
   readonly addresses: readonly string[];
-  /** Seconds for which the answer may be kept. */
+  /** Seconds for which the response may be cached. */
   readonly keepSeconds: number;
-  /** Start of keys that the instance at `grantAddress` alone may run; null while it takes no new work. */
+  /**
+   * Prefix of keys that only the instance at `grantAddress` may run; null while this instance accepts no new
+   * work.
+   */
   readonly grant: string | null;
   readonly grantAddress: string | null;
 }
 
-/** The calls that only ask: entrypoints, the outcome of a key, health. */
+/** Handles the read-only calls: entrypoints, outcome of a key, health. */
 export class QueryHandlers {
-  /** Look-ups under way: one connection may send many before the first is answered. */
-  private lookUps = 0;
+  /** Number of lookups in progress; bounded because one connection can pipeline many. */
+  private activeLookUps = 0;
 
   constructor(
-    private readonly services: CallerServices,
+    private readonly services: CallerDependencies,
     private readonly authenticator: CallerAuthenticator,
   ) {}
 
   /** `GET /v1/entrypoints`. */
   entrypoints(request: IncomingMessage, response: ServerResponse): void {
-    const answer = this.open(response);
+    const callerResponse = this.createResponse(response);
     const account = this.authenticate(request);
     if (!account.ok) {
-      answer.sendFailure(account.error);
+      callerResponse.sendFailure(account.error);
       return;
     }
-    answer.sendJson(200, this.entrypointsFor(account.value.name));
+    callerResponse.sendJson(200, this.entrypointsFor(account.value.name));
   }
 
   /** `GET /v1/requests/{key}`. */
@@ -58,34 +64,34 @@
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const answer = this.open(response);
+    const callerResponse = this.createResponse(response);
     const account = this.authenticate(request);
     if (!account.ok) {
-      answer.sendFailure(account.error);
+      callerResponse.sendFailure(account.error);
       return;
     }
     const {concurrentRequestLimit} = this.services.settings;
-    if (this.lookUps >= concurrentRequestLimit) {
+    if (this.activeLookUps >= concurrentRequestLimit) {
       const detail = 'this instance has as many look-ups as it may';
       const error = {kind: 'cannotMeetTarget', detail} as const;
-      answer.sendFailure(maybeExecuted(error, GATE_RETRY_MILLISECONDS));
+      callerResponse.sendFailure(maybeExecuted(error, GATE_RETRY_MILLISECONDS));
       return;
     }
-    const key = readKey(request.url ?? '');
+    const key = parseKey(request.url ?? '');
     const outcome = await this.lookUp(account.value.name, key, response);
     if (outcome === undefined) {
       const what = 'request known with this key';
-      answer.sendFailure(maybeExecuted({kind: 'notFound', what}));
+      callerResponse.sendFailure(maybeExecuted({kind: 'notFound', what}));
       return;
     }
-    answer.sendJson(200, toOutcomeBody(key, outcome));
+    callerResponse.sendJson(200, toOutcomeBody(key, outcome));
   }
 
-  /** `GET /v1/health`: 200 while new work is taken. */
+  /** `GET /v1/health`: 200 while new work is accepted, otherwise 503. */
   health(response: ServerResponse): void {
     const {gate, views} = this.services;
     const status = gate.isServing ? 200 : 503;
-    this.open(response).sendJson(status, {
+    this.createResponse(response).sendJson(status, {
       serving: gate.isServing,
       leaving: gate.isLeaving,
       revision: views.current?.configuration.revision ?? 0,
@@ -93,7 +99,7 @@
     });
   }
 
-  private open(response: ServerResponse): CallerResponse {
+  private createResponse(response: ServerResponse): CallerResponse {
     const {clock, gate} = this.services;
     return new CallerResponse(response, clock, () => gate.isLeaving);
   }
@@ -125,12 +131,12 @@
     key: string,
     response: ServerResponse,
   ): Promise<RequestOutcome | undefined> {
-    if (key === '' || key.length > IDEMPOTENCY_KEY_LIMIT) {
+    if (key === '' || key.length > MAX_IDEMPOTENCY_KEY_LENGTH) {
       return undefined;
     }
-    this.lookUps += 1;
+    this.activeLookUps += 1;
     const source = new CancellationSource();
-    source.cancelAfter(LOOK_UP_LIMIT_MILLISECONDS, 'look-up took too long');
+    source.cancelAfter(LOOK_UP_TIMEOUT_MILLISECONDS, 'lookup timed out');
     response.once('close', () => source.cancel('callerGone'));
     try {
       return await this.services.claims.lookUp(
@@ -139,16 +145,16 @@
         source.token,
       );
     } finally {
-      this.lookUps -= 1;
+      this.activeLookUps -= 1;
       source.dispose();
     }
   }
 }
 
-function readKey(url: string): string {
+function parseKey(url: string): string {
   const [path] = url.split('?', 1);
   try {
-    return decodeURIComponent(path!.slice(OUTCOME_PREFIX.length));
+    return decodeURIComponent(path!.slice(OUTCOME_PATH_PREFIX.length));
   } catch {
     return '';
   }
--- a/src/features/callers/node/requestExchange.ts
+++ b/src/features/callers/node/requestExchange.ts
@@ -8,7 +8,7 @@
 import {RequestError, RequestFailure} from '../../requests/common/failure.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 import {errorEvent} from '../common/chatReply.js';
-import {CallerAnswer} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimAnswers.js';
 import {
   maybeExecuted,
   notExecuted,
@@ -17,18 +17,18 @@
 import {ReplyFormat} from '../common/replyFormat.js';
 import {RequestEvent, RequestLifecycle} from '../common/requestLifecycle.js';
 import {CallerResponse} from './callerResponse.js';
-import {ClaimedKey, KeyClaim, KeyClaimServices} from './keyClaim.js';
-import {sendRecorded, sendReply} from './replySending.js';
-import {settledWork, WorkResult} from './settledWork.js';
+import {ClaimedKey, KeyClaim, KeyClaimDependencies} from './keyClaim.js';
+import {sendRecordedReply, sendReply} from './sendReply.js';
+import {settleWork, WorkResult} from './settleWork.js';
 
-/** Milliseconds that given-up work has to say truthfully whether it ran, before the answer is sent without it. */
-const GIVE_UP_GRACE_MILLISECONDS = 50;
+/** Milliseconds for aborted work to report whether it ran, before the failure is sent as `executed: unknown`. */
+const ABORT_GRACE_MILLISECONDS = 50;
 
-/** What a valid request comes to. */
+/** How a valid request is to be executed and answered. */
 export interface ExchangePlan {
-  /** Undefined for work that may be repeated. */
+  /** Undefined for repeatable work. */
   readonly claimedKey: ClaimedKey | undefined;
-  /** Monotonic milliseconds by which the whole answer is due. */
+  /** Monotonic milliseconds by which the complete response is due. */
   readonly deadlineAt: number;
   readonly format: ReplyFormat;
   readonly work: (
@@ -37,12 +37,12 @@
   ) => Promise<WorkResult>;
 }
 
-/** What an exchange works with. */
-export interface ExchangeServices extends KeyClaimServices {
+/** Dependencies of {@link RequestExchange}. */
+export interface ExchangeDependencies extends KeyClaimDependencies {
   readonly clock: Clock;
 }
 
-/** How a request ended, for its log line. */
+/** Result of a request, for its log line. */
 export interface ExchangeSummary {
   readonly state: string;
   readonly failure: RequestFailure | undefined;
@@ -51,47 +51,48 @@
   readonly tokenCount: number;
 }
 
-/** One request of a caller and its answer; the life cycle chart decides what is done when. */
+/** A caller's request and its response; {@link RequestLifecycle} determines the actions on each event. */
 export class RequestExchange implements Disposable {
-  private readonly owned = new DisposableStore();
-  private readonly source = this.owned.add(new CancellationSource());
+  private readonly disposables = new DisposableStore();
+  private readonly source = this.disposables.add(new CancellationSource());
   private readonly lifecycle: RequestLifecycle;
   private plan: ExchangePlan | undefined;
   private keyClaim: KeyClaim | undefined;
   private failure: RequestFailure | undefined;
-  private answer: CallerAnswer | undefined;
-  private givenUpFor: RequestError | undefined;
-  private working = false;
+  private answer: ResponseContent | undefined;
+  private abortError: RequestError | undefined;
+  private isWorking = false;
   private firstTokenAt: number | undefined;
   private tokenCount = 0;
   private resolveEnded: () => void = () => undefined;
 
-  /** Resolves when the answer was handed over and no work of the request is left. */
+  /** Resolves once the response has been written and no work of the request is left. */
   readonly ended = new Promise<void>(resolve => {
     this.resolveEnded = resolve;
   });
 
   constructor(
     private readonly response: CallerResponse,
-    private readonly services: ExchangeServices,
+    private readonly services: ExchangeDependencies,
   ) {
     this.lifecycle = new RequestLifecycle({
       startClaim: () => void this.claim(),
       startWork: () => void this.work(),
       cancelWork: () => this.cancelWork(),
-      openStream: () => this.response.openEvents(this.plan!.format.opening()),
+      openStream: () =>
+        this.response.startEventStream(this.plan!.format.opening()),
       sendReply: () =>
         sendReply(response, this.plan!.format, this.answer!, this.tokenCount),
       sendRecorded: () =>
-        sendRecorded(response, this.plan!.format, this.answer!),
+        sendRecordedReply(response, this.plan!.format, this.answer!),
       sendFailure: () => this.response.sendFailure(this.failure!),
       sendErrorEvent: () =>
-        this.response.finish(errorEvent(toFailureBody(this.failure!))),
+        this.response.endWith(errorEvent(toFailureBody(this.failure!))),
       recordOutcome: () => this.keyClaim?.record(this.outcome()),
       recordNotRun: () =>
         this.keyClaim?.record({
           kind: 'failed',
-          failure: notExecuted(this.givenUpFor ?? {kind: 'callerGone'}),
+          failure: notExecuted(this.abortError ?? {kind: 'callerGone'}),
         }),
     });
   }
@@ -105,18 +106,18 @@
     };
   }
 
-  /** Answers with a failure before any work. */
+  /** Responds with a failure before any work has started. */
   refuse(failure: RequestFailure): void {
     this.failure = failure;
     this.send('refused');
   }
 
-  /** The caller is known; its request is being read. */
+  /** Marks the request as authenticated, before its body is read. */
   authenticated(): void {
     this.send('authenticated');
   }
 
-  /** Starts the work of a valid request, after its claim where one is needed. */
+  /** Starts the work of a valid request; claims its key first when it has one. */
   start(plan: ExchangePlan): void {
     this.plan = plan;
     const {claimedKey} = plan;
@@ -124,36 +125,41 @@
       this.keyClaim = new KeyClaim(claimedKey, this.services);
     }
     const {clock} = this.services;
-    const left = plan.deadlineAt - clock.monotonicMilliseconds();
-    const giveUp = () => this.giveUp({kind: 'deadlineExceeded'});
-    this.owned.add(clock.setTimer(Math.max(0, left), giveUp));
+    const remainingMilliseconds =
+      plan.deadlineAt - clock.monotonicMilliseconds();
+    const onDeadline = () => this.abort({kind: 'deadlineExceeded'});
+    this.disposables.add(
+      clock.setTimer(Math.max(0, remainingMilliseconds), onDeadline),
+    );
     this.send(claimedKey ? 'claimNeeded' : 'claimNotNeeded');
   }
 
-  /** The caller has gone or stopped reading. */
+  /** Cancels the request after the caller disconnected or stopped reading. */
   callerGone(): void {
     const error: RequestError = {kind: 'callerGone'};
-    this.failure ??= this.working ? maybeExecuted(error) : notExecuted(error);
+    this.failure ??= this.isWorking ? maybeExecuted(error) : notExecuted(error);
     this.send('callerGone');
   }
 
-  /** Ends the work early; the answer goes out at once, or after a short grace if the work can still say more. */
-  giveUp(error: RequestError): void {
-    if (!this.working || this.givenUpFor !== undefined) {
+  /** Aborts the work. The response is sent when the work ends, or after a grace period without its result. */
+  abort(error: RequestError): void {
+    if (!this.isWorking || this.abortError !== undefined) {
       return;
     }
-    this.givenUpFor = error;
+    this.abortError = error;
     this.source.cancel(error.kind);
-    const answerWithoutIt = () => {
+    const failWithoutResult = () => {
       this.failure = maybeExecuted(error);
       this.send('givenUp');
     };
     const {clock} = this.services;
-    this.owned.add(clock.setTimer(GIVE_UP_GRACE_MILLISECONDS, answerWithoutIt));
+    this.disposables.add(
+      clock.setTimer(ABORT_GRACE_MILLISECONDS, failWithoutResult),
+    );
   }
 
   dispose(): void {
-    this.owned.dispose();
+    this.disposables.dispose();
   }
 
   private send(event: RequestEvent): void {
@@ -161,30 +167,30 @@
     const {state} = this.lifecycle;
     const answered =
       state === 'completed' || state === 'failed' || state === 'cancelled';
-    if (answered && !this.working) {
+    if (answered && !this.isWorking) {
       this.dispose();
       this.resolveEnded();
     }
   }
 
   private async claim(): Promise<void> {
-    this.working = true;
-    const answer = await this.keyClaim!.decide(this.source.token);
-    this.working = false;
-    switch (answer.kind) {
+    this.isWorking = true;
+    const action = await this.keyClaim!.decide(this.source.token);
+    this.isWorking = false;
+    switch (action.kind) {
       case 'run':
         this.send('granted');
         return;
       case 'refuse':
-        this.refuse(answer.failure);
+        this.refuse(action.failure);
         return;
       default:
-        this.replay(answer.answer);
+        this.replay(action.answer);
     }
   }
 
-  private replay(answer: CallerAnswer): void {
-    const body = this.plan!.format.replay(answer);
+  private replay(content: ResponseContent): void {
+    const body = this.plan!.format.replay(content);
     if (body === undefined) {
       this.refuse({
         error: {kind: 'duplicate'},
@@ -194,33 +200,33 @@
       });
       return;
     }
-    this.answer = {...answer, body};
+    this.answer = {...content, body};
     this.send('replayed');
   }
 
   private async work(): Promise<void> {
-    this.working = true;
-    const {clock, onUnexpected} = this.services;
+    this.isWorking = true;
+    const {clock, onUnexpectedError} = this.services;
     const {token} = this.source;
-    const sink: TokenSink = (text, index) => this.accept(text, index);
+    const sink: TokenSink = (text, index) => this.acceptToken(text, index);
     const work = () => this.plan!.work(sink, token);
-    const result = await settledWork(work, token, clock, onUnexpected);
-    this.working = false;
+    const result = await settleWork(work, token, clock, onUnexpectedError);
+    this.isWorking = false;
     if (result.ok) {
       this.answer = result.value;
       this.send('replied');
       return;
     }
-    const error = this.givenUpFor ?? result.error.error;
+    const error = this.abortError ?? result.error.error;
     this.failure = {...result.error, error};
     this.send('workFailed');
   }
 
-  private accept(token: string, index: number): void | Promise<void> {
+  private acceptToken(token: string, index: number): void | Promise<void> {
     this.tokenCount += 1;
     this.firstTokenAt ??= this.services.clock.monotonicMilliseconds();
     const {format} = this.plan!;
-    if (!format.streams) {
+    if (!format.isStreaming) {
       return undefined;
     }
     if (this.lifecycle.state === 'admitted') {
@@ -233,7 +239,7 @@
   }
 
   private cancelWork(): void {
-    this.source.cancel(this.givenUpFor?.kind ?? 'callerGone');
+    this.source.cancel(this.abortError?.kind ?? 'callerGone');
   }
 
   private outcome(): RequestOutcome {
--- a/src/features/callers/node/requestFingerprint.ts
+++ b/src/features/callers/node/requestFingerprint.ts
@@ -2,17 +2,17 @@
 
 import {formFingerprint} from '../../claims/common/fingerprints.js';
 
-/** What makes one request another than one with the same key; headers aside from the class don't. */
+/** The fields that distinguish requests with the same key; the class is the only header among them. */
 export interface RequestIdentity {
   readonly kind: 'chat' | 'service';
   readonly method: string;
-  /** With the query. */
+  /** Including the query. */
   readonly path: string;
   readonly body: string;
   readonly classOfWork: string;
 }
 
-/** The fingerprint of a request; SHA-256, so that a row tells nothing of the content. */
+/** Fingerprints a request with SHA-256, so that the stored fingerprint doesn't reveal the content. */
 export function fingerprintOf(identity: RequestIdentity): string {
   const {kind, method, path, body, classOfWork} = identity;
   const digest = createHash('sha256')
--- a/src/features/callers/node/requestLog.ts
+++ b/src/features/callers/node/requestLog.ts
@@ -3,7 +3,7 @@
 import {Metrics} from '../../../infrastructure/metrics/common/metrics.js';
 import {ExchangeSummary} from './requestExchange.js';
 
-/** The log line and the measurements of one request, written at its end. */
+/** Writes the log line and the metrics of one request when it ends. */
 export class RequestLog {
   /** Monotonic milliseconds. */
   readonly arrivedAt: number;
@@ -18,15 +18,16 @@
     this.arrivedAt = clock.monotonicMilliseconds();
   }
 
-  /** Writes the line; holds no key and no content. */
+  /** Writes the log line, without idempotency key and content, and records the metrics. */
   write(
     summary: ExchangeSummary,
     status: number,
     logger: Logger,
     metrics: Metrics,
   ): void {
-    const whole = this.clock.monotonicMilliseconds() - this.arrivedAt;
-    const first =
+    const totalMilliseconds =
+      this.clock.monotonicMilliseconds() - this.arrivedAt;
+    const timeToFirstToken =
       summary.firstTokenAt === undefined
         ? undefined
         : summary.firstTokenAt - this.arrivedAt;
@@ -41,16 +42,16 @@
       executed: failed?.executed ?? 'yes',
       status,
       tokens: summary.tokenCount,
-      firstTokenMilliseconds: first,
-      wholeMilliseconds: whole,
+      firstTokenMilliseconds: timeToFirstToken,
+      wholeMilliseconds: totalMilliseconds,
     });
-    this.measure(summary, first, whole, metrics);
+    this.recordMetrics(summary, timeToFirstToken, totalMilliseconds, metrics);
   }
 
-  private measure(
+  private recordMetrics(
     summary: ExchangeSummary,
-    first: number | undefined,
-    whole: number,
+    timeToFirstToken: number | undefined,
+    totalMilliseconds: number,
     metrics: Metrics,
   ): void {
     const tags = {
@@ -59,9 +60,9 @@
       outcome: summary.failure?.error.kind ?? summary.state,
     };
     metrics.count('caller.requests', 1, tags);
-    metrics.milliseconds('caller.whole', whole, tags);
-    if (first !== undefined) {
-      metrics.milliseconds('caller.first_token', first, tags);
+    metrics.milliseconds('caller.whole', totalMilliseconds, tags);
+    if (timeToFirstToken !== undefined) {
+      metrics.milliseconds('caller.first_token', timeToFirstToken, tags);
     }
   }
 }
--- a/src/features/callers/node/serviceHandler.ts
+++ b/src/features/callers/node/serviceHandler.ts
@@ -8,10 +8,10 @@
 import {RequestFailure} from '../../requests/common/failure.js';
 import {mayRepeat} from '../../services/common/repeatability.js';
 import {missingKeyFinding} from '../common/callerHeaders.js';
-import {CallerAnswer} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimAnswers.js';
 import {invalidRequest, notExecuted} from '../common/failureBody.js';
-import {WholeFormat} from '../common/replyFormat.js';
-import {readServiceTarget} from '../common/serviceCalls.js';
+import {BufferedFormat} from '../common/replyFormat.js';
+import {readServiceTarget} from '../common/serviceTarget.js';
 import {ServiceCallRequest} from '../common/serviceDispatcher.js';
 import {fingerprintOf} from './requestFingerprint.js';
 import {ExchangePlan} from './requestExchange.js';
@@ -19,7 +19,7 @@
 
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream';
 
-/** `/v1/services/{service}/...`: calls to plain services, repeatable and not. */
+/** `/v1/services/{service}/...`: repeatable and non-repeatable calls to plain services. */
 export class ServiceHandler extends WorkHandler {
   protected override readonly name = 'service';
 
@@ -57,7 +57,7 @@
       return failure(invalidRequest(findings));
     }
     return success(
-      this.planFor({
+      this.createPlan({
         requestId: input.requestId,
         service: service.name,
         method: input.method,
@@ -77,14 +77,14 @@
     );
   }
 
-  private planFor(request: ServiceCallRequest): ExchangePlan {
+  private createPlan(request: ServiceCallRequest): ExchangePlan {
     return {
       claimedKey: this.claimedKey({
         ...request,
         fingerprint: () => request.fingerprint ?? '',
       }),
       deadlineAt: request.deadlineAt,
-      format: new WholeFormat(),
+      format: new BufferedFormat(),
       work: (_sink, token) => this.run(request, token),
     };
   }
@@ -92,12 +92,12 @@
   private async run(
     request: ServiceCallRequest,
     token: CancellationToken,
-  ): Promise<Result<CallerAnswer, RequestFailure>> {
-    const answer = await this.services.dispatcher.dispatch(request, token);
-    if (!answer.ok) {
-      return answer;
+  ): Promise<Result<ResponseContent, RequestFailure>> {
+    const response = await this.services.dispatcher.dispatch(request, token);
+    if (!response.ok) {
+      return response;
     }
-    const {status, contentType, body} = answer.value;
+    const {status, contentType, body} = response.value;
     return success({
       status,
       contentType: contentType ?? DEFAULT_CONTENT_TYPE,
--- a/src/features/callers/node/settledWork.ts
+++ b/src/features/callers/node/settleWork.ts
@@ -3,39 +3,39 @@
 import {Disposable} from '../../../base/common/lifecycle.js';
 import {failure, Result} from '../../../base/common/result.js';
 import {RequestFailure} from '../../requests/common/failure.js';
-import {CallerAnswer} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimAnswers.js';
 import {maybeExecuted} from '../common/failureBody.js';
 
-/** Milliseconds that cancelled work has to end, before its outcome counts as not known. */
-const SETTLE_LIMIT_MILLISECONDS = 5000;
+/** Milliseconds for cancelled work to end, before its outcome is reported as unknown. */
+const SETTLE_TIMEOUT_MILLISECONDS = 5000;
 
-/** What work comes to. */
-export type WorkResult = Result<CallerAnswer, RequestFailure>;
+/** The response of the work, or its failure. */
+export type WorkResult = Result<ResponseContent, RequestFailure>;
 
-/** Runs work so that it always settles: on a fault of our own, and when cancelled work doesn't end. */
-export async function settledWork(
+/** Runs work and settles also when the work throws, or doesn't end in time after cancellation. */
+export async function settleWork(
   work: () => Promise<WorkResult>,
   token: CancellationToken,
   clock: Clock,
-  onUnexpected: (error: unknown) => void,
+  onUnexpectedError: (error: unknown) => void,
 ): Promise<WorkResult> {
-  let limit: Disposable | undefined;
+  let timer: Disposable | undefined;
   let cancelled: Disposable | undefined;
-  const givenIn = new Promise<WorkResult>(resolve => {
+  const timedOut = new Promise<WorkResult>(resolve => {
     cancelled = token.onDidCancel(() => {
-      const giveIn = () =>
+      const failAsUnknown = () =>
         resolve(failure(maybeExecuted({kind: 'callerGone'})));
-      limit = clock.setTimer(SETTLE_LIMIT_MILLISECONDS, giveIn);
+      timer = clock.setTimer(SETTLE_TIMEOUT_MILLISECONDS, failAsUnknown);
     });
   });
   try {
-    return await Promise.race([work(), givenIn]);
+    return await Promise.race([work(), timedOut]);
   } catch (error) {
-    onUnexpected(error);
+    onUnexpectedError(error);
     const detail = 'internal error';
     return failure(maybeExecuted({kind: 'upstreamFailed', detail}));
   } finally {
     cancelled?.dispose();
-    limit?.dispose();
+    timer?.dispose();
   }
 }
--- a/src/features/callers/node/workHandler.ts
+++ b/src/features/callers/node/workHandler.ts
@@ -18,13 +18,13 @@
 import {readBody} from './bodyReader.js';
 import {CallerAuthenticator} from './callerAuthenticator.js';
 import {CallerResponse} from './callerResponse.js';
-import {CallerServices} from './callerServices.js';
+import {CallerDependencies} from './callerDependencies.js';
 import {ClaimedKey} from './keyClaim.js';
-import {KeyedRefusals} from './keyedRefusals.js';
+import {PreClaimRefusals} from './preClaimRefusals.js';
 import {ExchangePlan, RequestExchange} from './requestExchange.js';
 import {RequestLog} from './requestLog.js';
 
-/** A request that was read whole, from a known account. */
+/** A completely read request of an authenticated account. */
 export interface WorkInput {
   readonly requestId: string;
   readonly account: ClientAccount;
@@ -37,14 +37,14 @@
   readonly arrivedAt: number;
 }
 
-/** What decides whether a claim is needed. */
+/** The properties that decide whether the request must claim its key. */
 export interface KeyedWork {
   readonly idempotencyKey: string | undefined;
   readonly clientAccount: string;
   readonly classOfWork: ClassOfWork;
-  /** Goes before the class's word. */
+  /** Overrides the class's `repeatable`. */
   readonly repeatable?: boolean;
-  /** What the key stands for; formed only where it is needed. */
+  /** Computes the fingerprint of the request; called only when the key must be claimed. */
   readonly fingerprint: () => string;
 }
 
@@ -54,27 +54,27 @@
   readonly place: Disposable;
 }
 
-/** What every kind of work does alike: gate, account, body, exchange, log line. */
+/** Common handling of all kinds of work: admission, authentication, body, exchange, log line. */
 export abstract class WorkHandler {
-  private readonly refusals: KeyedRefusals;
+  private readonly refusals: PreClaimRefusals;
 
   constructor(
-    protected readonly services: CallerServices,
+    protected readonly services: CallerDependencies,
     private readonly authenticator: CallerAuthenticator,
     private readonly running: Set<RequestExchange>,
   ) {
-    this.refusals = new KeyedRefusals(services, authenticator);
+    this.refusals = new PreClaimRefusals(services, authenticator);
   }
 
-  /** Reads the request into a plan; all findings come back together. */
+  /** Validates the request and plans its execution; a failure reports all findings. */
   protected abstract plan(
     input: WorkInput,
   ): Result<ExchangePlan, RequestFailure>;
 
-  /** Name of the kind of work in logs and metrics. */
+  /** Name of this kind of work in logs and metrics. */
   protected abstract readonly name: string;
 
-  /** Answers one request; resolves when nothing of it is left. */
+  /** Handles one request; resolves once its response is closed and its work has ended. */
   async handle(
     request: IncomingMessage,
     response: ServerResponse,
@@ -84,10 +84,10 @@
     }
     const requestId = randomUUID();
     const closed = new Promise(resolve => response.once('close', resolve));
-    const answer = this.openAnswer(response, requestId, () =>
-      stopReading(exchange, response),
+    const callerResponse = this.createResponse(response, requestId, () =>
+      disconnectStalledCaller(exchange, response),
     );
-    const exchange = this.openExchange(answer);
+    const exchange = this.createExchange(callerResponse);
     response.once('close', () => {
       if (!response.writableFinished) {
         exchange.callerGone();
@@ -98,36 +98,41 @@
     this.running.add(exchange);
     const place = await this.serve(request, exchange, log);
     await exchange.ended;
-    log.write(exchange.summary, answer.status, logger, metrics);
+    log.write(exchange.summary, callerResponse.status, logger, metrics);
     await closed;
     this.running.delete(exchange);
     place?.dispose();
   }
 
-  private openAnswer(
+  private createResponse(
     response: ServerResponse,
     requestId: string,
     onDidStall: () => void,
   ): CallerResponse {
     const {clock, gate} = this.services;
     const isLeaving = () => gate.isLeaving;
-    const answer = new CallerResponse(response, clock, isLeaving, onDidStall);
-    answer.setRequestId(requestId);
-    return answer;
+    const callerResponse = new CallerResponse(
+      response,
+      clock,
+      isLeaving,
+      onDidStall,
+    );
+    callerResponse.setRequestId(requestId);
+    return callerResponse;
   }
 
-  private openExchange(answer: CallerResponse): RequestExchange {
+  private createExchange(callerResponse: CallerResponse): RequestExchange {
     const {claims, clock, gate, logger} = this.services;
-    return new RequestExchange(answer, {
+    return new RequestExchange(callerResponse, {
       claims,
       clock,
       addressOf: incarnation => gate.addressOf(incarnation),
-      onUnexpected: error =>
+      onUnexpectedError: error =>
         logger.error('unexpected error', {detail: String(error)}),
     });
   }
 
-  /** Reads and starts one request; resolves with its place among those in progress. */
+  /** Admits, reads and starts one request; resolves with its slot, or undefined when it was not admitted. */
   private async serve(
     request: IncomingMessage,
     exchange: RequestExchange,
@@ -175,7 +180,7 @@
     if (!account.ok) {
       return account;
     }
-    const place = gate.enter();
+    const place = gate.tryAcquireSlot();
     return place.ok
       ? success({account: account.value, configuration, place: place.value})
       : failure(this.refusals.state(place.error, headers));
@@ -190,7 +195,7 @@
     }
   }
 
-  /** The key to claim: work that may be repeated needs none. */
+  /** Returns the key to claim; undefined for repeatable work and for requests without a key. */
   protected claimedKey(work: KeyedWork): ClaimedKey | undefined {
     const {idempotencyKey: key, clientAccount} = work;
     const repeatable = work.repeatable ?? work.classOfWork.repeatable;
@@ -199,14 +204,18 @@
       : {clientAccount, key, fingerprint: work.fingerprint()};
   }
 
-  /** When the whole answer is due: the class's deadline, or the caller's where that is sooner. */
+  /** When the complete response is due: the earlier of the class's and the caller's deadline. */
   protected deadlineAt(input: WorkInput, classOfWork: ClassOfWork): number {
-    const stated = input.headers.deadlineMilliseconds ?? Infinity;
-    return input.arrivedAt + Math.min(stated, classOfWork.deadlineMilliseconds);
+    const requestedMilliseconds =
+      input.headers.deadlineMilliseconds ?? Infinity;
+    return (
+      input.arrivedAt +
+      Math.min(requestedMilliseconds, classOfWork.deadlineMilliseconds)
+    );
   }
 }
 
-function stopReading(
+function disconnectStalledCaller(
   exchange: RequestExchange,
   response: ServerResponse,
 ): void {
--- a/src/features/callers/test/callerFakes.ts
+++ b/src/features/callers/test/callerFakes.ts
@@ -38,7 +38,7 @@
 } from '../common/serviceDispatcher.js';
 import {CallerServer} from '../node/callerServer.js';
 
-/** Fakes at the contracts that the callers' side works with, and a server over them. */
+/** Fakes for the dependencies of the caller API, and a server that runs on them. */
 
 export const bearer = 'secret-of-one';
 
@@ -126,7 +126,7 @@
   outcome: RequestOutcome | undefined;
   surelyNotRun = false;
   lookUps = 0;
-  answerLookUp: Promise<void> | undefined;
+  pendingLookUp: Promise<void> | undefined;
   readonly claimed: string[] = [];
   readonly fingerprints: Array<string | undefined> = [];
   readonly completed: RequestOutcome[] = [];
@@ -148,7 +148,7 @@
 
   override async lookUp(): Promise<RequestOutcome | undefined> {
     this.lookUps += 1;
-    await this.answerLookUp;
+    await this.pendingLookUp;
     return this.outcome;
   }
 
@@ -163,7 +163,7 @@
 
 type RunFunction = PipelineDriver['run'];
 
-/** Runs what the test gives it; by default a reply of two tokens. */
+/** Runs the script of the test; by default replies with two tokens. */
 export class FakeDriver extends PipelineDriver {
   readonly requests: ModelRequest[] = [];
   script: RunFunction = async (request, sink) => {
@@ -207,8 +207,8 @@
   }
 }
 
-/** Keeps the lines of requests. */
-export class LineLogger extends SilentLogger {
+/** Records the log lines of requests. */
+export class RecordingLogger extends SilentLogger {
   readonly lines: LogFields[] = [];
 
   override info(message?: string, fields?: LogFields): void {
@@ -220,16 +220,16 @@
   }
 }
 
-const QUICK_FACTOR = 50;
+const TIMER_SPEED_UP = 50;
 
-/** Runs timers sooner, so that long limits can be met in a test. */
-export class QuickClock extends SystemClock {
+/** Shortens timers, so that tests can wait for long timeouts. */
+export class AcceleratedClock extends SystemClock {
   override setTimer(milliseconds: number, callback: () => void): Disposable {
-    return super.setTimer(milliseconds / QUICK_FACTOR, callback);
+    return super.setTimer(milliseconds / TIMER_SPEED_UP, callback);
   }
 }
 
-/** Counts the timers that wait. */
+/** Tracks the pending timers. */
 export class CountingClock extends SystemClock {
   readonly waiting = new Set<Disposable>();
 
@@ -248,13 +248,13 @@
   }
 }
 
-/** A server on a free port over fakes. */
+/** A server with fake dependencies on a free port. */
 export class CallerFixture {
   readonly views = new FakeViews();
   readonly claims = new FakeClaims();
   readonly driver = new FakeDriver();
   readonly dispatcher = new FakeDispatcher();
-  readonly logger = new LineLogger();
+  readonly logger = new RecordingLogger();
   readonly gate: RequestGate;
   readonly server: CallerServer;
   port = 0;
@@ -307,7 +307,6 @@
 
 export const chatPath = '/v1/chat/completions';
 
-/** A chat body. */
 export function chatBody(stream = false): Record<string, unknown> {
   const messages = [{role: 'user', content: 'one load please'}];
   return {model: 'assistant', messages, stream};
--- a/src/features/callers/test/callerServer.test.ts
+++ b/src/features/callers/test/callerServer.test.ts
@@ -14,7 +14,7 @@
   chatPath,
   configuration,
   CountingClock,
-  QuickClock,
+  AcceleratedClock,
   replyOf,
 } from './callerFakes.js';
 
@@ -29,8 +29,8 @@
 
 afterEach(() => fixture.server.close());
 
-/** Brings in as many requests as may be in progress; they end when the answer is called. */
-async function holdTwo(): Promise<() => Promise<unknown>> {
+/** Starts as many requests as may be in progress; the returned function aborts them. */
+async function occupyAllSlots(): Promise<() => Promise<unknown>> {
   fixture.driver.script = () => new Promise(() => undefined);
   const caller = new AbortController();
   const held = [1, 2].map(() =>
@@ -43,7 +43,7 @@
   };
 }
 
-/** Sends bytes on a connection of their own that the server may break; nothing is read yet. */
+/** Sends bytes on a new connection that the server may reset; does not read the response. */
 function sendBytes(bytes: string): Socket {
   const socket = connect(fixture.port, '127.0.0.1');
   socket.on('error', () => undefined);
@@ -51,19 +51,19 @@
   return socket;
 }
 
-function closeOf(socket: Socket): Promise<unknown> {
+function whenClosed(socket: Socket): Promise<unknown> {
   return new Promise(resolve => socket.once('close', resolve));
 }
 
-/** What comes until the connection closes. */
-async function textOf(socket: Socket): Promise<string> {
+/** Reads until the connection closes. */
+async function readUntilClose(socket: Socket): Promise<string> {
   const received: Buffer[] = [];
   socket.on('data', chunk => received.push(chunk));
-  await closeOf(socket);
+  await whenClosed(socket);
   return Buffer.concat(received).toString();
 }
 
-/** The head of a chat request, up to and with the given lines, and its body. */
+/** A chat request whose headers end with the given lines. */
 function chatBytes(lines: string, body = ''): string {
   return (
     `POST ${chatPath} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer ${bearer}\r\n` +
@@ -71,14 +71,14 @@
   );
 }
 
-/** A whole chat request. */
+/** A complete chat request. */
 function chatRequestBytes(stream = false): string {
   const body = JSON.stringify(chatBody(stream));
   return chatBytes(`Content-Length: ${body.length}`, body);
 }
 
-/** The JSON of each `data:` line that is JSON. */
-function eventsOf(text: string): any[] {
+/** Parses the `data:` lines that contain JSON. */
+function parseEvents(text: string): any[] {
   return text
     .split('\n\n')
     .map(event => /^data: (\{.*)$/m.exec(event)?.[1])
@@ -87,7 +87,7 @@
 }
 
 describe('chat', () => {
-  test('a whole reply has the usual shape', async () => {
+  test('a complete reply is a chat completion', async () => {
     const response = await fixture.send(chatPath, query, chatBody());
     expect(response.status).toBe(200);
     const body: any = await response.json();
@@ -110,12 +110,14 @@
     const response = await fixture.send(chatPath, query, chatBody(true));
     expect(response.headers.get('content-type')).toContain('text/event-stream');
     const text = await response.text();
-    const deltas = eventsOf(text).map(event => event.choices[0].delta.content);
+    const deltas = parseEvents(text).map(
+      event => event.choices[0].delta.content,
+    );
     expect(deltas).toEqual(['', 'Hello', ' there', undefined]);
     expect(text.endsWith('data: [DONE]\n\n')).toBe(true);
   });
 
-  test('a truncated reply ends with an error event and never like a whole one', async () => {
+  test('a truncated reply ends with an error event and not like a complete one', async () => {
     fixture.driver.script = async (_request, sink) => {
       await sink('Hel', 0);
       return failure(maybeExecuted({kind: 'upstreamFailed', detail: 'lost'}));
@@ -125,14 +127,14 @@
     expect(text).not.toContain('[DONE]');
     expect(text).not.toContain('"finish_reason":"stop"');
     expect(text).toContain('event: error\n');
-    expect(eventsOf(text).at(-1).error).toMatchObject({
+    expect(parseEvents(text).at(-1).error).toMatchObject({
       kind: 'upstreamFailed',
       executed: 'unknown',
     });
     expect(fixture.claims.completed).toHaveLength(1);
   });
 
-  test('a refusal before the first token has its status, also when events were asked for', async () => {
+  test('a refusal before the first token has its own status, even when the caller requested a stream', async () => {
     fixture.driver.script = async () =>
       failure(notExecuted({kind: 'overShare'}, 1200));
     const response = await fixture.send(chatPath, query, chatBody(true));
@@ -143,14 +145,14 @@
     });
   });
 
-  test('the reply to another request is never passed on', async () => {
+  test('the reply to another request is not sent to the caller', async () => {
     fixture.driver.script = async request =>
       success({...replyOf(request, ['x']), requestId: 'other'});
     const response = await fixture.send(chatPath, query, chatBody());
     expect(response.status).toBe(502);
   });
 
-  test('work past its deadline is cancelled and answered at once', async () => {
+  test('work past its deadline is cancelled, and the caller gets an immediate response', async () => {
     fixture.driver.script = () => new Promise(() => undefined);
     const headers = {...order, 'Redwing-Deadline-Milliseconds': '20'};
     const response = await fixture.send(chatPath, headers, chatBody());
@@ -160,8 +162,8 @@
     });
   });
 
-  test('a caller that disconnects cancels the work, and the outcome is kept', async () => {
-    const leaving = new AbortController();
+  test('a disconnect of the caller cancels the work, and the outcome is recorded', async () => {
+    const callerAbort = new AbortController();
     const cancelled = new Promise<string | undefined>(resolve => {
       fixture.driver.script = (request, _sink, token) =>
         new Promise(settle => {
@@ -169,40 +171,40 @@
             resolve(token.reason);
             settle(success(replyOf(request, ['late'])));
           });
-          leaving.abort();
+          callerAbort.abort();
         });
     });
     await expect(
-      fixture.send(chatPath, order, chatBody(), leaving.signal),
+      fixture.send(chatPath, order, chatBody(), callerAbort.signal),
     ).rejects.toThrow();
     expect(await cancelled).toBe('callerGone');
     await expect.poll(() => fixture.gate.count).toBe(0);
     expect(fixture.claims.completed).toMatchObject([{kind: 'completed'}]);
   });
 
-  test('a caller that stops reading holds the work back instead of filling memory', async () => {
+  test('a caller that stops reading applies back-pressure to the work instead of filling memory', async () => {
     await fixture.server.close();
-    fixture = await new CallerFixture(new QuickClock()).start();
+    fixture = await new CallerFixture(new AcceleratedClock()).start();
     const large = 'x'.repeat(100_000);
-    let taken = 0;
-    let stopped = false;
+    let acceptedCount = 0;
+    let wasCancelled = false;
     fixture.driver.script = async (request, sink, token) => {
-      for (; taken < 1000 && !token.isCancelled; taken += 1) {
-        await sink(large, taken);
+      for (; acceptedCount < 1000 && !token.isCancelled; acceptedCount += 1) {
+        await sink(large, acceptedCount);
       }
-      stopped = token.isCancelled;
+      wasCancelled = token.isCancelled;
       return success(replyOf(request, []));
     };
     const socket = sendBytes(chatRequestBytes(true));
     socket.pause();
-    await expect.poll(() => taken).toBeGreaterThan(0);
-    await expect.poll(() => stopped, {timeout: 20_000}).toBe(true);
-    expect(taken).toBeLessThan(500);
+    await expect.poll(() => acceptedCount).toBeGreaterThan(0);
+    await expect.poll(() => wasCancelled, {timeout: 20_000}).toBe(true);
+    expect(acceptedCount).toBeLessThan(500);
     socket.destroy();
   });
 });
 
-type BadCase = readonly [
+type InvalidCase = readonly [
   name: string,
   status: number,
   paths: readonly string[],
@@ -214,19 +216,19 @@
 const deadlineHeader = 'Redwing-Deadline-Milliseconds';
 const keyHeader = 'Idempotency-Key';
 const chat = chatBody();
-const nothing = {[classHeader]: 'nothing'};
-const member = {[classHeader]: 'constructor'};
-const negative = {...query, [deadlineHeader]: '-5'};
-const keyless = {[classHeader]: 'order'};
-const soon = {[deadlineHeader]: 'soon'};
+const unknownClass = {[classHeader]: 'nothing'};
+const memberNameClass = {[classHeader]: 'constructor'};
+const negativeDeadline = {...query, [deadlineHeader]: '-5'};
+const missingKey = {[classHeader]: 'order'};
+const malformedDeadline = {[deadlineHeader]: 'soon'};
 const wrongKey = {...query, Authorization: 'Bearer wrong-key'};
 const unknownAdapter = {...chat, model: 'assistant:none'};
-const manyFaults = {
+const multipleFaults = {
   model: 'none',
   messages: [{role: 7, content: 'x'}],
   max_tokens: 0,
 };
-const manyPaths = [
+const multiplePaths = [
   classHeader,
   deadlineHeader,
   '$.messages[0].role',
@@ -234,68 +236,87 @@
   '$.model',
 ];
 
-const badCases: readonly BadCase[] = [
+const invalidCases: readonly InvalidCase[] = [
   ['malformed JSON', 400, ['$'], query, '{"model":'],
-  ['a class that does not exist', 400, [classHeader], nothing, chat],
-  ['a class named like an object member', 400, [classHeader], member, chat],
-  ['a negative deadline', 400, [deadlineHeader], negative, chat],
-  ['no key on work that may not be repeated', 400, [keyHeader], keyless, chat],
-  ['several faults at once', 400, manyPaths, soon, manyFaults],
+  ['a class that does not exist', 400, [classHeader], unknownClass, chat],
+  [
+    'a class named like an object member',
+    400,
+    [classHeader],
+    memberNameClass,
+    chat,
+  ],
+  ['a negative deadline', 400, [deadlineHeader], negativeDeadline, chat],
+  ['non-repeatable work without a key', 400, [keyHeader], missingKey, chat],
+  [
+    'several errors at once',
+    400,
+    multiplePaths,
+    malformedDeadline,
+    multipleFaults,
+  ],
   ['an unknown adapter', 400, ['$.model'], query, unknownAdapter],
   ['a missing bearer key', 401, [], {...query, Authorization: ''}, chat],
   ['a wrong bearer key', 401, [], wrongKey, chat],
   ['a body over the limit', 413, [], query, 'x'.repeat(3000)],
 ];
 
-test.each(badCases)('%s', async (_name, status, paths, headers, body) => {
-  const response = await fixture.send(chatPath, headers, body);
-  expect(response.status).toBe(status);
-  const text = await response.text();
-  const {error} = JSON.parse(text);
-  expect(error.executed).toBe('no');
-  expect(error.findings.map((finding: any) => finding.path)).toEqual(paths);
-  expect(fixture.driver.requests).toHaveLength(0);
-  const log = JSON.stringify(fixture.logger.lines);
-  for (const secret of [bearer, 'wrong-key']) {
-    expect(text + log).not.toContain(secret);
-  }
-  const next = await fixture.send(chatPath, query, chatBody());
-  expect(next.status).toBe(200);
-  await expect.poll(() => fixture.gate.count).toBe(0);
-});
+test.each(invalidCases)(
+  'a request is refused for %s',
+  async (_name, status, paths, headers, body) => {
+    const response = await fixture.send(chatPath, headers, body);
+    expect(response.status).toBe(status);
+    const text = await response.text();
+    const {error} = JSON.parse(text);
+    expect(error.executed).toBe('no');
+    expect(error.findings.map((finding: any) => finding.path)).toEqual(paths);
+    expect(fixture.driver.requests).toHaveLength(0);
+    const log = JSON.stringify(fixture.logger.lines);
+    for (const secret of [bearer, 'wrong-key']) {
+      expect(text + log).not.toContain(secret);
+    }
+    const next = await fixture.send(chatPath, query, chatBody());
+    expect(next.status).toBe(200);
+    await expect.poll(() => fixture.gate.count).toBe(0);
+  },
+);
 
 test.each([
-  ['no HTTP', 'nonsense\r\n\r\n', '400'],
-  ['headers without end', `GET / HTTP/1.1\r\nX: ${'x'.repeat(20_000)}`, '431'],
+  ['a request that is not HTTP', 'nonsense\r\n\r\n', '400'],
+  [
+    'a request with endless headers',
+    `GET / HTTP/1.1\r\nX: ${'x'.repeat(20_000)}`,
+    '431',
+  ],
   [
-    'two lengths',
+    'a request with two content lengths',
     `POST ${chatPath} HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx`,
     '400',
   ],
-])('%s', async (_name, bytes, status) => {
-  const text = await textOf(sendBytes(bytes));
+])('%s is refused by the HTTP server', async (_name, bytes, status) => {
+  const text = await readUntilClose(sendBytes(bytes));
   expect(text.startsWith(`HTTP/1.1 ${status}`)).toBe(true);
   expect((await fixture.send('/v1/health')).status).toBe(200);
 });
 
 test.each(['Redwing-Class: order', 'Authorization: Bearer other'])(
-  'a header sent twice (%s)',
+  'a header that is sent twice is refused (%s)',
   async line => {
     const socket = connect(fixture.port, '127.0.0.1');
     socket.end(chatBytes(`${line}\r\nContent-Length: 0`));
-    const text = await textOf(socket);
+    const text = await readUntilClose(socket);
     expect(text).toContain('400 Bad Request');
     expect(text).toContain(`"path":"${line.split(':', 1)[0]}"`);
   },
 );
 
-test('a body without end is not read past the limit', async () => {
+test('an endless body is not read past the limit', async () => {
   const socket = sendBytes(chatBytes('Transfer-Encoding: chunked'));
   const chunk = `400\r\n${'x'.repeat(1024)}\r\n`;
   for (let index = 0; index < 4; index += 1) {
     socket.write(chunk);
   }
-  const text = await textOf(socket);
+  const text = await readUntilClose(socket);
   expect(text).toContain('413 Payload Too Large');
   expect(text).toContain('"kind":"tooLarge"');
 });
@@ -341,7 +362,7 @@
   outcome,
 });
 
-/** A body that says so of a failure. */
+/** The body of a failure. */
 function failed(kind: string, executed: string, more: object = {}) {
   return {error: {kind, executed, ...more}};
 }
@@ -354,75 +375,82 @@
   expected:
     'a key with a grant that is in force (expired); ask for a new grant at GET /v1/entrypoints',
 };
-const wait = (retryAfterMilliseconds: number) => ({retryAfterMilliseconds});
+const retryAfter = (retryAfterMilliseconds: number) => ({
+  retryAfterMilliseconds,
+});
 
 const claimCases: readonly ClaimCase[] = [
   [
-    'a completed duplicate repeats its reply',
+    'a completed duplicate replays its reply',
     200,
     duplicateOf(completed),
     first,
   ],
   [
-    'a running duplicate',
+    'a running duplicate is refused',
     409,
     duplicateOf({kind: 'running'}),
-    failed('duplicate', 'unknown', wait(1000)),
+    failed('duplicate', 'unknown', retryAfter(1000)),
   ],
   [
-    'a failed duplicate repeats its failure',
+    'a failed duplicate replays its failure',
     429,
     duplicateOf({kind: 'failed', failure: overShare}),
     failed('overShare', 'no'),
   ],
   [
-    'a duplicate of which nothing is known',
+    'a duplicate with an unknown outcome is refused',
     409,
     duplicateOf({kind: 'unknown'}),
     failed('duplicate', 'unknown'),
   ],
   [
-    'held by a known instance',
+    'a key held by a known instance is redirected to it',
     421,
     heldAt('b-1'),
     failed('heldElsewhere', 'unknown', {addresses: ['b:80']}),
   ],
   [
-    'held by an instance that is not known',
+    'a key held by an unknown instance is refused',
     503,
     heldAt('z-1'),
     failed('heldElsewhere', 'unknown', {addresses: []}),
   ],
-  ['held elsewhere with its outcome', 200, heldAt('b-1', completed), first],
   [
-    'an expired grant',
+    'a key held elsewhere with a known outcome replays its reply',
+    200,
+    heldAt('b-1', completed),
+    first,
+  ],
+  [
+    'a key with an expired grant is refused',
     400,
     {kind: 'refusedNotRun', detail: 'expired'},
     failed('invalidRequest', 'no', {findings: [expiredGrant]}),
   ],
   [
-    'no room to remember the key',
+    'a key that can not be stored is refused',
     503,
-    {kind: 'noRoom', detail: 'full', ...wait(4000)},
-    failed('cannotMeetTarget', 'no', wait(4000)),
+    {kind: 'noRoom', detail: 'full', ...retryAfter(4000)},
+    failed('cannotMeetTarget', 'no', retryAfter(4000)),
   ],
   [
-    'a key that stands for another request',
+    'a key reused for another request is refused',
     422,
     {kind: 'keyReused', sameWork: false},
     failed('keyReused', 'no'),
   ],
   [
-    'a key that stands for the same work of another class',
+    'a key reused for the same work in another class is refused',
     422,
     {kind: 'keyReused', sameWork: true},
     failed('keyReused', 'unknown'),
   ],
   [
-    'undecided',
+    'an undecided claim is refused',
     503,
-    {kind: 'undecided', detail: 'table unavailable', ...wait(700)},
-    failed('claimUndecided', 'unknown', wait(700)),
+    {kind: 'undecided', detail: 'table unavailable', ...retryAfter(700)},
+    failed('claimUndecided', 'unknown', retryAfter(700)),
   ],
 ];
 
@@ -438,11 +466,11 @@
   },
 );
 
-test('a recorded reply is repeated as events when these are asked for', async () => {
+test('a recorded reply is replayed as events when the caller requests a stream', async () => {
   fixture.claims.decision = {kind: 'duplicate', outcome: completed};
   const response = await fixture.send(chatPath, order, chatBody(true));
   const text = await response.text();
-  const deltas = eventsOf(text).map(event => event.choices[0].delta.content);
+  const deltas = parseEvents(text).map(event => event.choices[0].delta.content);
   expect(deltas).toEqual(['', 'kept', undefined]);
   expect(text.endsWith('data: [DONE]\n\n')).toBe(true);
 });
@@ -455,22 +483,35 @@
 });
 
 const service = '/v1/services/stock/confirm';
-const longer = {...chatBody(), max_tokens: 9};
+const longerReply = {...chatBody(), max_tokens: 9};
 
 test.each([
-  {name: 'asked as events', path: chatPath, body: chatBody(true), same: true},
-  {name: 'another prompt limit', path: chatPath, body: longer, same: false},
+  {
+    name: 'the same chat as a stream',
+    path: chatPath,
+    body: chatBody(true),
+    same: true,
+  },
+  {
+    name: 'another limit on reply tokens',
+    path: chatPath,
+    body: longerReply,
+    same: false,
+  },
   {name: 'another call', path: service, body: chatBody(), same: false},
-])('fingerprint: $name, same $same', async ({path, body, same}) => {
-  await fixture.send(chatPath, order, chatBody());
-  await fixture.send(path, order, body);
-  await fixture.send(service, order, 'x');
-  await fixture.send(`${service}?y`, order, 'x');
-  const [first, second, ...calls] = fixture.claims.fingerprints;
-  expect(second === first).toBe(same);
-  expect(calls[0]).toMatch(/^[\w-]{43}\.order$/);
-  expect(calls[1]).not.toBe(calls[0]);
-});
+])(
+  'fingerprint of $name: same as of the first chat: $same',
+  async ({path, body, same}) => {
+    await fixture.send(chatPath, order, chatBody());
+    await fixture.send(path, order, body);
+    await fixture.send(service, order, 'x');
+    await fixture.send(`${service}?y`, order, 'x');
+    const [first, second, ...calls] = fixture.claims.fingerprints;
+    expect(second === first).toBe(same);
+    expect(calls[0]).toMatch(/^[\w-]{43}\.order$/);
+    expect(calls[1]).not.toBe(calls[0]);
+  },
+);
 
 describe('services', () => {
   test.each([
@@ -480,21 +521,21 @@
     ['/confirm', {...query, 'Idempotency-Key': 'k'}, 200],
     ['/levels/%2e%2e/confirm', query, 400],
     ['/levels%2f..%2fconfirm', query, 400],
-  ])('GET %s', async (path, headers, status) => {
+  ])('GET %s with headers %j has status %i', async (path, headers, status) => {
     const response = await fixture.send(`/v1/services/stock${path}`, headers);
     expect(response.status).toBe(status);
     const passed = fixture.dispatcher.requests.map(request => request.path);
     expect(passed).toEqual(status === 200 ? [path] : []);
   });
 
-  test('an unknown service', async () => {
+  test('a call to an unknown service is refused', async () => {
     const response = await fixture.send('/v1/services/none/x', query);
     expect(response.status).toBe(404);
   });
 });
 
-describe('standing', () => {
-  test('entrypoints name the ready instances, how long to keep them, and a grant', async () => {
+describe('instance state', () => {
+  test('entrypoints return the ready instances, a cache lifetime and a grant', async () => {
     const response = await fixture.send('/v1/entrypoints');
     const body: any = await response.json();
     expect(body.addresses.toSorted()).toEqual(['a:80', 'b:80']);
@@ -505,7 +546,7 @@
     });
   });
 
-  test('entrypoints name an instance that takes work before its peers have heard so', async () => {
+  test('entrypoints include this instance as soon as it accepts work, before the view says so', async () => {
     const view = fixture.views.current!;
     const instances = view.instances.map(one => ({...one, ready: false}));
     fixture.views.current = {...view, instances};
@@ -514,10 +555,13 @@
   });
 
   test.each([
-    ['no view yet', () => (fixture.views.current = undefined)],
-    ['a silent control program', () => (fixture.views.heardAt = -40_000)],
+    ['without a view', () => (fixture.views.current = undefined)],
+    [
+      'without a recent response of the control program',
+      () => (fixture.views.heardAt = -40_000),
+    ],
     [
-      'no confirmed configuration',
+      'without a confirmed configuration',
       () => {
         const view = fixture.views.current!;
         fixture.views.current = {
@@ -526,7 +570,7 @@
         };
       },
     ],
-  ])('%s: no new work', async (_name, change) => {
+  ])('%s, new work is refused', async (_name, change) => {
     change();
     const response = await fixture.send(chatPath, query, chatBody());
     expect(response.status).toBe(503);
@@ -536,7 +580,7 @@
     expect((await fixture.send('/v1/health')).status).toBe(503);
   });
 
-  test('a stop refuses new work with other addresses and finishes what is in progress', async () => {
+  test('a shutdown refuses new work with other addresses and completes requests in progress', async () => {
     let finish = () => undefined as void;
     const begun = new Promise<void>(resolve => {
       fixture.driver.script = (request, sink) =>
@@ -567,22 +611,22 @@
     expect(await drained).toBe(0);
   });
 
-  test('a request sent on a kept connection while the instance stops is answered', async () => {
+  test('a request sent on a kept-alive connection during a shutdown gets a response', async () => {
     const socket = connect(fixture.port, '127.0.0.1');
     const texts: string[] = [];
     socket.setEncoding('utf8').on('data', text => texts.push(String(text)));
-    const ask = () =>
+    const requestHealth = () =>
       socket.write('GET /v1/health HTTP/1.1\r\nHost: callers\r\n\r\n');
-    ask();
+    requestHealth();
     await expect.poll(() => texts.join('')).toContain('"serving":true');
     const drained = fixture.server.drain(60_000);
-    ask();
+    requestHealth();
     await once(socket, 'close');
     expect(texts.join('')).toContain('"leaving":true');
     expect(await drained).toBe(0);
   });
 
-  test('a stop with nothing in progress leaves no timer that would hold the process', async () => {
+  test('a shutdown with no request in progress leaves no timer that would keep the process alive', async () => {
     const clock = new CountingClock();
     const idle = await new CallerFixture(clock).start();
     await idle.send(chatPath, order, chatBody());
@@ -595,10 +639,10 @@
     {headers: order, surelyNotRun: false, executed: 'unknown'},
     {headers: order, surelyNotRun: true, executed: 'no'},
   ])(
-    'new work refused as a whole says no more of a key than is known: $executed',
+    'a refusal before the claim reports executed: $executed',
     async ({headers, surelyNotRun, executed}) => {
       fixture.claims.surelyNotRun = surelyNotRun;
-      const leave = await holdTwo();
+      const releaseSlots = await occupyAllSlots();
       const answers = [await fixture.send(chatPath, headers, chatBody())];
       const serving = fixture.views.current!;
       fixture.views.current = {
@@ -614,19 +658,19 @@
           error: {kind, executed},
         })),
       );
-      await leave();
+      await releaseSlots();
     },
   );
 
-  test('more requests than may be in progress are refused', async () => {
-    const leave = await holdTwo();
+  test('requests over the limit of concurrent requests are refused', async () => {
+    const releaseSlots = await occupyAllSlots();
     const response = await fixture.send(chatPath, query, chatBody());
     expect(response.status).toBe(503);
-    await leave();
+    await releaseSlots();
   });
 });
 
-test('each request ends in one log line with what became of it', async () => {
+test('each request writes one log line with its outcome', async () => {
   await fixture.send(chatPath, query, chatBody());
   await fixture.send(chatPath, {}, chatBody());
   await expect.poll(() => fixture.logger.lines.length).toBe(2);
@@ -654,16 +698,19 @@
   ],
 ];
 
-test.each(outcomeCases)('outcome %j', async (outcome, status, expected) => {
-  fixture.claims.outcome = outcome;
-  const response = await fixture.send('/v1/requests/k%201');
-  expect(response.status).toBe(status);
-  expect(await response.json()).toMatchObject(expected);
-});
+test.each(outcomeCases)(
+  'the outcome of a key is reported for %j',
+  async (outcome, status, expected) => {
+    fixture.claims.outcome = outcome;
+    const response = await fixture.send('/v1/requests/k%201');
+    expect(response.status).toBe(status);
+    expect(await response.json()).toMatchObject(expected);
+  },
+);
 
-test('look-ups under way are bounded', async () => {
+test('lookups over the limit of concurrent lookups are refused', async () => {
   let answer = () => undefined as void;
-  fixture.claims.answerLookUp = new Promise(resolve => {
+  fixture.claims.pendingLookUp = new Promise(resolve => {
     answer = resolve;
   });
   fixture.claims.outcome = {kind: 'running'};
@@ -682,16 +729,20 @@
 
 test.each([
   {name: 'closes', requests: 2, closes: true},
-  {name: 'asks for more than may wait', requests: 40, closes: false},
+  {
+    name: 'exceeds the limit of pipelined requests',
+    requests: 40,
+    closes: false,
+  },
 ])(
-  'nothing is left of requests behind one another on a connection that $name',
+  'pipelined requests release their slots on a connection that $name',
   async ({requests, closes}) => {
     fixture.driver.script = (request, _sink, token) =>
       new Promise(resolve =>
         token.onDidCancel(() => resolve(success(replyOf(request, [])))),
       );
     const socket = sendBytes(chatRequestBytes().repeat(requests));
-    const closed = closeOf(socket);
+    const closed = whenClosed(socket);
     if (closes) {
       await expect.poll(() => fixture.driver.requests.length).toBe(2);
       socket.destroy();
--- a/src/features/callers/test/entrypoints.test.ts
+++ b/src/features/callers/test/entrypoints.test.ts
@@ -5,7 +5,7 @@
 import {EntrypointCandidate, orderEntrypoints} from '../common/entrypoints.js';
 import {instanceView} from './callerFakes.js';
 
-const near = {dataCentre: 'dc1', region: 'east'};
+const local = {dataCentre: 'dc1', region: 'east'};
 
 function candidates(views: readonly InstanceView[]): EntrypointCandidate[] {
   return views.map(view => ({view, weight: 1}));
@@ -18,7 +18,7 @@
 describe('order of entrypoints', () => {
   test.each([
     {
-      name: 'the near data centre, then the region, then the rest',
+      name: 'lists the local data centre first, then the region, then the rest',
       views: [
         instanceView('c', 'far'),
         instanceView('b', 'dc2'),
@@ -27,7 +27,7 @@
       expected: ['a:80', 'b:80', 'c:80'],
     },
     {
-      name: 'neither instances that are not ready nor leaving ones',
+      name: 'leaves out instances that are not ready or are leaving',
       views: [
         instanceView('a', 'dc1', false),
         leaving(instanceView('b')),
@@ -35,35 +35,35 @@
       ],
       expected: ['c:80'],
     },
-    {name: 'nothing known', views: [], expected: []},
+    {name: 'is empty when no instance is known', views: [], expected: []},
   ])('$name', ({views, expected}) => {
-    expect(orderEntrypoints(candidates(views), 'one', near)).toEqual(expected);
+    expect(orderEntrypoints(candidates(views), 'one', local)).toEqual(expected);
   });
 
-  test('losing an instance moves only the accounts that used it', () => {
+  test('removing an instance moves only the accounts that used it', () => {
     const all = candidates(['a', 'b', 'c', 'd'].map(id => instanceView(id)));
     const without = all.filter(({view}) => view.member.id !== 'b');
     fc.assert(
       fc.property(fc.string(), account => {
-        const before = orderEntrypoints(all, account, near);
-        const after = orderEntrypoints(without, account, near);
+        const before = orderEntrypoints(all, account, local);
+        const after = orderEntrypoints(without, account, local);
         expect(after).toEqual(before.filter(address => address !== 'b:80'));
       }),
       {seed: 7, numRuns: 200},
     );
   });
 
-  test('accounts spread by weight', () => {
+  test('accounts are distributed in proportion to the weights', () => {
     const weighted = ['a', 'b'].map((id, index) => ({
       view: instanceView(id),
       weight: index + 1,
     }));
-    let heavy = 0;
+    let heavierCount = 0;
     for (let account = 0; account < 3000; account += 1) {
-      const [first] = orderEntrypoints(weighted, `account-${account}`, near);
-      heavy += first === 'b:80' ? 1 : 0;
+      const [first] = orderEntrypoints(weighted, `account-${account}`, local);
+      heavierCount += first === 'b:80' ? 1 : 0;
     }
-    expect(heavy).toBeGreaterThan(1850);
-    expect(heavy).toBeLessThan(2150);
+    expect(heavierCount).toBeGreaterThan(1850);
+    expect(heavierCount).toBeLessThan(2150);
   });
 });
--- a/src/features/callers/test/requestExchange.test.ts
+++ b/src/features/callers/test/requestExchange.test.ts
@@ -8,7 +8,7 @@
   CallerFixture,
   chatBody,
   chatPath,
-  QuickClock,
+  AcceleratedClock,
   replyOf,
 } from './callerFakes.js';
 
@@ -24,18 +24,18 @@
   recorded: Record<string, unknown>,
 ];
 
-/** Runs on until it is cancelled, then ends as given. */
-function untilCancelled(end: Script): Script {
+/** Runs until it is cancelled, then ends with the given script. */
+function endWhenCancelled(end: Script): Script {
   return (request, sink, token) =>
     new Promise(resolve =>
       token.onDidCancel(() => resolve(end(request, sink, token))),
     );
 }
 
-const whole: Script = async request => success(replyOf(request, ['x']));
+const completeReply: Script = async request => success(replyOf(request, ['x']));
 
 const outcomeCases: readonly OutcomeCase[] = [
-  ['a whole reply', whole, 200, {kind: 'completed', status: 200}],
+  ['a complete reply', completeReply, 200, {kind: 'completed', status: 200}],
   [
     'a failure',
     async () => failure(lost),
@@ -43,14 +43,14 @@
     {kind: 'failed', failure: lost},
   ],
   [
-    'a fault of our own',
+    'an internal error',
     () => Promise.reject(new Error('fault')),
     502,
     {kind: 'failed', failure: {executed: 'unknown'}},
   ],
   [
-    'past the deadline, with what the work says of itself',
-    untilCancelled(async () =>
+    'work past its deadline that reports whether it ran',
+    endWhenCancelled(async () =>
       failure({...lost, error: {kind: 'callerGone'}, executed: 'no'}),
     ),
     504,
@@ -60,7 +60,7 @@
     },
   ],
   [
-    'past the deadline, work that never ends',
+    'work past its deadline that never ends',
     () => new Promise(() => undefined),
     504,
     {
@@ -71,9 +71,9 @@
 ];
 
 test.each(outcomeCases)(
-  'recorded once: %s',
+  '%s is recorded as the outcome exactly once',
   async (_name, script, status, recorded) => {
-    const fixture = await new CallerFixture(new QuickClock()).start();
+    const fixture = await new CallerFixture(new AcceleratedClock()).start();
     fixture.driver.script = script;
     const response = await fixture.send(chatPath, order, chatBody());
     expect(response.status).toBe(status);
@@ -83,19 +83,19 @@
   },
 );
 
-test('a claim granted after the caller left is recorded as not run', async () => {
+test('a claim that is granted after the caller disconnected is recorded as not run', async () => {
   const fixture = await new CallerFixture().start();
-  const leaving = new AbortController();
+  const callerAbort = new AbortController();
   let grant: (decision: ClaimDecision) => void = () => undefined;
   const cancelled = new Promise<void>(resolve => {
     fixture.claims.claim = (_account, _key, token) => {
       token.onDidCancel(resolve);
-      leaving.abort();
+      callerAbort.abort();
       return new Promise(settle => (grant = settle));
     };
   });
   await expect(
-    fixture.send(chatPath, order, chatBody(), leaving.signal),
+    fixture.send(chatPath, order, chatBody(), callerAbort.signal),
   ).rejects.toThrow();
   await cancelled;
   grant({kind: 'granted'});
@@ -107,13 +107,16 @@
   await fixture.server.close();
 });
 
-test('every state of the chart that has work in it can be given up and left by the caller', () => {
+test('every state with work in progress handles an abort and a disconnect of the caller', () => {
   for (const state of ['claiming', 'admitted', 'streaming'] as const) {
     const givenUp = requestChart.next(state, 'givenUp');
     expect(givenUp.state).toBe('failed');
     expect(givenUp.actions[0]).toBe('cancelWork');
-    const left = requestChart.next(state, 'callerGone');
-    expect(left).toMatchObject({state: 'cancelled', actions: ['cancelWork']});
+    const disconnected = requestChart.next(state, 'callerGone');
+    expect(disconnected).toMatchObject({
+      state: 'cancelled',
+      actions: ['cancelWork'],
+    });
   }
   for (const state of ['failed', 'cancelled'] as const) {
     expect(requestChart.next(state, 'granted').actions).toEqual([
