--- a/src/programs/entry/wiring.ts
+++ b/src/programs/entry/entryProgram.ts
@@ -19,20 +19,20 @@
 import {parseAddress} from '../../infrastructure/rpc/node/rpc.js';
 import {HttpServiceConnector} from '../../infrastructure/service/node/httpServiceConnector.js';
 import {EntrySettings} from '../../infrastructure/settings/common/programSettings.js';
-import {EntryBase, PolicyParts} from './entryParts.js';
-import {RedwingParts} from './redwingParts.js';
+import {PolicyDependencies, PolicyComponents} from './policyComponents.js';
+import {RedwingComponents} from './redwingComponents.js';
 
-/** Constructs all parts of the entry program. */
+/** Composition root of the entry program. */
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Longest wait of a planned stop for outcomes to be recorded. */
-const RECORD_MILLISECONDS = 2000;
+/** Milliseconds that a graceful shutdown waits for outcomes to be recorded. */
+const RECORDING_TIMEOUT_MILLISECONDS = 2000;
 
 /** The entry program of one instance. */
 export class EntryProgram extends DisposableOwner {
-  private readonly base: EntryBase;
-  private readonly parts: PolicyParts;
+  private readonly dependencies: PolicyDependencies;
+  private readonly components: PolicyComponents;
   private readonly gate: RequestGate;
   private readonly server: CallerServer;
 
@@ -41,17 +41,17 @@
     peerKey: string,
   ) {
     super();
-    this.base = this.createBase(peerKey);
-    this.parts = this.register(createParts(this.base));
+    this.dependencies = this.createDependencies(peerKey);
+    this.components = this.register(createPolicyComponents(this.dependencies));
     this.gate = this.createGate();
     this.server = this.createServer();
   }
 
-  /** Listens for callers and peers; resolves once both are served. */
+  /** Starts to serve callers and peers; resolves once both are being served. */
   async start(): Promise<void> {
-    const {views, logger, incarnation} = this.base;
+    const {views, logger, incarnation} = this.dependencies;
     views.start();
-    await this.parts.start();
+    await this.components.start();
     const {host, port} = parseAddress(this.settings.callerAddress);
     await this.server.listen(host, port);
     logger.info('entry program started', {
@@ -61,23 +61,26 @@
     });
   }
 
-  /** Leaves: refuses new work at once, finishes what is in flight, then closes. */
+  /** Shuts down gracefully: refuses new work immediately, completes requests in flight, then closes. */
   async stop(): Promise<void> {
-    const {views, logger, incarnation} = this.base;
+    const {views, logger, incarnation} = this.dependencies;
     const announced = views.announce({incarnation, leaving: true});
-    logger.info('entry program leaves', {requests: this.gate.count});
+    logger.info('entry program is shutting down', {requests: this.gate.count});
     const limit = this.settings.drainSeconds * MILLISECONDS_PER_SECOND;
     const givenUp = await this.server.drain(limit);
     if (givenUp > 0) {
-      logger.warn('requests were given up at the end of the drain', {givenUp});
+      logger.warn(
+        'requests in progress were aborted at the end of the drain period',
+        {givenUp},
+      );
     }
-    await this.parts.drain(RECORD_MILLISECONDS);
+    await this.components.drain(RECORDING_TIMEOUT_MILLISECONDS);
     await announced;
     this.dispose();
     logger.info('entry program stopped', {givenUp});
   }
 
-  private createBase(peerKey: string): EntryBase {
+  private createDependencies(peerKey: string): PolicyDependencies {
     const {settings} = this;
     const {controlAddress, instance, observation} = settings;
     const clock = new SystemClock();
@@ -113,29 +116,33 @@
   }
 
   private createGate(): RequestGate {
-    const {views, clock} = this.base;
+    const {views, clock} = this.dependencies;
     const {instance, concurrentRequestLimit} = this.settings;
     return new RequestGate(views, clock, {...instance, concurrentRequestLimit});
   }
 
   private createServer(): CallerServer {
     const {settings, gate} = this;
-    const {views, clock, logger, metrics} = this.base;
-    const {claims, driver, dispatcher} = this.parts;
-    const parts = {claims, driver, dispatcher};
+    const {views, clock, logger, metrics} = this.dependencies;
+    const {claims, driver, dispatcher} = this.components;
+    const policy = {claims, driver, dispatcher};
     const shared = {settings, views, gate, clock, logger, metrics};
-    return new CallerServer({...shared, ...parts});
+    return new CallerServer({...shared, ...policy});
   }
 }
 
-function createParts(base: EntryBase): PolicyParts {
-  return base.settings.policy === 'naive'
-    ? createNaiveParts(base)
-    : new RedwingParts(base);
+function createPolicyComponents(
+  dependencies: PolicyDependencies,
+): PolicyComponents {
+  return dependencies.settings.policy === 'naive'
+    ? createNaiveComponents(dependencies)
+    : new RedwingComponents(dependencies);
 }
 
-function createNaiveParts(base: EntryBase): PolicyParts {
-  const {views, engines, services, clock} = base;
+function createNaiveComponents(
+  dependencies: PolicyDependencies,
+): PolicyComponents {
+  const {views, engines, services, clock} = dependencies;
   const broker = new NaiveBroker(views, engines, clock);
   return {
     claims: new NaiveClaimService(),
--- a/src/programs/entry/main.ts
+++ b/src/programs/entry/main.ts
@@ -13,18 +13,20 @@
   readSecretFile,
   readSettings,
 } from '../../infrastructure/settings/node/readSettings.js';
-import {EntryProgram} from './wiring.js';
+import {EntryProgram} from './entryProgram.js';
 
-/** The program `redwing-entry`. Exit codes: 0 ok, 1 failure, 2 wrong settings or usage. */
+/** The program `redwing-entry`. Exit codes: 0 success, 1 failure, 2 invalid settings or usage. */
 
 const EXIT_FAILURE = 1;
 
-interface Loaded {
+interface LoadedSettings {
   readonly settings: EntrySettings;
   readonly peerKey: string;
 }
 
-function load(path: string): Result<Loaded, readonly Finding[]> {
+function loadSettings(
+  path: string,
+): Result<LoadedSettings, readonly Finding[]> {
   const settings = readSettings(path, entrySettingsSchema);
   if (!settings.ok) {
     return settings;
@@ -39,12 +41,12 @@
   return findings.map(finding => `${formatFinding(finding)}\n`).join('');
 }
 
-/** A command on a settings file. */
+/** A command that takes a settings file. */
 abstract class SettingsCommand extends Command {
   readonly settingsFile = Option.String({name: 'settings'});
 
   override async execute(): Promise<number> {
-    const loaded = load(this.settingsFile);
+    const loaded = loadSettings(this.settingsFile);
     if (!loaded.ok) {
       this.context.stderr.write(formatFindings(loaded.error));
       return USAGE_EXIT_CODE;
@@ -52,7 +54,7 @@
     return this.executeWith(loaded.value);
   }
 
-  protected abstract executeWith(loaded: Loaded): Promise<number>;
+  protected abstract executeWith(loaded: LoadedSettings): Promise<number>;
 }
 
 /** Runs the program until SIGTERM or SIGINT. */
@@ -68,9 +70,9 @@
   protected override async executeWith({
     settings,
     peerKey,
-  }: Loaded): Promise<number> {
+  }: LoadedSettings): Promise<number> {
     const program = new EntryProgram(settings, peerKey);
-    const stopped = stopSignal();
+    const stopSignal = waitForStopSignal();
     try {
       await program.start();
     } catch (error) {
@@ -78,13 +80,13 @@
       program.dispose();
       return EXIT_FAILURE;
     }
-    await stopped;
+    await stopSignal;
     await program.stop();
     return 0;
   }
 }
 
-/** Checks a settings file and the file that it names. */
+/** Validates a settings file and the key file that it refers to. */
 class CheckSettingsCommand extends SettingsCommand {
   static override paths = [['check-settings']];
   static override usage = Command.Usage({
@@ -97,8 +99,8 @@
   }
 }
 
-/** Resolves at the first signal; later ones don't cut the stop short. */
-function stopSignal(): Promise<void> {
+/** Resolves on the first SIGTERM or SIGINT; later signals don't interrupt the shutdown. */
+function waitForStopSignal(): Promise<void> {
   return new Promise(resolve => {
     process.on('SIGTERM', () => resolve());
     process.on('SIGINT', () => resolve());
--- a/src/programs/entry/entryParts.ts
+++ b/src/programs/entry/policyComponents.ts
@@ -10,8 +10,8 @@
 import {HttpServiceConnector} from '../../infrastructure/service/node/httpServiceConnector.js';
 import {EntrySettings} from '../../infrastructure/settings/common/programSettings.js';
 
-/** What the parts of either policy are built from. */
-export interface EntryBase {
+/** Dependencies of the components of each policy. */
+export interface PolicyDependencies {
   readonly settings: EntrySettings;
   readonly peerKey: string;
   readonly incarnation: string;
@@ -23,13 +23,13 @@
   readonly metrics: Metrics;
 }
 
-/** The parts that differ between policies. */
-export interface PolicyParts extends Disposable {
+/** The components that differ between policies. */
+export interface PolicyComponents extends Disposable {
   readonly claims: ClaimService;
   readonly driver: PipelineDriver;
   readonly dispatcher: ServiceDispatcher;
-  /** Begins to serve peers and to follow upstreams. */
+  /** Starts to serve peers and to run background tasks. */
   start(): Promise<void>;
-  /** Resolves when what must be kept of ended requests is kept, or after a time. */
-  drain(milliseconds: number): Promise<void>;
+  /** Resolves once the outcomes of ended requests have been recorded, or after the timeout. */
+  drain(timeoutMilliseconds: number): Promise<void>;
 }
--- a/src/programs/entry/redwingParts.ts
+++ b/src/programs/entry/redwingComponents.ts
@@ -19,19 +19,22 @@
 import {DefaultServiceDispatcher} from '../../features/services/common/defaultServiceDispatcher.js';
 import {mergeRpcRouters, serveRpc} from '../../infrastructure/rpc/node/rpc.js';
 import {HttpTableService} from '../../infrastructure/table/node/httpTableService.js';
-import {EntryBase, PolicyParts} from './entryParts.js';
+import {PolicyDependencies, PolicyComponents} from './policyComponents.js';
 
-const SEED_BYTES = 4;
+const RANDOM_SEED_BYTES = 4;
 
-/** The parts of the policy `redwing`: cells, pipelines with recovery, claims, records. */
-export class RedwingParts extends DisposableOwner implements PolicyParts {
+/** The components of the `redwing` policy: cells, pipelines with recovery, claims and recorded outcomes. */
+export class RedwingComponents
+  extends DisposableOwner
+  implements PolicyComponents
+{
   readonly claims: DefaultClaimService;
   readonly driver: DefaultPipelineDriver;
   readonly dispatcher: DefaultServiceDispatcher;
   private readonly broker: DefaultCapacityBroker;
   private readonly random = createRandomSource();
 
-  constructor(private readonly base: EntryBase) {
+  constructor(private readonly dependencies: PolicyDependencies) {
     super();
     this.claims = this.register(this.createClaims());
     this.broker = this.register(this.createBroker());
@@ -39,9 +42,9 @@
     this.dispatcher = this.createDispatcher();
   }
 
-  /** Serves peers and begins to delete expired claims. */
+  /** Starts to serve peers and to delete expired claims. */
   async start(): Promise<void> {
-    const {settings, peerKey} = this.base;
+    const {settings, peerKey} = this.dependencies;
     const router = mergeRpcRouters(
       createCellRouter(this.broker.cells),
       createClaimRouter(this.claims),
@@ -50,13 +53,13 @@
     this.claims.start();
   }
 
-  drain(milliseconds: number): Promise<void> {
-    return this.claims.drain(milliseconds);
+  drain(timeoutMilliseconds: number): Promise<void> {
+    return this.claims.drain(timeoutMilliseconds);
   }
 
   private createClaims(): DefaultClaimService {
-    const {settings, views, peerKey, incarnation} = this.base;
-    const {clock, logger, metrics} = this.base;
+    const {settings, views, peerKey, incarnation} = this.dependencies;
+    const {clock, logger, metrics} = this.dependencies;
     const {tableAddress} = settings.platform;
     const directory = new ViewPeerDirectory();
     this.register(views.onDidChange(view => directory.update(view)));
@@ -64,13 +67,13 @@
     const table = this.register(
       new HttpTableService(tableAddress, settings.instance.id),
     );
-    const outside = {table, clock, logger, metrics, directory, peers};
-    return new DefaultClaimService({...outside, incarnation, peerKey});
+    const external = {table, clock, logger, metrics, directory, peers};
+    return new DefaultClaimService({...external, incarnation, peerKey});
   }
 
   private createBroker(): DefaultCapacityBroker {
-    const {settings, views, engines, peerKey, incarnation} = this.base;
-    const {clock, logger, metrics} = this.base;
+    const {settings, views, engines, peerKey, incarnation} = this.dependencies;
+    const {clock, logger, metrics} = this.dependencies;
     const {id, dataCentre, region} = settings.instance;
     return new DefaultCapacityBroker({
       views,
@@ -88,7 +91,7 @@
   }
 
   private createDriver(): DefaultPipelineDriver {
-    const {engines, views, clock, logger, metrics} = this.base;
+    const {engines, views, clock, logger, metrics} = this.dependencies;
     return new DefaultPipelineDriver({
       broker: this.broker,
       connector: engines,
@@ -105,7 +108,7 @@
   }
 
   private createDispatcher(): DefaultServiceDispatcher {
-    const {views, services, clock, logger, metrics} = this.base;
+    const {views, services, clock, logger, metrics} = this.dependencies;
     return new DefaultServiceDispatcher({
       broker: this.broker,
       connector: services,
@@ -123,5 +126,5 @@
 }
 
 function createRandomSource(): RandomSource {
-  return new SeededRandomSource(randomBytes(SEED_BYTES).readUInt32LE());
+  return new SeededRandomSource(randomBytes(RANDOM_SEED_BYTES).readUInt32LE());
 }
--- a/src/programs/entry/test/entryProgram.test.ts
+++ b/src/programs/entry/test/entryProgram.test.ts
@@ -14,19 +14,19 @@
   instanceView,
 } from '../../../features/callers/test/callerFakes.js';
 import {EntryAnnouncement} from '../../../features/membership/common/systemView.js';
-import {EntryProgram} from '../wiring.js';
+import {EntryProgram} from '../entryProgram.js';
 
 const peerKey = 'peer-secret';
-const releases: Disposable[] = [];
+const disposables: Disposable[] = [];
 
 afterEach(() => {
-  releases.splice(0).forEach(release => release.dispose());
+  disposables.splice(0).forEach(disposable => disposable.dispose());
 });
 
 async function entrySettings(
   policy: EntrySettings['policy'],
 ): Promise<EntrySettings> {
-  const [callerAddress, peerAddress, controlAddress, nowhere] =
+  const [callerAddress, peerAddress, controlAddress, unusedAddress] =
     (await freeAddresses(4)) as [string, string, string, string];
   return {
     instance: {id: 'a', region: 'east', dataCentre: 'dc1'},
@@ -34,10 +34,10 @@
     peerAddress,
     controlAddress,
     platform: {
-      tableAddress: nowhere,
-      objectsAddress: nowhere,
-      weightsAddress: nowhere,
-      membershipAddress: nowhere,
+      tableAddress: unusedAddress,
+      objectsAddress: unusedAddress,
+      weightsAddress: unusedAddress,
+      membershipAddress: unusedAddress,
     },
     peerKeyFile: 'none',
     observation: {logLevel: 'error'},
@@ -50,10 +50,12 @@
   };
 }
 
-/** A control program that serves one view and keeps what it is told. */
-async function serveControl(address: string): Promise<EntryAnnouncement[]> {
+/** Serves one view as a control program and returns the announcements that it receives. */
+async function serveControlProgram(
+  address: string,
+): Promise<EntryAnnouncement[]> {
   const announcements: EntryAnnouncement[] = [];
-  let watches = 0;
+  let watchCount = 0;
   const update = {
     position: {source: 'control', sequence: 1},
     standing: {kind: 'serving'},
@@ -63,8 +65,8 @@
   };
   const view = createRpcRouter({
     watch: peerProcedure.query(async ({signal}) => {
-      watches += 1;
-      if (watches > 1) {
+      watchCount += 1;
+      if (watchCount > 1) {
         await new Promise(resolve =>
           signal?.addEventListener('abort', resolve, {once: true}),
         );
@@ -75,32 +77,32 @@
       .input((value: unknown) => value as EntryAnnouncement)
       .mutation(({input}) => void announcements.push(input)),
   });
-  releases.push(await serveRpc(createRpcRouter({view}), address, peerKey));
+  disposables.push(await serveRpc(createRpcRouter({view}), address, peerKey));
   return announcements;
 }
 
-async function health(settings: EntrySettings): Promise<number> {
+async function fetchHealthStatus(settings: EntrySettings): Promise<number> {
   const {host, port} = parseAddress(settings.callerAddress);
   return (await fetch(`http://${host}:${port}/v1/health`)).status;
 }
 
 test.each(['redwing', 'naive'] as const)(
-  '%s: serves once it has a view, announces itself, and says when it leaves',
+  'with policy %s, the program serves once it has a view, announces itself, and announces when it leaves',
   async policy => {
     const settings = await entrySettings(policy);
     const program = new EntryProgram(settings, peerKey);
     await program.start();
-    expect(await health(settings)).toBe(503);
-    const announcements = await serveControl(settings.controlAddress);
-    await expect.poll(() => health(settings)).toBe(200);
+    expect(await fetchHealthStatus(settings)).toBe(503);
+    const announcements = await serveControlProgram(settings.controlAddress);
+    await expect.poll(() => fetchHealthStatus(settings)).toBe(200);
     await expect.poll(() => announcements.length).toBe(1);
     await program.stop();
     expect(announcements.map(({leaving}) => leaving)).toEqual([false, true]);
-    await expect(health(settings)).rejects.toThrow();
+    await expect(fetchHealthStatus(settings)).rejects.toThrow();
   },
 );
 
-test('an address in use fails the start', async () => {
+test('the program fails to start when its caller address is in use', async () => {
   const settings = await entrySettings('naive');
   const first = new EntryProgram(settings, peerKey);
   await first.start();
