--- a/src/programs/redwing/administrationClient.ts
+++ b/src/programs/redwing/administrationClient.ts
@@ -2,9 +2,9 @@
 
 import {Disposable} from '../../base/common/lifecycle.js';
 
-/** Calls to the administration API of the control programs, tried in order. */
+/** Client of the administration API; tries the control programs in order. */
 
-/** What a call came to. */
+/** Outcome of a call. */
 export type CallOutcome =
   | {
       readonly kind: 'answered';
@@ -12,9 +12,9 @@
       readonly status: number;
       readonly body: unknown;
     }
-  /** No control program could be connected to: nothing was sent. */
+  /** No control program accepted a connection, so nothing was sent. */
   | {readonly kind: 'neverSent'; readonly detail: string}
-  /** Sent, then lost: a change may have been made. */
+  /** The call may have been sent, but no response was received; a change may have been made. */
   | {readonly kind: 'lost'; readonly address: string; readonly detail: string};
 
 interface Call {
@@ -23,11 +23,11 @@
   readonly body?: unknown;
 }
 
-const SERVICE_UNAVAILABLE = 503;
-const ANSWER_LIMIT_BYTES = 64 * 1_048_576;
+const HTTP_SERVICE_UNAVAILABLE = 503;
+const MAX_RESPONSE_BYTES = 64 * 1_048_576;
 
-/** Errors of a connection that was never made. */
-const NOT_CONNECTED: ReadonlySet<string> = new Set([
+/** Error codes of connections that could not be established. */
+const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -35,7 +35,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Speaks to the first control program that can serve a call. */
+/** Sends each call to the first control program that can serve it. */
 export class AdministrationClient implements Disposable {
   private readonly agent: Agent;
 
@@ -46,11 +46,11 @@
   ) {
     this.agent = new Agent({
       connect: {timeout: timeoutMilliseconds},
-      maxResponseSize: ANSWER_LIMIT_BYTES,
+      maxResponseSize: MAX_RESPONSE_BYTES,
     });
   }
 
-  /** Reads; whatever fails is asked of the next control program. */
+  /** Reads a resource; after any failure, tries the next control program. */
   async read(path: string): Promise<CallOutcome> {
     return this.tryInOrder(
       {method: 'GET', path},
@@ -58,11 +58,12 @@
     );
   }
 
-  /** Submits a change; the next control program is tried only when this one surely changed nothing. */
+  /** Submits a change; tries the next control program only when the previous one definitely changed nothing. */
   async submit(path: string, body: unknown): Promise<CallOutcome> {
     return this.tryInOrder(
       {method: 'POST', path, body},
-      outcome => outcome.kind === 'neverSent' || isSurelyNotAccepted(outcome),
+      outcome =>
+        outcome.kind === 'neverSent' || isDefinitelyNotAccepted(outcome),
     );
   }
 
@@ -72,19 +73,19 @@
 
   private async tryInOrder(
     call: Call,
-    goesOn: (outcome: CallOutcome) => boolean,
+    shouldTryNext: (outcome: CallOutcome) => boolean,
   ): Promise<CallOutcome> {
     let last: CallOutcome = {kind: 'neverSent', detail: 'no addresses'};
     for (const address of this.addresses) {
-      last = preferAnswer(last, await this.callOne(address, call));
-      if (!goesOn(last)) {
+      last = preferResponse(last, await this.callAddress(address, call));
+      if (!shouldTryNext(last)) {
         return last;
       }
     }
     return last;
   }
 
-  private async callOne(address: string, call: Call): Promise<CallOutcome> {
+  private async callAddress(address: string, call: Call): Promise<CallOutcome> {
     try {
       const response = await request(`http://${address}${call.path}`, {
         dispatcher: this.agent,
@@ -99,28 +100,33 @@
       const body = await response.body.json();
       return {kind: 'answered', address, status: response.statusCode, body};
     } catch (error) {
-      return toFailure(address, error);
+      return toCallFailure(address, error);
     }
   }
 }
 
-/** Keeps an answer that explains more than a connection that failed afterwards. */
-function preferAnswer(before: CallOutcome, now: CallOutcome): CallOutcome {
-  return now.kind === 'neverSent' && before.kind === 'answered' ? before : now;
+/** Prefers an earlier response over a later failure to connect, because the response explains more. */
+function preferResponse(
+  previous: CallOutcome,
+  current: CallOutcome,
+): CallOutcome {
+  return current.kind === 'neverSent' && previous.kind === 'answered'
+    ? previous
+    : current;
 }
 
-function isSurelyNotAccepted(outcome: CallOutcome): boolean {
+function isDefinitelyNotAccepted(outcome: CallOutcome): boolean {
   return (
     outcome.kind === 'answered' &&
-    outcome.status === SERVICE_UNAVAILABLE &&
+    outcome.status === HTTP_SERVICE_UNAVAILABLE &&
     (outcome.body as {accepted?: unknown} | null)?.accepted === 'no'
   );
 }
 
-function toFailure(address: string, error: unknown): CallOutcome {
+function toCallFailure(address: string, error: unknown): CallOutcome {
   const {code, message} = error as {code?: string; message?: string};
   const detail = `${address}: ${code ?? message ?? 'unknown error'}`;
-  return code !== undefined && NOT_CONNECTED.has(code)
+  return code !== undefined && CONNECT_ERROR_CODES.has(code)
     ? {kind: 'neverSent', detail}
     : {kind: 'lost', address, detail};
 }
--- a/src/programs/redwing/changeReading.ts
+++ b/src/programs/redwing/changeParser.ts
@@ -6,14 +6,14 @@
 } from '../../features/configuration/common/operationSchemas.js';
 import {readJsonFile} from '../../infrastructure/settings/node/readSettings.js';
 
-/** Changes as operators state them: on the command line or in a file. */
+/** Parses and validates changes from the command line or a file. */
 
-/** The source given to findings about the command line. */
-const COMMAND_LINE = 'command line';
+/** Source of findings about command-line options. */
+const COMMAND_LINE_SOURCE = 'command line';
 
-const VALUE_PATH = '$.operations[0].value.';
+const VALUE_PATH_PREFIX = '$.operations[0].value.';
 
-/** Reads a file of operations; all findings are reported together. */
+/** Reads and validates a file of operations; a failure holds all findings. */
 export function readChangeFile(
   path: string,
 ): Result<Proposal, readonly Finding[]> {
@@ -21,19 +21,22 @@
   return json.ok ? parseProposal(json.value, path) : json;
 }
 
-/** Checks one operation that was put together from options; findings name the option. */
+/** Validates one operation built from options; findings refer to the options by name. */
 export function checkOperation(
   operation: unknown,
 ): Result<Proposal, readonly Finding[]> {
-  const proposal = parseProposal({operations: [operation]}, COMMAND_LINE);
-  return proposal.ok ? proposal : failure(proposal.error.map(nameOption));
+  const proposal = parseProposal(
+    {operations: [operation]},
+    COMMAND_LINE_SOURCE,
+  );
+  return proposal.ok ? proposal : failure(proposal.error.map(withOptionName));
 }
 
-function nameOption(finding: Finding): Finding {
-  if (!finding.path.startsWith(VALUE_PATH)) {
+function withOptionName(finding: Finding): Finding {
+  if (!finding.path.startsWith(VALUE_PATH_PREFIX)) {
     return finding;
   }
-  const field = finding.path.slice(VALUE_PATH.length);
+  const field = finding.path.slice(VALUE_PATH_PREFIX.length);
   const option = field.replace(/[A-Z]/g, letter => `-${letter.toLowerCase()}`);
   return {...finding, path: `--${option}`};
 }
--- a/src/programs/redwing/changeSubmitter.ts
+++ b/src/programs/redwing/changeSubmitter.ts
@@ -3,25 +3,25 @@
 import {Clock} from '../../base/common/clock.js';
 import {Finding} from '../../base/common/finding.js';
 import {
-  ChangeAnswer,
-  RevisionAnswer,
-  changeAnswer,
-  revisionsAnswer,
-} from './administrationAnswers.js';
+  ChangeResponse,
+  StoredRevision,
+  changeResponseSchema,
+  revisionsResponseSchema,
+} from './administrationResponses.js';
 import {AdministrationClient, CallOutcome} from './administrationClient.js';
 
-/** A change to the configuration, tied to the revision that it was made from. */
+/** A change to the configuration, based on a specific revision. */
 export interface Change {
   readonly operations: readonly unknown[];
   readonly expectedRevision: number;
 }
 
-/** What became of a change. */
+/** Outcome of a submitted change. */
 export type ChangeOutcome =
   | {
       readonly kind: 'accepted';
       readonly revision: number;
-      /** Instances that confirmed the revision; undefined when the answer was lost and read back. */
+      /** Number of instances that confirmed the revision; undefined when the response was lost. */
       readonly informed: number | undefined;
       readonly listed: number | undefined;
     }
@@ -36,13 +36,13 @@
   | {readonly kind: 'outcomeUnknown'; readonly detail: string};
 
 const REVISIONS_PATH = '/v1/configuration/revisions';
-const UNAUTHORIZED = 401;
+const HTTP_UNAUTHORIZED = 401;
 const READ_BACK_ATTEMPTS = 5;
-const READ_BACK_PAUSE_MILLISECONDS = 250;
+const READ_BACK_INTERVAL_MILLISECONDS = 250;
 
 /**
- * Submits changes. A change names the revision it was made from, so it can only ever become the
- * next one; when its answer is lost, that revision is read back and the change is never sent again.
+ * Submits changes. A change states the revision it is based on, so it can only become the next one. When the
+ * response is lost, that revision is read back; the change is never resent.
  */
 export class ChangeSubmitter {
   constructor(
@@ -58,58 +58,60 @@
     if (outcome.kind === 'lost') {
       return this.readBack(change, outcome.detail);
     }
-    if (outcome.status === UNAUTHORIZED) {
+    if (outcome.status === HTTP_UNAUTHORIZED) {
       return {kind: 'unauthenticated'};
     }
-    const answer = changeAnswer.safeParse(outcome.body);
-    return answer.success
-      ? this.judge(change, answer.data)
+    const response = changeResponseSchema.safeParse(outcome.body);
+    return response.success
+      ? this.interpretResponse(change, response.data)
       : this.readBack(change, `an answer with status ${outcome.status}`);
   }
 
-  private async judge(
+  private async interpretResponse(
     change: Change,
-    answer: ChangeAnswer,
+    response: ChangeResponse,
   ): Promise<ChangeOutcome> {
-    switch (answer.accepted) {
+    switch (response.accepted) {
       case 'yes':
         return {
           kind: 'accepted',
-          revision: answer.revision,
-          informed: answer.instancesInformed,
-          listed: answer.instancesListed,
+          revision: response.revision,
+          informed: response.instancesInformed,
+          listed: response.instancesListed,
         };
       case 'unknown':
-        return this.readBack(change, `proposal ${answer.nonce}`);
+        return this.readBack(change, `proposal ${response.nonce}`);
       case 'no':
-        return answer;
+        return response;
     }
   }
 
-  /** Finds out what stands at the only revision that the change can have become. */
+  /** Determines the outcome from the revision after the expected one, the only one that the change can become. */
   private async readBack(
     change: Change,
     detail: string,
   ): Promise<ChangeOutcome> {
     for (let attempt = 0; attempt < READ_BACK_ATTEMPTS; attempt++) {
-      const next = await this.readNext(change.expectedRevision);
+      const next = await this.readNextRevision(change.expectedRevision);
       if (next !== undefined) {
-        return compare(change, next);
+        return compareWithStored(change, next);
       }
-      await this.pause(READ_BACK_PAUSE_MILLISECONDS);
+      await this.pause(READ_BACK_INTERVAL_MILLISECONDS);
     }
     return {kind: 'outcomeUnknown', detail};
   }
 
-  private async readNext(after: number): Promise<RevisionAnswer | undefined> {
+  private async readNextRevision(
+    after: number,
+  ): Promise<StoredRevision | undefined> {
     const outcome: CallOutcome = await this.client.read(
       `${REVISIONS_PATH}?after=${after}`,
     );
     if (outcome.kind !== 'answered') {
       return undefined;
     }
-    const answer = revisionsAnswer.safeParse(outcome.body);
-    const revisions = answer.success ? answer.data.revisions : [];
+    const response = revisionsResponseSchema.safeParse(outcome.body);
+    const revisions = response.success ? response.data.revisions : [];
     return revisions.find(revision => revision.revision === after + 1);
   }
 
@@ -120,7 +122,10 @@
   }
 }
 
-function compare(change: Change, stored: RevisionAnswer): ChangeOutcome {
+function compareWithStored(
+  change: Change,
+  stored: StoredRevision,
+): ChangeOutcome {
   if (isDeepStrictEqual(stored.operations, change.operations)) {
     const {revision} = stored;
     return {kind: 'accepted', revision, informed: undefined, listed: undefined};
--- a/src/programs/redwing/commands/accountCommands.ts
+++ b/src/programs/redwing/commands/accountCommands.ts
@@ -5,19 +5,19 @@
 import {readSecretFile} from '../../../infrastructure/settings/node/readSettings.js';
 import {
   EntryFields,
-  SetCommand,
+  EntrySetCommand,
   createListCommand,
   createRemoveCommand,
-  describe,
+  createUsage,
 } from './entryCommands.js';
 import {entryKinds} from './entryKinds.js';
 
-/** `redwing account …`: client accounts. */
+/** `redwing account …`: manages client accounts. */
 
 /** `redwing account set`. */
-class AccountSetCommand extends SetCommand {
+class AccountSetCommand extends EntrySetCommand {
   static override paths = [['account', 'set']];
-  static override usage = describe(
+  static override usage = createUsage(
     'Create a client account or replace its key.',
   );
   protected override readonly kind = entryKinds.clientAccounts;
@@ -30,10 +30,10 @@
   });
 
   protected override fields(): EntryFields {
-    return {keyHash: this.hashOfFile() ?? this.keyHash};
+    return {keyHash: this.hashKeyFile() ?? this.keyHash};
   }
 
-  private hashOfFile(): string | undefined {
+  private hashKeyFile(): string | undefined {
     if (this.keyFile === undefined) {
       return undefined;
     }
@@ -45,7 +45,6 @@
   }
 }
 
-/** The commands on client accounts. */
 export const accountCommands = [
   createListCommand(entryKinds.clientAccounts),
   AccountSetCommand,
--- a/src/programs/redwing/commands/classCommands.ts
+++ b/src/programs/redwing/commands/classCommands.ts
@@ -2,20 +2,20 @@
 
 import {
   EntryFields,
-  SetCommand,
+  EntrySetCommand,
   createListCommand,
   createRemoveCommand,
-  describe,
+  createUsage,
 } from './entryCommands.js';
 import {entryKinds} from './entryKinds.js';
-import {toNumber} from './optionValues.js';
+import {parseNumberOrText} from './optionValues.js';
 
-/** `redwing class …`: classes of work and their targets. */
+/** `redwing class …`: manages classes of work and their targets. */
 
 /** `redwing class set`. */
-class ClassSetCommand extends SetCommand {
+class ClassSetCommand extends EntrySetCommand {
   static override paths = [['class', 'set']];
-  static override usage = describe(
+  static override usage = createUsage(
     'Create a class of work or change its targets; targets not given stay.',
   );
   protected override readonly kind = entryKinds.classes;
@@ -38,16 +38,15 @@
 
   protected override fields(): EntryFields {
     return {
-      firstTokenMilliseconds: toNumber(this.firstToken),
-      betweenTokensMilliseconds: toNumber(this.betweenTokens),
-      deadlineMilliseconds: toNumber(this.deadline),
-      requestsPerSecond: toNumber(this.throughput),
+      firstTokenMilliseconds: parseNumberOrText(this.firstToken),
+      betweenTokensMilliseconds: parseNumberOrText(this.betweenTokens),
+      deadlineMilliseconds: parseNumberOrText(this.deadline),
+      requestsPerSecond: parseNumberOrText(this.throughput),
       repeatable: this.repeatable,
     };
   }
 }
 
-/** The commands on classes of work. */
 export const classCommands = [
   createListCommand(entryKinds.classes),
   ClassSetCommand,
--- a/src/programs/redwing/commands/configCommands.ts
+++ b/src/programs/redwing/commands/configCommands.ts
@@ -1,20 +1,23 @@
 import {Option} from 'clipanion';
 
-import {RevisionAnswer, revisionsAnswer} from '../administrationAnswers.js';
+import {
+  StoredRevision,
+  revisionsResponseSchema,
+} from '../administrationResponses.js';
 import {AdministrationClient} from '../administrationClient.js';
-import {readChangeFile} from '../changeReading.js';
+import {readChangeFile} from '../changeParser.js';
 import {ExitCode, exitCodes} from '../exitCodes.js';
 import {OperatorCommand} from '../operatorCommand.js';
-import {formatCell, formatSections, formatTable} from '../tableText.js';
-import {EntryFields, describe} from './entryCommands.js';
-import {toNumber} from './optionValues.js';
+import {formatCell, formatSections, formatTable} from '../tableFormatter.js';
+import {EntryFields, createUsage} from './entryCommands.js';
+import {parseNumberOrText} from './optionValues.js';
 
-/** `redwing config …`: the configuration as a whole. */
+/** `redwing config …`: shows the configuration and its history, and applies change files. */
 
 /** `redwing config show`. */
 export class ConfigShowCommand extends OperatorCommand {
   static override paths = [['config', 'show']];
-  static override usage = describe('Show the configuration in force.');
+  static override usage = createUsage('Show the configuration in force.');
 
   protected override async run(
     client: AdministrationClient,
@@ -32,7 +35,7 @@
 /** `redwing config history`. */
 export class ConfigHistoryCommand extends OperatorCommand {
   static override paths = [['config', 'history']];
-  static override usage = describe('List accepted changes.');
+  static override usage = createUsage('List accepted changes.');
 
   after = Option.String('--after', '0', {
     description: 'only revisions after this one',
@@ -41,7 +44,7 @@
   protected override async run(
     client: AdministrationClient,
   ): Promise<ExitCode> {
-    const after = toNumber(this.after);
+    const after = parseNumberOrText(this.after);
     if (!Number.isSafeInteger(after) || Number(after) < 0) {
       throw this.end(
         exitCodes.usage,
@@ -49,9 +52,11 @@
       );
     }
     const path = `/v1/configuration/revisions?after=${after}`;
-    const answer = revisionsAnswer.parse(await this.fetch(client, path));
-    const rows = answer.revisions.map(toHistoryRow);
-    this.write(answer.revisions, formatTable(rows));
+    const response = revisionsResponseSchema.parse(
+      await this.fetch(client, path),
+    );
+    const rows = response.revisions.map(toHistoryRow);
+    this.write(response.revisions, formatTable(rows));
     return exitCodes.done;
   }
 }
@@ -59,7 +64,7 @@
 /** `redwing config apply`. */
 export class ConfigApplyCommand extends OperatorCommand {
   static override paths = [['config', 'apply']];
-  static override usage = describe(
+  static override usage = createUsage(
     'Apply a file of operations: {"operations": [...], "expectedRevision": n}.',
   );
 
@@ -81,7 +86,7 @@
   }
 }
 
-function toHistoryRow(revision: RevisionAnswer): EntryFields {
+function toHistoryRow(revision: StoredRevision): EntryFields {
   const time = new Date(revision.committedAtWallMilliseconds);
   return {
     revision: revision.revision,
--- a/src/programs/redwing/commands/entryCommands.ts
+++ b/src/programs/redwing/commands/entryCommands.ts
@@ -1,38 +1,38 @@
 import {Command, CommandClass, Option} from 'clipanion';
 
 import {AdministrationClient} from '../administrationClient.js';
-import {ConfigurationAnswer} from '../administrationAnswers.js';
-import {checkOperation} from '../changeReading.js';
+import {ConfigurationResponse} from '../administrationResponses.js';
+import {checkOperation} from '../changeParser.js';
 import {ExitCode, exitCodes} from '../exitCodes.js';
 import {OperatorCommand} from '../operatorCommand.js';
-import {formatTable} from '../tableText.js';
+import {formatTable} from '../tableFormatter.js';
 
-/** The commands to list, set and remove entries of one kind. */
+/** Commands that list, set and remove configuration entries of one kind. */
 
-/** A kind of entry, as the command line and the API name it. */
+/** A kind of configuration entry, with its names in the command line and the API. */
 export interface EntryKind {
   readonly section: 'classes' | 'clientAccounts' | 'models' | 'services';
   readonly setOperation: string;
   readonly removeOperation: string;
-  /** The first word of its commands. */
-  readonly word: string;
-  /** How help texts call one entry. */
+  /** First word of the commands for this kind. */
+  readonly commandWord: string;
+  /** Singular noun for help texts. */
   readonly one: string;
-  /** How help texts call all entries. */
+  /** Plural noun for help texts. */
   readonly all: string;
 }
 
-/** An entry as read or as put together from options. */
+/** Fields of an entry, from the API or from options. */
 export type EntryFields = Readonly<Record<string, unknown>>;
 
-/** The command that lists the entries of a kind; `toRow` makes an entry a row of the table. */
+/** Creates the command that lists the entries of a kind; `toRow` converts an entry to a table row. */
 export function createListCommand(
   kind: EntryKind,
   toRow: (entry: EntryFields) => EntryFields = entry => entry,
 ): CommandClass {
   return class extends OperatorCommand {
-    static override paths = [[kind.word, 'list']];
-    static override usage = describe(`List the ${kind.all}.`);
+    static override paths = [[kind.commandWord, 'list']];
+    static override usage = createUsage(`List the ${kind.all}.`);
 
     protected override async run(
       client: AdministrationClient,
@@ -45,13 +45,13 @@
   };
 }
 
-/** Sets one entry; fields that aren't given keep what they have. */
-export abstract class SetCommand extends OperatorCommand {
+/** Sets one entry; fields without an option keep their current values. */
+export abstract class EntrySetCommand extends OperatorCommand {
   protected abstract readonly kind: EntryKind;
 
   name = Option.String({required: true});
 
-  /** The fields that the options give; undefined where they give none. */
+  /** Returns the fields set by options; those without an option are undefined or keep their current value. */
   protected abstract fields(existing: EntryFields | undefined): EntryFields;
 
   protected override async run(
@@ -75,11 +75,11 @@
   }
 }
 
-/** The command that removes one entry of a kind. */
+/** Creates the command that removes one entry of a kind. */
 export function createRemoveCommand(kind: EntryKind): CommandClass {
   return class extends OperatorCommand {
-    static override paths = [[kind.word, 'remove']];
-    static override usage = describe(`Remove a ${kind.one}.`);
+    static override paths = [[kind.commandWord, 'remove']];
+    static override usage = createUsage(`Remove a ${kind.one}.`);
 
     name = Option.String({required: true});
 
@@ -98,15 +98,15 @@
   };
 }
 
-/** Describes a command for `--help`. */
-export function describe(
+/** Creates the usage text of a command for `--help`. */
+export function createUsage(
   description: string,
 ): ReturnType<typeof Command.Usage> {
   return Command.Usage({description});
 }
 
 function findEntry(
-  configuration: ConfigurationAnswer,
+  configuration: ConfigurationResponse,
   kind: EntryKind,
   name: string,
 ): EntryFields | undefined {
--- a/src/programs/redwing/commands/entryKinds.ts
+++ b/src/programs/redwing/commands/entryKinds.ts
@@ -1,14 +1,12 @@
 import {EntryKind} from './entryCommands.js';
 
-/** The kinds of entries that operators set. */
-
-/** All kinds, by their section in the API. */
+/** The kinds of configuration entries that operators set, by their section in the API. */
 export const entryKinds = {
   clientAccounts: {
     section: 'clientAccounts',
     setOperation: 'setClientAccount',
     removeOperation: 'removeClientAccount',
-    word: 'account',
+    commandWord: 'account',
     one: 'client account',
     all: 'client accounts',
   },
@@ -16,7 +14,7 @@
     section: 'classes',
     setOperation: 'setClass',
     removeOperation: 'removeClass',
-    word: 'class',
+    commandWord: 'class',
     one: 'class of work',
     all: 'classes of work',
   },
@@ -24,7 +22,7 @@
     section: 'models',
     setOperation: 'setModel',
     removeOperation: 'removeModel',
-    word: 'model',
+    commandWord: 'model',
     one: 'model',
     all: 'models in use',
   },
@@ -32,7 +30,7 @@
     section: 'services',
     setOperation: 'setService',
     removeOperation: 'removeService',
-    word: 'service',
+    commandWord: 'service',
     one: 'plain service',
     all: 'plain services',
   },
--- a/src/programs/redwing/commands/modelCommands.ts
+++ b/src/programs/redwing/commands/modelCommands.ts
@@ -2,20 +2,20 @@
 
 import {
   EntryFields,
-  SetCommand,
+  EntrySetCommand,
   createListCommand,
   createRemoveCommand,
-  describe,
+  createUsage,
 } from './entryCommands.js';
 import {entryKinds} from './entryKinds.js';
-import {toNumber} from './optionValues.js';
+import {parseNumberOrText} from './optionValues.js';
 
-/** `redwing model …`: models in use. */
+/** `redwing model …`: manages the models in use. */
 
 /** `redwing model set`. */
-class ModelSetCommand extends SetCommand {
+class ModelSetCommand extends EntrySetCommand {
   static override paths = [['model', 'set']];
-  static override usage = describe('Add a model or change its version.');
+  static override usage = createUsage('Add a model or change its version.');
   protected override readonly kind = entryKinds.models;
 
   modelVersion = Option.String('--model-version', {
@@ -31,13 +31,12 @@
   protected override fields(existing: EntryFields | undefined): EntryFields {
     return {
       version: this.modelVersion,
-      layerCount: toNumber(this.layerCount),
+      layerCount: parseNumberOrText(this.layerCount),
       adapters: this.adapters ?? existing?.adapters ?? [],
     };
   }
 }
 
-/** The commands on models in use. */
 export const modelCommands = [
   createListCommand(entryKinds.models),
   ModelSetCommand,
--- a/src/programs/redwing/commands/optionValues.ts
+++ b/src/programs/redwing/commands/optionValues.ts
@@ -1,7 +1,7 @@
-/** Values of options, brought into the form that the configuration has. */
+/** Converts option values to the types of the configuration. */
 
-/** A number, or the text itself so that the check of the value names it. */
-export function toNumber(
+/** Parses a number; returns other text unchanged, so that validation reports it. */
+export function parseNumberOrText(
   text: string | undefined,
 ): number | string | undefined {
   if (text === undefined) {
@@ -11,8 +11,8 @@
   return text.trim() === '' || Number.isNaN(value) ? text : value;
 }
 
-/** A kind of call to a plain service from `METHOD /path`. */
-export function toServiceCall(
+/** Parses `METHOD /path` to a call of a plain service. */
+export function parseServiceCall(
   text: string,
   repeatable: boolean,
 ): Readonly<Record<string, unknown>> {
--- a/src/programs/redwing/commands/serviceCommands.ts
+++ b/src/programs/redwing/commands/serviceCommands.ts
@@ -2,20 +2,20 @@
 
 import {
   EntryFields,
-  SetCommand,
+  EntrySetCommand,
   createListCommand,
   createRemoveCommand,
-  describe,
+  createUsage,
 } from './entryCommands.js';
 import {entryKinds} from './entryKinds.js';
-import {toServiceCall} from './optionValues.js';
+import {parseServiceCall} from './optionValues.js';
 
-/** `redwing service …`: plain services. */
+/** `redwing service …`: manages plain services. */
 
 /** `redwing service set`. */
-class ServiceSetCommand extends SetCommand {
+class ServiceSetCommand extends EntrySetCommand {
   static override paths = [['service', 'set']];
-  static override usage = describe(
+  static override usage = createUsage(
     'Add a plain service or replace its list of calls.',
   );
   protected override readonly kind = entryKinds.services;
@@ -29,14 +29,13 @@
 
   protected override fields(existing: EntryFields | undefined): EntryFields {
     const given = [
-      ...(this.calls ?? []).map(call => toServiceCall(call, false)),
-      ...(this.repeatableCalls ?? []).map(call => toServiceCall(call, true)),
+      ...(this.calls ?? []).map(call => parseServiceCall(call, false)),
+      ...(this.repeatableCalls ?? []).map(call => parseServiceCall(call, true)),
     ];
     return {calls: given.length > 0 ? given : (existing?.calls ?? [])};
   }
 }
 
-/** The commands on plain services. */
 export const serviceCommands = [
   createListCommand(entryKinds.services, toRow),
   ServiceSetCommand,
--- a/src/programs/redwing/commands/statusCommands.ts
+++ b/src/programs/redwing/commands/statusCommands.ts
@@ -1,15 +1,15 @@
 import {AdministrationClient} from '../administrationClient.js';
 import {ExitCode, exitCodes} from '../exitCodes.js';
 import {OperatorCommand} from '../operatorCommand.js';
-import {formatSections} from '../tableText.js';
-import {describe} from './entryCommands.js';
+import {formatSections} from '../tableFormatter.js';
+import {createUsage} from './entryCommands.js';
 
 /** `redwing status` and `redwing check-settings`. */
 
 /** `redwing status`. */
 export class StatusCommand extends OperatorCommand {
   static override paths = [['status']];
-  static override usage = describe(
+  static override usage = createUsage(
     'Show the instances and upstreams as the first control program that answers sees them.',
   );
 
@@ -27,7 +27,9 @@
 /** `redwing check-settings`. */
 export class CheckSettingsCommand extends OperatorCommand {
   static override paths = [['check-settings']];
-  static override usage = describe('Check the settings file and the key file.');
+  static override usage = createUsage(
+    'Check the settings file and the key file.',
+  );
 
   protected override run(): Promise<ExitCode> {
     this.write({ok: true}, 'the settings are in order\n');
--- a/src/programs/redwing/exitCodes.ts
+++ b/src/programs/redwing/exitCodes.ts
@@ -1,24 +1,23 @@
-/** What the command line's exit status tells; documented in docs/OPERATIONS.md. */
+/** Exit codes of the command line, as documented in docs/OPERATIONS.md. */
 export const exitCodes = {
-  /** Done; a change is accepted. */
+  /** Success; a submitted change was accepted. */
   done: 0,
-  /** A fault of the program itself. */
+  /** Internal error. */
   internal: 1,
-  /** The command line or the settings can't be used; nothing was changed. */
+  /** Invalid command line or settings; nothing was changed. */
   usage: 2,
-  /** A value or a file of changes is wrong; nothing was changed. */
+  /** Invalid value or change file; nothing was changed. */
   invalid: 3,
-  /** Another change came first; nothing was changed. */
+  /** Another change was accepted first; nothing was changed. */
   conflict: 4,
   /** No control program could serve the call; nothing was changed. */
   unavailable: 5,
   /** The change may or may not have been accepted. */
   outcomeUnknown: 6,
-  /** The operator's key was refused. */
+  /** The operator's key was rejected. */
   unauthenticated: 7,
-  /** The named thing doesn't exist. */
+  /** The named entry doesn't exist. */
   notFound: 8,
 } as const;
 
-/** One of the exit statuses. */
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
--- a/src/programs/redwing/main.ts
+++ b/src/programs/redwing/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
 import {runRedwing} from './runRedwing.js';
 
-/** `redwing`, the operators' command line. */
+/** `redwing`, the command line for operators. */
 process.exitCode = await runRedwing(process.argv.slice(2), process);
--- a/src/programs/redwing/operatorCommand.ts
+++ b/src/programs/redwing/operatorCommand.ts
@@ -9,26 +9,26 @@
   readSettings,
 } from '../../infrastructure/settings/node/readSettings.js';
 import {
-  ConfigurationAnswer,
-  configurationAnswer,
-} from './administrationAnswers.js';
+  ConfigurationResponse,
+  configurationResponseSchema,
+} from './administrationResponses.js';
 import {AdministrationClient, CallOutcome} from './administrationClient.js';
 import {Change, ChangeOutcome, ChangeSubmitter} from './changeSubmitter.js';
 import {ExitCode, exitCodes} from './exitCodes.js';
 
 const DEFAULT_SETTINGS_FILE = 'redwing.json';
-const MILLISECONDS = 1_000;
-const OK = 200;
-const UNAUTHORIZED = 401;
+const MILLISECONDS_PER_SECOND = 1_000;
+const HTTP_OK = 200;
+const HTTP_UNAUTHORIZED = 401;
 
-/** Ends a command with an exit status after its message was written. */
-class CommandEnd extends Error {
+/** Thrown to end a command with an exit code, after its message has been written. */
+class CommandExit extends Error {
   constructor(readonly exitCode: ExitCode) {
     super(`exit ${exitCode}`);
   }
 }
 
-/** What all commands share: settings, calls, output. */
+/** Base of all commands: settings, API calls and output. */
 export abstract class OperatorCommand extends Command {
   settings = Option.String('--settings', DEFAULT_SETTINGS_FILE, {
     description: `settings file (default ${DEFAULT_SETTINGS_FILE})`,
@@ -38,7 +38,7 @@
     description: 'write JSON in place of a table',
   });
 
-  /** Does the work; the client is released afterwards. */
+  /** Runs the command; the client is disposed afterwards. */
   protected abstract run(client: AdministrationClient): Promise<ExitCode>;
 
   override async execute(): Promise<ExitCode> {
@@ -47,7 +47,7 @@
       client = this.connect();
       return await this.run(client);
     } catch (error) {
-      if (error instanceof CommandEnd) {
+      if (error instanceof CommandExit) {
         return error.exitCode;
       }
       throw error;
@@ -56,34 +56,34 @@
     }
   }
 
-  /** Reads from the API and ends the command unless it answers well. */
+  /** Reads a resource; ends the command unless the response has status 200. */
   protected async fetch(
     client: AdministrationClient,
     apiPath: string,
   ): Promise<unknown> {
     const outcome = await client.read(apiPath);
-    if (outcome.kind === 'answered' && outcome.status === OK) {
+    if (outcome.kind === 'answered' && outcome.status === HTTP_OK) {
       return outcome.body;
     }
-    throw this.end(readFailure(outcome), describeRead(outcome));
+    throw this.end(readFailureExitCode(outcome), describeReadFailure(outcome));
   }
 
-  /** The configuration in force at the control program that answered. */
+  /** Reads the active configuration of the control program that responds. */
   protected async fetchConfiguration(
     client: AdministrationClient,
-  ): Promise<ConfigurationAnswer> {
+  ): Promise<ConfigurationResponse> {
     const body = await this.fetch(client, '/v1/configuration');
-    return configurationAnswer.parse(body);
+    return configurationResponseSchema.parse(body);
   }
 
-  /** Submits a change and tells the truth about what became of it. */
+  /** Submits a change and reports its outcome. */
   protected async submit(
     client: AdministrationClient,
     change: Change,
   ): Promise<ExitCode> {
     const submitter = new ChangeSubmitter(client, new SystemClock());
     const outcome = await submitter.submit(change);
-    return this.tell(outcome, change.expectedRevision);
+    return this.reportOutcome(outcome, change.expectedRevision);
   }
 
   /** Writes the result as JSON or as text. */
@@ -92,17 +92,17 @@
     this.context.stdout.write(this.json ? json : text);
   }
 
-  /** Writes a message for people and makes the error that ends the command. */
-  protected end(exitCode: ExitCode, message: string): CommandEnd {
+  /** Writes a message to standard error and returns the error that ends the command. */
+  protected end(exitCode: ExitCode, message: string): CommandExit {
     this.context.stderr.write(`${message}\n`);
-    return new CommandEnd(exitCode);
+    return new CommandExit(exitCode);
   }
 
-  /** Ends the command with all findings. */
+  /** Writes all findings and returns the error that ends the command. */
   protected endWithFindings(
     findings: readonly Finding[],
     exitCode: ExitCode = exitCodes.invalid,
-  ): CommandEnd {
+  ): CommandExit {
     return this.end(
       exitCode,
       findings.map(finding => formatFinding(finding)).join('\n'),
@@ -122,12 +122,15 @@
     return new AdministrationClient(
       controlAddresses,
       key.value,
-      timeoutSeconds * MILLISECONDS,
+      timeoutSeconds * MILLISECONDS_PER_SECOND,
     );
   }
 
-  private tell(outcome: ChangeOutcome, expectedRevision: number): ExitCode {
-    this.write(outcome, describeAccepted(outcome));
+  private reportOutcome(
+    outcome: ChangeOutcome,
+    expectedRevision: number,
+  ): ExitCode {
+    this.write(outcome, describeAcceptance(outcome));
     switch (outcome.kind) {
       case 'accepted':
         return exitCodes.done;
@@ -144,7 +147,8 @@
           `not accepted, nothing was changed: ${outcome.detail}`,
         ).exitCode;
       case 'unauthenticated':
-        return this.end(exitCodes.unauthenticated, KEY_REFUSED).exitCode;
+        return this.end(exitCodes.unauthenticated, KEY_REFUSED_MESSAGE)
+          .exitCode;
       case 'outcomeUnknown':
         return this.end(
           exitCodes.outcomeUnknown,
@@ -156,31 +160,31 @@
   }
 }
 
-const KEY_REFUSED = "the operator's key was refused";
+const KEY_REFUSED_MESSAGE = "the operator's key was refused";
 
-/** Text for standard output; a change that isn't accepted is told of on standard error. */
-function describeAccepted(outcome: ChangeOutcome): string {
+/** Text for standard output; empty unless the change was accepted, as failures are written to standard error. */
+function describeAcceptance(outcome: ChangeOutcome): string {
   if (outcome.kind !== 'accepted') {
     return '';
   }
-  const spread =
+  const distribution =
     outcome.informed === undefined
       ? 'the answer was lost, the revision was read back'
       : `${outcome.informed} of ${outcome.listed} instances have it`;
-  return `accepted as revision ${outcome.revision} (${spread})\n`;
+  return `accepted as revision ${outcome.revision} (${distribution})\n`;
 }
 
-function readFailure(outcome: CallOutcome): ExitCode {
-  return outcome.kind === 'answered' && outcome.status === UNAUTHORIZED
+function readFailureExitCode(outcome: CallOutcome): ExitCode {
+  return outcome.kind === 'answered' && outcome.status === HTTP_UNAUTHORIZED
     ? exitCodes.unauthenticated
     : exitCodes.unavailable;
 }
 
-function describeRead(outcome: CallOutcome): string {
+function describeReadFailure(outcome: CallOutcome): string {
   if (outcome.kind !== 'answered') {
     return `no control program answered: ${outcome.detail}`;
   }
-  return outcome.status === UNAUTHORIZED
-    ? KEY_REFUSED
+  return outcome.status === HTTP_UNAUTHORIZED
+    ? KEY_REFUSED_MESSAGE
     : `${outcome.address} answered with status ${outcome.status}`;
 }
--- a/src/programs/redwing/refusedOptions.ts
+++ b/src/programs/redwing/refusedOptions.ts
@@ -1,10 +1,10 @@
-/** Options that operators may look for and that can't exist: targets are stated, nothing else. */
+/** Options that operators may expect but that don't exist, because operators only state targets. */
 
-/** What is said to someone who tries to state a weight or an address. */
-export const TARGETS_ONLY =
+/** Message for an option that states a weight or an address. */
+export const TARGETS_ONLY_MESSAGE =
   "weights and addresses can't be stated: operators state targets per class, and the system chooses";
 
-const REFUSED_NAMES = new Set([
+const REFUSED_OPTION_NAMES = new Set([
   'weight',
   'weights',
   'address',
@@ -15,12 +15,12 @@
   'port',
 ]);
 
-/** The first option on a command line that states a weight or an address. */
+/** Returns the first option of a command line that states a weight or an address. */
 export function findRefusedOption(
-  words: readonly string[],
+  commandLine: readonly string[],
 ): string | undefined {
-  return words.find(word => {
-    const name = /^--?([a-z]+)/.exec(word)?.[1];
-    return name !== undefined && REFUSED_NAMES.has(name);
+  return commandLine.find(argument => {
+    const name = /^--?([a-z]+)/.exec(argument)?.[1];
+    return name !== undefined && REFUSED_OPTION_NAMES.has(name);
   });
 }
--- a/src/programs/redwing/runRedwing.ts
+++ b/src/programs/redwing/runRedwing.ts
@@ -16,9 +16,9 @@
   StatusCommand,
 } from './commands/statusCommands.js';
 import {exitCodes} from './exitCodes.js';
-import {TARGETS_ONLY, findRefusedOption} from './refusedOptions.js';
+import {TARGETS_ONLY_MESSAGE, findRefusedOption} from './refusedOptions.js';
 
-/** The operators' command line, put together. */
+/** Assembles the command line for operators. */
 
 const COMMANDS = [
   ...accountCommands,
@@ -32,16 +32,16 @@
   StatusCommand,
 ];
 
-/** Runs one command line and answers its exit status. */
+/** Runs one command line; resolves with its exit code. */
 export async function runRedwing(
-  words: readonly string[],
+  commandLine: readonly string[],
   streams: Streams,
 ): Promise<number> {
-  const refused = findRefusedOption(words);
+  const refused = findRefusedOption(commandLine);
   if (refused !== undefined) {
-    streams.stderr.write(`${refused}: ${TARGETS_ONLY}\n`);
+    streams.stderr.write(`${refused}: ${TARGETS_ONLY_MESSAGE}\n`);
     return exitCodes.usage;
   }
   const program = {name: 'redwing', label: 'redwing', commands: COMMANDS};
-  return runCommandLine(program, words, streams);
+  return runCommandLine(program, commandLine, streams);
 }
--- a/src/programs/redwing/tableText.ts
+++ b/src/programs/redwing/tableFormatter.ts
@@ -1,9 +1,9 @@
-/** Plain text tables for people. */
+/** Formats values as plain text tables. */
 
-const GAP = '  ';
-const NOTHING = '(none)';
+const COLUMN_GAP = '  ';
+const EMPTY_TABLE = '(none)';
 
-/** A value in one cell. */
+/** Formats a value for one cell. */
 export function formatCell(value: unknown): string {
   if (Array.isArray(value)) {
     return value.map(formatCell).join(', ');
@@ -16,12 +16,12 @@
   return value === undefined ? '' : String(value);
 }
 
-/** Rows of objects under the names of their fields. */
+/** Formats objects as rows, with their field names as the header. */
 export function formatTable(
   rows: ReadonlyArray<Readonly<Record<string, unknown>>>,
 ): string {
   if (rows.length === 0) {
-    return `${NOTHING}\n`;
+    return `${EMPTY_TABLE}\n`;
   }
   const flat = rows.map(flatten);
   const names = [...new Set(flat.flatMap(row => Object.keys(row)))];
@@ -35,13 +35,13 @@
   return cells.map(line => formatLine(line, widths)).join('');
 }
 
-/** A nested object: single values first, then each list as a table of its own. */
+/** Formats a nested object: a table of its single values, then one table per list of objects. */
 export function formatSections(
   value: Readonly<Record<string, unknown>>,
 ): string {
   const entries = Object.entries(value);
-  const plain = entries.filter(([, inner]) => !isRows(inner));
-  const lists = entries.filter(([, inner]) => isRows(inner));
+  const plain = entries.filter(([, inner]) => !isRowList(inner));
+  const lists = entries.filter(([, inner]) => isRowList(inner));
   const summary = plain.map(([field, inner]) => ({
     field,
     value: formatCell(inner),
@@ -53,7 +53,7 @@
   return formatTable(summary) + tables.join('');
 }
 
-/** Fields of objects inside a row become columns of their own. */
+/** Turns the fields of nested objects into columns of the row. */
 function flatten(
   row: Readonly<Record<string, unknown>>,
 ): Readonly<Record<string, unknown>> {
@@ -70,10 +70,10 @@
   widths: readonly number[],
 ): string {
   const padded = line.map((cell, column) => cell.padEnd(widths[column]));
-  return `${padded.join(GAP).trimEnd()}\n`;
+  return `${padded.join(COLUMN_GAP).trimEnd()}\n`;
 }
 
-function isRows(value: unknown): boolean {
+function isRowList(value: unknown): boolean {
   return (
     Array.isArray(value) &&
     value.every(item => typeof item === 'object' && item !== null)
--- a/src/programs/redwing/test/redwing.test.ts
+++ b/src/programs/redwing/test/redwing.test.ts
@@ -6,11 +6,11 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {exitCodes} from '../exitCodes.js';
-import {TARGETS_ONLY} from '../refusedOptions.js';
+import {TARGETS_ONLY_MESSAGE} from '../refusedOptions.js';
 import {runRedwing} from '../runRedwing.js';
 import {Script, ScriptedApi} from './scriptedApi.js';
 
-/** The operators' command line against an administration API that answers from a script. */
+/** Tests the command line for operators against a scripted administration API. */
 
 const REVISIONS = 'POST /v1/configuration/revisions';
 const AFTER_7 = 'GET /v1/configuration/revisions?after=7';
@@ -33,15 +33,15 @@
   services: {},
 };
 
-const changed = [
+const changedOperations = [
   {kind: 'setClass', value: {...dispatch, deadlineMilliseconds: 4000}},
 ];
 
-const readable: Script = {
+const configurationScript: Script = {
   'GET /v1/configuration': [{status: 200, body: configuration}],
 };
 
-const accepted = {
+const acceptedBody = {
   accepted: 'yes',
   revision: 8,
   operator: 'ana',
@@ -60,87 +60,101 @@
   };
 }
 
-type Case = readonly [
+type CommandCase = readonly [
   name: string,
-  words: string,
+  commandLine: string,
   script: Script,
   exitCode: number,
   output: {readonly stdout?: string; readonly stderr?: string},
 ];
 
-type Answers = Script[string];
+type ScriptedResponses = Script[string];
 
-/** Answers one change, and what is then asked for the revisions after 7. */
-function changing(answer: Answers[number], ...after: Answers): Script {
-  const changes = {...readable, [REVISIONS]: [answer]};
+/** Responds to one change, then to reads of the revisions after 7. */
+function scriptChange(
+  response: ScriptedResponses[number],
+  ...after: ScriptedResponses
+): Script {
+  const changes = {...configurationScript, [REVISIONS]: [response]};
   return after.length === 0 ? changes : {...changes, [AFTER_7]: after};
 }
 
-function listing(...revisions: readonly unknown[]): Answers[number] {
+function revisionsResponse(
+  ...revisions: readonly unknown[]
+): ScriptedResponses[number] {
   return {status: 200, body: {revisions}};
 }
 
 const setDeadline = 'class set dispatch --deadline-milliseconds 4000';
 const badClass = 'class set quotes --deadline-milliseconds=-4';
 const {done, conflict, invalid, usage} = exitCodes;
-const accepting = changing({status: 201, body: accepted});
-const lost = {accepted: 'no', kind: 'conflict', winningRevision: 8};
-const losing = changing({status: 409, body: {...lost, operator: 'luz'}});
-const tableDown = {accepted: 'no', kind: 'unavailable', detail: 'table down'};
-const outage = changing({status: 503, body: tableDown});
-const undecided = {status: 202, body: {accepted: 'unknown', nonce: 'n'}};
-const busy = {status: 503, body: {}};
-const own = listing(revision(changed));
-const anothers = listing(revision([], 'luz'));
-const refusedKey: Script = {
+const acceptedScript = scriptChange({status: 201, body: acceptedBody});
+const conflictBody = {accepted: 'no', kind: 'conflict', winningRevision: 8};
+const conflictScript = scriptChange({
+  status: 409,
+  body: {...conflictBody, operator: 'luz'},
+});
+const unavailableBody = {
+  accepted: 'no',
+  kind: 'unavailable',
+  detail: 'table down',
+};
+const unavailableScript = scriptChange({status: 503, body: unavailableBody});
+const unknownResponse = {status: 202, body: {accepted: 'unknown', nonce: 'n'}};
+const busyResponse = {status: 503, body: {}};
+const ownRevision = revisionsResponse(revision(changedOperations));
+const otherRevision = revisionsResponse(revision([], 'luz'));
+const refusedKeyScript: Script = {
   'GET /v1/status': [{status: 401, body: {kind: 'unauthenticated'}}],
 };
 const statusBody = {
   standing: {kind: 'serving'},
   instances: [{member: {id: 'a', region: 'north'}, ready: true}],
 };
-const serving: Script = {'GET /v1/status': [{status: 200, body: statusBody}]};
-const servingText =
+const statusScript: Script = {
+  'GET /v1/status': [{status: 200, body: statusBody}],
+};
+const statusText =
   'field     value\nstanding  kind=serving\n\ninstances\nid  region  ready\na   north   true\n';
-const informed = 'accepted as revision 8 (3 of 3 instances have it)';
-const notKnown = 'not known whether the change was accepted';
+const acceptedText = 'accepted as revision 8 (3 of 3 instances have it)';
+const unknownText = 'not known whether the change was accepted';
 
-const cases: readonly Case[] = [
+const cases: readonly CommandCase[] = [
   [
     'lists classes as a table',
     'class list',
-    readable,
+    configurationScript,
     done,
     {stdout: 'dispatch  500 '},
   ],
   [
     'lists classes as JSON',
     'class list --json',
-    readable,
+    configurationScript,
     done,
     {stdout: '"firstTokenMilliseconds": 500'},
   ],
   [
     'changes one target and keeps the others',
     setDeadline,
-    accepting,
+    acceptedScript,
     done,
-    {stdout: informed},
+    {stdout: acceptedText},
   ],
   [
-    'names every missing target of a new class',
+    'reports every missing target of a new class',
     badClass,
-    readable,
+    configurationScript,
     invalid,
     {stderr: '--requests-per-second'},
   ],
   ...['--weight=3', '--weights', '--address', '--upstream'].map(
-    (option): Case => [
+    (option): CommandCase => [
       `refuses ${option}`,
       `class set dispatch ${option}`,
       {},
       usage,
-      {stderr: TARGETS_ONLY},
+      {stderr: TARGETS_ONLY_MESSAGE},
     ],
   ),
   [
@@ -151,79 +165,79 @@
     {stderr: '--deadlne'},
   ],
   [
-    'reports a conflict with the winner',
+    'reports a conflict with the operator whose change came first',
     setDeadline,
-    losing,
+    conflictScript,
     conflict,
     {stderr: 'revision 8 by luz came first'},
   ],
   [
-    'reports a refused key',
+    'reports that the key was refused',
     'status',
-    refusedKey,
+    refusedKeyScript,
     exitCodes.unauthenticated,
     {stderr: 'refused'},
   ],
   [
-    'reports an outage as not accepted',
+    'reports a change as not accepted when the table is down',
     setDeadline,
-    outage,
+    unavailableScript,
     exitCodes.unavailable,
     {stderr: 'nothing was changed: table down'},
   ],
   [
-    'reads back a lost answer: accepted',
+    'reports a change as accepted when its response is lost and it is read back',
     setDeadline,
-    changing('cut', own),
+    scriptChange('cut', ownRevision),
     done,
     {stdout: 'accepted as revision 8'},
   ],
   [
-    'reads back a lost answer: another change won',
+    'reports a conflict when its response is lost and another change is read back',
     setDeadline,
-    changing('cut', anothers),
+    scriptChange('cut', otherRevision),
     conflict,
     {stderr: 'by luz'},
   ],
   [
-    'reads back a lost answer: still unknown',
+    'reports an unknown outcome when its response is lost and no revision is read back',
     setDeadline,
-    changing('cut', listing()),
+    scriptChange('cut', revisionsResponse()),
     exitCodes.outcomeUnknown,
-    {stderr: notKnown},
+    {stderr: unknownText},
   ],
   [
-    'reads back when the control program does not know',
+    'reads the revision back when the control program does not know the outcome',
     setDeadline,
-    changing(undecided, busy, own),
+    scriptChange(unknownResponse, busyResponse, ownRevision),
     done,
     {stdout: 'accepted as revision 8'},
   ],
   [
-    'removes nothing that is not there',
+    'reports that an entry to remove does not exist',
     'class remove quotes',
-    readable,
+    configurationScript,
     exitCodes.notFound,
     {stderr: 'there is no quotes'},
   ],
   [
-    'shows history',
+    'shows the history',
     'config history --after 7',
-    {[AFTER_7]: [own]},
+    {[AFTER_7]: [ownRevision]},
     done,
     {stdout: 'setClass dispatch'},
   ],
   [
     'shows the status with one column for each field of a member',
     'status',
-    serving,
+    statusScript,
     done,
-    {stdout: servingText},
+    {stdout: statusText},
   ],
-  ['checks its settings', 'check-settings', {}, done, {stdout: 'in order'}],
+  ['checks the settings', 'check-settings', {}, done, {stdout: 'in order'}],
 ];
 
-interface Run {
+interface CommandResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
@@ -246,9 +260,9 @@
   }
 
   async function run(
-    words: readonly string[],
+    commandLine: readonly string[],
     addresses: readonly string[],
-  ): Promise<Run> {
+  ): Promise<CommandResult> {
     const settings = writeFile('settings.json', {
       controlAddresses: addresses,
       operatorKeyFile: path.join(folder, 'key'),
@@ -256,8 +270,8 @@
     });
     const stdout = new PassThrough();
     const stderr = new PassThrough();
-    const line = [...words, '--settings', settings];
-    const exitCode = await runRedwing(line, {stdout, stderr});
+    const fullLine = [...commandLine, '--settings', settings];
+    const exitCode = await runRedwing(fullLine, {stdout, stderr});
     return {
       exitCode,
       stdout: String(stdout.read() ?? ''),
@@ -265,19 +279,22 @@
     };
   }
 
-  it.each(cases)('%s', async (_name, words, script, exitCode, output) => {
+  it.each(cases)('%s', async (_name, commandLine, script, exitCode, output) => {
     const api = new ScriptedApi(script);
     const address = await api.listen();
-    const result = await run(words.split(' '), [address]);
+    const result = await run(commandLine.split(' '), [address]);
     api.close();
     expect(result.stderr).toContain(output.stderr ?? '');
     expect(result.stdout).toContain(output.stdout ?? '');
     expect(result.exitCode).toBe(exitCode);
     const sent = api.received.filter(call => call.call === REVISIONS);
-    // Where the script answers a change, it is sent once.
+    // A change is sent exactly once, and only if the script has a response for it.
     expect(sent.length).toBe(REVISIONS in script ? 1 : 0);
     for (const {body} of sent) {
-      expect(body).toEqual({operations: changed, expectedRevision: 7});
+      expect(body).toEqual({
+        operations: changedOperations,
+        expectedRevision: 7,
+      });
     }
     expect(result.stderr + result.stdout).not.toContain(OPERATOR_KEY);
   });
@@ -286,7 +303,7 @@
     const gone = new ScriptedApi({});
     const goneAddress = await gone.listen();
     gone.close();
-    const api = new ScriptedApi(readable);
+    const api = new ScriptedApi(configurationScript);
     const address = await api.listen();
     const result = await run(['class', 'list'], [goneAddress, address]);
     const alone = await run(['class', 'list'], [goneAddress]);
@@ -296,7 +313,7 @@
     expect(alone.exitCode).toBe(exitCodes.unavailable);
   });
 
-  it('reports all findings of a file of changes together', async () => {
+  it('reports all findings of a change file together', async () => {
     const file = writeFile('change.json', {
       operations: [
         {kind: 'setClass', value: {...dispatch, deadlineMilliseconds: -1}},
--- a/src/programs/redwing/test/scriptedApi.ts
+++ b/src/programs/redwing/test/scriptedApi.ts
@@ -1,23 +1,22 @@
 import {IncomingMessage, Server, ServerResponse, createServer} from 'node:http';
 import {AddressInfo} from 'node:net';
 
-/** An administration API that answers from a script and keeps what it was sent. */
+/** A fake administration API that responds from a script and records the calls it receives. */
 
-/** One answer; `cut` takes the call and closes the connection without answering. */
-export type ScriptedAnswer =
+/** One response; `cut` receives the call and closes the connection without responding. */
+export type ScriptedResponse =
   {readonly status: number; readonly body: unknown} | 'cut';
 
-/** Answers by `METHOD path`; the last of a list is repeated. */
-export type Script = Readonly<Record<string, readonly ScriptedAnswer[]>>;
+/** Responses by `METHOD path`; the last one of a list is repeated. */
+export type Script = Readonly<Record<string, readonly ScriptedResponse[]>>;
 
-/** A call as received. */
 export interface ReceivedCall {
   readonly call: string;
   readonly body: unknown;
   readonly authorization: string | undefined;
 }
 
-/** Serves one script on loopback. */
+/** Serves a script on loopback. */
 export class ScriptedApi {
   readonly received: ReceivedCall[] = [];
   private readonly server: Server;
@@ -54,14 +53,14 @@
     const {authorization} = request.headers;
     const body: unknown = text === '' ? undefined : JSON.parse(text);
     this.received.push({call, body, authorization});
-    const answers = this.script[call] ?? [{status: 404, body: {}}];
+    const responses = this.script[call] ?? [{status: 404, body: {}}];
     const count = this.received.filter(one => one.call === call).length;
-    const answer = answers[Math.min(count, answers.length) - 1];
-    if (answer === 'cut') {
+    const scripted = responses[Math.min(count, responses.length) - 1];
+    if (scripted === 'cut') {
       request.socket.destroy();
       return;
     }
-    response.writeHead(answer.status, {'content-type': 'application/json'});
-    response.end(JSON.stringify(answer.body));
+    response.writeHead(scripted.status, {'content-type': 'application/json'});
+    response.end(JSON.stringify(scripted.body));
   }
 }
