--- a/src/features/callers/common/callerHeaders.ts
+++ b/src/features/callers/common/callerHeaders.ts
@@ -40,8 +40,8 @@
 }
 
 /**
- * Indexes raw headers (`[name, value, name, value, …]`). Node's parsed headers merge or drop repeated
- * headers, so duplicates can only be detected here.
+ * Indexes raw headers (`[name, value, name, value, …]`). Node's parsed `headers` merge or drop repeated
+ * headers, which would hide duplicates.
  */
 export function indexHeaders(rawHeaders: readonly string[]): HeaderIndex {
   const values = new Map<string, string>();
