--- a/demo/decisionLog.ts
+++ b/demo/decisionLog.ts
@@ -2,43 +2,52 @@
 
 type LogLine = Readonly<Record<string, unknown>>;
 
-/** Fields that say nothing to a reader of the demo. */
-const LEFT_OUT = new Set(['hostname', 'pid', 'level', 'v', 'msg', 'name']);
+/** Fields of log lines that the demo does not print. */
+const OMITTED_FIELDS = new Set([
+  'hostname',
+  'pid',
+  'level',
+  'v',
+  'msg',
+  'name',
+]);
 
 const WAIT_MILLISECONDS = 5000;
 
-/** The log lines that the entry programs wrote about one request. */
-export class DecisionLines {
+/** Prints the log lines that the entry programs wrote about a request. */
+export class DecisionLog {
   constructor(
     private readonly system: LaunchedSystem,
     private readonly print: (line: string) => void,
   ) {}
 
-  /** Prints the decisions on a request and its outcome; the line of the outcome comes last. */
+  /** Waits for the outcome line of a request, which is logged last, and prints it with the decision lines. */
   async show(requestId: string): Promise<void> {
     await this.system.until(
-      `the log tells of request ${requestId}`,
-      () => Promise.resolve(this.linesOf(requestId).some(isOutcome)),
+      `the log contains the outcome of request ${requestId}`,
+      () => Promise.resolve(this.findLines(requestId).some(isRequestOutcome)),
       WAIT_MILLISECONDS,
     );
-    for (const line of this.linesOf(requestId)) {
-      this.print(`  log ${JSON.stringify(withoutNoise(line))}`);
+    for (const line of this.findLines(requestId)) {
+      this.print(`  log ${JSON.stringify(omitFields(line))}`);
     }
   }
 
-  private linesOf(requestId: string): readonly LogLine[] {
+  private findLines(requestId: string): readonly LogLine[] {
     return this.system.instances
       .flatMap(instance => instance.entry.logLines())
       .filter(line => line['requestId'] === requestId)
-      .filter(line => line['decision'] !== undefined || isOutcome(line));
+      .filter(line => line['decision'] !== undefined || isRequestOutcome(line));
   }
 }
 
-function isOutcome(line: LogLine): boolean {
+function isRequestOutcome(line: LogLine): boolean {
   return line['msg'] === 'request';
 }
 
-function withoutNoise(line: LogLine): LogLine {
-  const kept = Object.entries(line).filter(([name]) => !LEFT_OUT.has(name));
+function omitFields(line: LogLine): LogLine {
+  const kept = Object.entries(line).filter(
+    ([name]) => !OMITTED_FIELDS.has(name),
+  );
   return Object.fromEntries(kept);
 }
--- a/demo/demoCaller.ts
+++ b/demo/demoCaller.ts
@@ -2,16 +2,14 @@
 
 import {ExampleAccount} from '../test/support/exampleSystem.js';
 
-/** Calls of one client account, as a program of that account would make them. */
+/** Calls the system as a program of one client account does. */
 
-/** What came back. */
-export interface DemoAnswer {
+export interface DemoResponse {
   readonly status: number;
   readonly requestId: string;
   readonly text: string;
 }
 
-/** A call to make. */
 export interface DemoCall {
   readonly method: 'GET' | 'POST';
   readonly path: string;
@@ -22,23 +20,23 @@
 
 const TIMEOUT_MILLISECONDS = 40_000;
 
-/** Asks which address to use, keeps the grant, and calls there. */
+/** Requests the entrypoints, keeps the grant, and sends calls to the preferred address. */
 export class DemoCaller {
   private address: string;
   private grant = '';
 
   constructor(
     private readonly account: ExampleAccount,
-    anyAddress: string,
+    initialAddress: string,
   ) {
-    this.address = anyAddress;
+    this.address = initialAddress;
   }
 
   get name(): string {
     return this.account.name;
   }
 
-  /** Learns the best address and a grant for keys. */
+  /** Finds the preferred address, and gets a grant for idempotency keys from the instance there. */
   async findEntrypoint(): Promise<string> {
     const call: DemoCall = {method: 'GET', path: '/v1/entrypoints'};
     const first = await this.call(call);
@@ -49,16 +47,16 @@
     return this.address;
   }
 
-  /** A key that only the instance in use may run. */
-  keyOf(suffix: string): string {
+  /** Creates an idempotency key under the grant of the instance in use, the only one that may execute it. */
+  createKey(suffix: string): string {
     return `${this.grant}.${suffix}`;
   }
 
-  /** Makes a call and reads the whole answer. */
-  async call(call: DemoCall): Promise<DemoAnswer> {
+  /** Sends a call and reads the whole response. */
+  async call(call: DemoCall): Promise<DemoResponse> {
     const response = await request(`http://${this.address}${call.path}`, {
       method: call.method,
-      headers: this.headersOf(call),
+      headers: this.createHeaders(call),
       body: call.body === undefined ? null : JSON.stringify(call.body),
       headersTimeout: TIMEOUT_MILLISECONDS,
       bodyTimeout: TIMEOUT_MILLISECONDS,
@@ -68,7 +66,7 @@
     return {status: response.statusCode, requestId, text};
   }
 
-  private headersOf(call: DemoCall): Record<string, string> {
+  private createHeaders(call: DemoCall): Record<string, string> {
     const headers: Record<string, string> = {
       authorization: `Bearer ${this.account.bearerKey}`,
       'content-type': 'application/json',
@@ -83,8 +81,8 @@
   }
 }
 
-/** A call for a reply of the example model. */
-export function chatCall(
+/** Creates a call for a reply of the example model. */
+export function createChatCall(
   classOfWork: string,
   content: string,
   options: {readonly key?: string; readonly stream?: boolean} = {},
--- a/demo/demoSteps.ts
+++ b/demo/demoSteps.ts
@@ -1,19 +1,24 @@
 import {exampleAccounts} from '../test/support/exampleSystem.js';
 import {LaunchedSystem} from '../test/support/launcher.js';
-import {DecisionLines} from './decisionLines.js';
-import {chatCall, DemoAnswer, DemoCall, DemoCaller} from './demoCaller.js';
+import {DecisionLog} from './decisionLog.js';
+import {
+  createChatCall,
+  DemoResponse,
+  DemoCall,
+  DemoCaller,
+} from './demoCaller.js';
 import {OperatorTool} from './operatorTool.js';
 
-/** What the demo shows, step by step; a step that goes otherwise than it should throws. */
+/** The steps of the demo. A step with an unexpected result throws. */
 
 const DONE_EVENT = 'data: [DONE]';
 
-/** Plays the steps against a launched system. */
+/** Runs the steps against a launched system. */
 export class DemoSteps {
   private readonly concrete: DemoCaller;
   private readonly pellets: DemoCaller;
   private readonly operator: OperatorTool;
-  private readonly lines: DecisionLines;
+  private readonly decisionLog: DecisionLog;
 
   constructor(
     private readonly system: LaunchedSystem,
@@ -21,13 +26,13 @@
   ) {
     const [first, second] = system.instances;
     if (first === undefined || second === undefined) {
-      throw new Error('the demo needs two instances');
+      throw new Error('the demo needs at least two instances');
     }
     const {concrete, pellets} = exampleAccounts;
     this.concrete = new DemoCaller(concrete, first.member.callerAddress);
     this.pellets = new DemoCaller(pellets, second.member.callerAddress);
     this.operator = new OperatorTool(system);
-    this.lines = new DecisionLines(system, print);
+    this.decisionLog = new DecisionLog(system, print);
   }
 
   async run(): Promise<void> {
@@ -41,7 +46,7 @@
   }
 
   private async findEntrypoints(): Promise<void> {
-    this.title('Callers ask which address to use');
+    this.printTitle('Callers request the addresses to use');
     for (const caller of [this.concrete, this.pellets]) {
       const address = await caller.findEntrypoint();
       this.print(`${caller.name}: ${address}`);
@@ -49,8 +54,8 @@
   }
 
   private async orders(): Promise<void> {
-    this.title(
-      'Orders of two client accounts at once, none of which may run twice',
+    this.printTitle(
+      'Concurrent orders of two client accounts, each to be executed at most once',
     );
     const orders: ReadonlyArray<readonly [DemoCaller, string]> = [
       [this.concrete, 'Book 12 cubic metres for Thursday 6 am, gate 3.'],
@@ -58,35 +63,39 @@
       [this.pellets, 'Confirm 4 tonnes to the barn for tomorrow.'],
       [this.pellets, 'Book a truck to the hotel on Monday.'],
     ];
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       orders.map(([caller, text], index) => {
-        const key = caller.keyOf(`order-${index}`);
-        return caller.call(chatCall('order', text, {key}));
+        const key = caller.createKey(`order-${index}`);
+        return caller.call(createChatCall('order', text, {key}));
       }),
     );
-    answers.forEach((answer, index) => {
+    responses.forEach((response, index) => {
       const [caller] = orders[index]!;
-      this.check(answer, 200, `order ${index} of ${caller.name}`);
-      this.print(`${caller.name}: ${contentOf(answer)}`);
+      this.assertStatus(response, 200, `order ${index} of ${caller.name}`);
+      this.print(`${caller.name}: ${parseContent(response)}`);
     });
-    const first = answers[0]!;
-    await this.lines.show(first.requestId);
-    await this.sendAgain(orders[0]![1], first);
+    const first = responses[0]!;
+    await this.decisionLog.show(first.requestId);
+    await this.repeatOrder(orders[0]![1], first);
   }
 
-  private async sendAgain(text: string, first: DemoAnswer): Promise<void> {
-    this.title('The same order under the same key comes back, it is not run');
-    const key = this.concrete.keyOf('order-0');
-    const again = await this.concrete.call(chatCall('order', text, {key}));
-    this.check(again, 200, 'the order sent again');
+  private async repeatOrder(text: string, first: DemoResponse): Promise<void> {
+    this.printTitle(
+      'The same order with the same key returns the recorded response without running again',
+    );
+    const key = this.concrete.createKey('order-0');
+    const again = await this.concrete.call(
+      createChatCall('order', text, {key}),
+    );
+    this.assertStatus(again, 200, 'the repeated order');
     if (again.text !== first.text) {
-      throw new Error('the order sent again was answered otherwise');
+      throw new Error('the repeated order got a different response');
     }
-    this.print(`${this.concrete.name}: ${contentOf(again)}`);
+    this.print(`${this.concrete.name}: ${parseContent(again)}`);
   }
 
   private async serviceCalls(): Promise<void> {
-    this.title('Plain services: a look-up and a booking');
+    this.printTitle('Calls to plain services: a look-up and a booking');
     const lookUp: DemoCall = {
       method: 'GET',
       path: '/v1/services/stock/items/pellets-6mm',
@@ -96,55 +105,61 @@
       method: 'POST',
       path: '/v1/services/slots/bookings',
       classOfWork: 'order',
-      idempotencyKey: this.pellets.keyOf('booking-1'),
+      idempotencyKey: this.pellets.createKey('booking-1'),
       body: {key: 'booking-1', slot: 'friday-7'},
     };
     for (const call of [lookUp, booking]) {
-      const answer = await this.pellets.call(call);
-      this.check(answer, 200, call.path);
-      this.print(`${call.method} ${call.path}: ${answer.text}`);
-      await this.lines.show(answer.requestId);
+      const response = await this.pellets.call(call);
+      this.assertStatus(response, 200, call.path);
+      this.print(`${call.method} ${call.path}: ${response.text}`);
+      await this.decisionLog.show(response.requestId);
     }
     await this.pellets.call(booking);
     await this.checkLedger('booking-1');
   }
 
-  /** What counts is what the service itself wrote down. */
+  /** Checks the service's own ledger for the number of executions. */
   private async checkLedger(key: string): Promise<void> {
     const ledgers = await Promise.all(
       this.system.services.map(service => service.ledger()),
     );
     const runs = ledgers.flat().filter(entry => entry.key === key).length;
-    this.print(`sent twice, run ${runs} time(s) by the service's own ledger`);
+    this.print(
+      `sent twice, executed ${runs} time(s) according to the service's ledger`,
+    );
     if (runs !== 1) {
-      throw new Error(`the booking was run ${runs} times`);
+      throw new Error(`the booking was executed ${runs} times instead of once`);
     }
   }
 
   private async streamedReply(): Promise<void> {
-    this.title('A streamed reply, token by token');
+    this.printTitle('A streamed reply, token by token');
     const text = 'Quote 4 tonnes of pellets delivered on Friday morning.';
-    const call = chatCall('query', text, {stream: true});
-    const answer = await this.pellets.call(call);
-    this.check(answer, 200, 'the streamed reply');
-    const events = answer.text.split('\n\n').filter(event => event !== '');
+    const call = createChatCall('query', text, {stream: true});
+    const response = await this.pellets.call(call);
+    this.assertStatus(response, 200, 'the streamed reply');
+    const events = response.text.split('\n\n').filter(event => event !== '');
     if (events.at(-1) !== DONE_EVENT) {
-      throw new Error('the streamed reply did not end whole');
+      throw new Error('the streamed reply ended without its end event');
     }
-    this.print(`${events.length} events: ${streamedContentOf(events)}`);
-    await this.lines.show(answer.requestId);
+    this.print(`${events.length} events: ${parseStreamedContent(events)}`);
+    await this.decisionLog.show(response.requestId);
   }
 
   private async refusedRequest(): Promise<void> {
-    this.title('A refused request is told that nothing ran, and why');
-    const call = chatCall('urgent', 'Is the 6 am pour still on?');
-    const answer = await this.concrete.call(call);
-    this.check(answer, 400, 'a request of an unknown class');
-    this.print(answer.text);
+    this.printTitle(
+      'A refused request gets the reason, and that nothing was executed',
+    );
+    const call = createChatCall('urgent', 'Is the 6 am pour still on?');
+    const response = await this.concrete.call(call);
+    this.assertStatus(response, 400, 'a request of an unknown class');
+    this.print(response.text);
   }
 
   private async configurationChange(): Promise<void> {
-    this.title('An operator states targets; a weight is refused');
+    this.printTitle(
+      'An operator sets the targets of a class; a weight option is refused',
+    );
     const targets = [
       'class',
       'set',
@@ -155,57 +170,63 @@
       '--requests-per-second=2',
       '--repeatable',
     ];
-    await this.command([...targets, '--weight=3'], 2);
-    await this.command(targets, 0);
-    await this.command(['class', 'list'], 0);
-    const call = chatCall('urgent', 'Is the 6 am pour still on?');
-    let answer = await this.concrete.call(call);
-    await this.system.until('the class is in force', async () => {
-      answer = await this.concrete.call(call);
-      return answer.status === 200;
+    await this.runCommand([...targets, '--weight=3'], 2);
+    await this.runCommand(targets, 0);
+    await this.runCommand(['class', 'list'], 0);
+    const call = createChatCall('urgent', 'Is the 6 am pour still on?');
+    let response = await this.concrete.call(call);
+    await this.system.until('the class is active', async () => {
+      response = await this.concrete.call(call);
+      return response.status === 200;
     });
-    this.print(`${this.concrete.name}: ${contentOf(answer)}`);
-    await this.lines.show(answer.requestId);
+    this.print(`${this.concrete.name}: ${parseContent(response)}`);
+    await this.decisionLog.show(response.requestId);
   }
 
   private async status(): Promise<void> {
-    this.title('What the operators see');
-    await this.command(['config', 'history'], 0);
-    await this.command(['status'], 0);
+    this.printTitle('Configuration history and status for operators');
+    await this.runCommand(['config', 'history'], 0);
+    await this.runCommand(['status'], 0);
   }
 
-  private async command(
+  private async runCommand(
     words: readonly string[],
     exitCode: number,
   ): Promise<void> {
     const run = await this.operator.run(words);
     this.print(`$ redwing ${words.join(' ')}\n${run.output}`);
     if (run.exitCode !== exitCode) {
-      throw new Error(`redwing ended with ${run.exitCode}, not ${exitCode}`);
+      throw new Error(
+        `redwing exited with ${run.exitCode}, expected ${exitCode}`,
+      );
     }
   }
 
-  private check(answer: DemoAnswer, status: number, what: string): void {
-    if (answer.status !== status) {
+  private assertStatus(
+    response: DemoResponse,
+    status: number,
+    subject: string,
+  ): void {
+    if (response.status !== status) {
       throw new Error(
-        `${what} was answered with ${answer.status}, not ${status}: ${answer.text}`,
+        `${subject}: got status ${response.status}, expected ${status}: ${response.text}`,
       );
     }
   }
 
-  private title(text: string): void {
+  private printTitle(text: string): void {
     this.print(`\n== ${text}`);
   }
 }
 
-function contentOf(answer: DemoAnswer): string {
-  const reply = JSON.parse(answer.text) as {
+function parseContent(response: DemoResponse): string {
+  const reply = JSON.parse(response.text) as {
     choices: ReadonlyArray<{message: {content: string}}>;
   };
   return reply.choices[0]?.message.content ?? '';
 }
 
-function streamedContentOf(events: readonly string[]): string {
+function parseStreamedContent(events: readonly string[]): string {
   return events
     .filter(event => event.startsWith('data: {'))
     .map(event => JSON.parse(event.slice('data: '.length)))
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -5,24 +5,24 @@
 import {LaunchedSystem} from '../test/support/launcher.js';
 import {DemoSteps} from './demoSteps.js';
 
-/** Starts stand-ins and programs on loopback, shows some work and ends everything again. */
+/** Starts the stand-ins and programs on the loopback interface, runs the steps of the demo, and stops everything. */
 
-const LIMIT_MILLISECONDS = 50_000;
+const TIMEOUT_MILLISECONDS = 50_000;
 
 function print(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-function within(milliseconds: number): Promise<never> {
+function rejectAfter(milliseconds: number): Promise<never> {
   return new Promise((_, reject) => {
     const fail = () =>
-      reject(new Error(`the demo took more than ${milliseconds} ms`));
+      reject(new Error(`the demo did not finish within ${milliseconds} ms`));
     setTimeout(fail, milliseconds).unref();
   });
 }
 
 async function runDemo(): Promise<void> {
-  const limit = within(LIMIT_MILLISECONDS);
+  const limit = rejectAfter(TIMEOUT_MILLISECONDS);
   const launch = LaunchedSystem.launch(exampleOptions, exampleOperations);
   const system = await Promise.race([launch, limit]);
   try {
@@ -34,7 +34,7 @@
 
 try {
   await runDemo();
-  print('\nThe demo went as it should.');
+  print('\nThe demo succeeded.');
 } catch (error) {
   process.stderr.write(`The demo failed: ${String(error)}\n`);
   process.exit(1);
--- a/demo/operatorTool.ts
+++ b/demo/operatorTool.ts
@@ -7,8 +7,8 @@
 
 /** Runs `redwing`, the operators' command line, against a launched system. */
 
-/** What a command wrote and how it ended. */
-export interface CommandRun {
+/** Result of a command; the output is that of stdout followed by stderr. */
+export interface CommandResult {
   readonly exitCode: number;
   readonly output: string;
 }
@@ -16,7 +16,7 @@
 const TIMEOUT_MILLISECONDS = 15_000;
 const PROGRAM = 'dist/src/programs/redwing/main.js';
 
-/** The command line with its settings and key in files of the system's directory. */
+/** Runs commands with a settings file and a key file in the system's directory. */
 export class OperatorTool {
   private readonly settingsFile: string;
 
@@ -34,13 +34,18 @@
     writeFileSync(this.settingsFile, JSON.stringify(settings));
   }
 
-  run(words: readonly string[]): Promise<CommandRun> {
+  run(words: readonly string[]): Promise<CommandResult> {
     const program = join(repositoryRoot(), PROGRAM);
-    const line = [program, ...words, '--settings', this.settingsFile];
+    const commandArguments = [
+      program,
+      ...words,
+      '--settings',
+      this.settingsFile,
+    ];
     return new Promise(resolve => {
       execFile(
         process.execPath,
-        line,
+        commandArguments,
         {timeout: TIMEOUT_MILLISECONDS},
         (error, stdout, stderr) => {
           const code = error === null ? 0 : error.code;
