--- a/lint/layerRule.js
+++ b/lint/layerRule.js
@@ -1,10 +1,11 @@
 import path from 'node:path';
 
-/** An ESLint rule: which folder may import from which. */
+/** An ESLint rule that restricts which folders may import from each other. */
 
+/** Lowest layer first. */
 const LAYERS = ['base', 'infrastructure', 'features', 'programs'];
 
-/** Packages that run without Node and so may be used in `common` folders. */
+/** Packages that run without Node.js, which `common` folders may import. */
 const PORTABLE_PACKAGES = new Set([
   'emittery',
   'hdr-histogram-js',
@@ -14,15 +15,16 @@
 ]);
 
 const MESSAGES = {
-  layer: '{{from}} is below {{to}}: imports go downwards only.',
-  nodeModule: 'A common folder must not import {{specifier}}: it needs Node.',
+  layer: '{{from}} must not import from {{to}}, which is a higher layer.',
+  nodeModule:
+    'A common folder must not import {{specifier}}, which needs Node.js.',
   nodeFolder: 'A common folder must not import from a node folder.',
   testFolder: 'Product code must not import from a test folder.',
   outside: 'Product code must not import from {{folder}}.',
 };
 
-/** Reads the place of a file in the source tree from its path relative to the root. */
-function describeFile(relativePath) {
+/** Determines the layer and the kind of folder of a file from its path relative to the root. */
+function classifyFile(relativePath) {
   const segments = relativePath.split('/');
   const folders = segments.slice(0, -1);
   const inSource = segments[0] === 'src';
@@ -36,7 +38,7 @@
   };
 }
 
-/** The package that a bare specifier names. */
+/** Returns the package name of a bare import specifier. */
 function packageName(specifier) {
   const segments = specifier.split('/');
   return specifier.startsWith('@')
@@ -44,8 +46,8 @@
     : segments[0];
 }
 
-/** What is wrong with a bare import, if anything. */
-function judgePackage(from, specifier) {
+/** Checks the import of a package; returns the problem to report, or undefined. */
+function checkPackageImport(from, specifier) {
   const portable = PORTABLE_PACKAGES.has(packageName(specifier));
   if (from.isCommon && !from.isTest && !portable) {
     return {messageId: 'nodeModule', data: {specifier}};
@@ -53,8 +55,8 @@
   return undefined;
 }
 
-/** What is wrong with a relative import, if anything. */
-function judgeFile(from, to) {
+/** Checks a relative import; returns the problem to report, or undefined. */
+function checkFileImport(from, to) {
   if (!from.isTest && to.isTest) {
     return {messageId: 'testFolder'};
   }
@@ -71,13 +73,13 @@
   return undefined;
 }
 
-/** Checks every form of import in files under `src`. */
+/** Checks all forms of imports and re-exports in files under `src`. */
 export const layerRule = {
   meta: {type: 'problem', messages: MESSAGES, schema: []},
   create(context) {
     const toRelative = file =>
       path.relative(context.cwd, file).split(path.sep).join('/');
-    const from = describeFile(toRelative(context.filename));
+    const from = classifyFile(toRelative(context.filename));
     if (!from.inSource) {
       return {};
     }
@@ -88,8 +90,8 @@
       const specifier = source.value;
       const target = path.resolve(path.dirname(context.filename), specifier);
       const problem = specifier.startsWith('.')
-        ? judgeFile(from, describeFile(toRelative(target)))
-        : judgePackage(from, specifier);
+        ? checkFileImport(from, classifyFile(toRelative(target)))
+        : checkPackageImport(from, specifier);
       if (problem) {
         context.report({node: source, ...problem});
       }
--- a/lint/wireNames.js
+++ b/lint/wireNames.js
@@ -1,6 +1,6 @@
-/** An ESLint rule: the platform's names stand in `platform/` only. */
+/** An ESLint rule that keeps the names of the platform's protocol out of `src`; only `platform/` may use them. */
 
-/** Names that mean nothing else; plain words such as `Name` or `Service` are left aside. */
+/** Names that are unique to the platform. Common words such as `Name` or `Service` are not checked. */
 const WIRE_NAMES = new Set([
   'ActBytes',
   'Addrs',
@@ -44,14 +44,14 @@
   'ttl_max_s',
 ]);
 
-/** Headers and calls are found in any case. */
+/** Names of headers and calls, which are matched case-insensitively. */
 const HYPHENATED_NAMES = new Set(
   [...WIRE_NAMES]
     .filter(name => name.includes('-'))
     .map(name => name.toLowerCase()),
 );
 
-/** The listed name that a text is or holds, with a path's slashes and query left aside. */
+/** Finds a platform name in a text, which can be a URL path with a query. */
 function findWireName(text) {
   return text
     .split(/[/?=&\s:,]+/)
@@ -60,12 +60,13 @@
     );
 }
 
-/** Checks texts and names of properties in files under `src`, tests included. */
+/** Checks strings and identifiers in files under `src`, including tests. */
 export const wireNamesRule = {
   meta: {
     type: 'problem',
     messages: {
-      wireName: '{{name}} is a name of the platform: decode it in platform/.',
+      wireName:
+        '{{name}} is a name of the platform protocol; use it only in platform/.',
     },
     schema: [],
   },
--- a/test/lint/layerRule.test.ts
+++ b/test/lint/layerRule.test.ts
@@ -1,13 +1,13 @@
 import {ESLint} from 'eslint';
 import {describe, expect, it} from 'vitest';
 
-/** The layer rule, run through the repository's own ESLint configuration. */
+/** Runs the repository's own lint rules through its ESLint configuration. */
 
 interface Case {
   readonly name: string;
   readonly file: string;
   readonly code: string;
-  /** The rule that must report; undefined when the code is in order. */
+  /** The rule that must report the code; undefined when the code is valid. */
   readonly rule: string | undefined;
 }
 
@@ -22,37 +22,37 @@
     rule: undefined,
   },
   {
-    name: 'the product must not import the adapter',
+    name: 'product code must not import the platform adapter',
     file: 'src/programs/router/a.ts',
     code: "export * from '../../../platform/store.js';",
     rule: LAYERS_RULE,
   },
   {
-    name: 'the adapter may import the product',
+    name: 'the platform adapter may import product code',
     file: 'platform/a.ts',
     code: "export * from '../src/programs/router/routerSettings.js';",
     rule: undefined,
   },
   {
-    name: 'a header of the platform outside the adapter',
+    name: 'a header name of the platform is reported outside the adapter',
     file: 'src/features/paths/common/a.ts',
     code: "export const header = 'hop-count';",
     rule: NAMES_RULE,
   },
   {
-    name: 'a field of the platform outside the adapter',
+    name: 'a field name of the platform is reported outside the adapter',
     file: 'src/features/paths/common/a.ts',
     code: 'export const settings = {RevokeMs: 5};',
     rule: NAMES_RULE,
   },
   {
-    name: 'a call of the platform outside the adapter',
+    name: 'a path of the platform is reported outside the adapter',
     file: 'src/features/paths/common/a.ts',
     code: 'export const path = (table: string) => `/rows-get?Table=${table}`;',
     rule: NAMES_RULE,
   },
   {
-    name: 'a name of the platform in the adapter',
+    name: 'a header name of the platform is allowed in the adapter',
     file: 'platform/a.ts',
     code: "export const header = 'Hop-Count';",
     rule: undefined,
@@ -88,7 +88,7 @@
     rule: undefined,
   },
   {
-    name: 'a type import counts',
+    name: 'a type import must follow the layers',
     file: 'src/base/common/a.ts',
     code: "export type T = import('../../infrastructure/logging/common/logger.js').Logger;",
     rule: LAYERS_RULE,
@@ -100,7 +100,7 @@
     rule: LAYERS_RULE,
   },
   {
-    name: 'common must not import a package that needs Node',
+    name: 'common must not import a package that needs Node.js',
     file: 'src/infrastructure/http/common/a.ts',
     code: "export {request} from 'undici';",
     rule: LAYERS_RULE,
@@ -130,9 +130,9 @@
     rule: LAYERS_RULE,
   },
   {
-    name: 'product code must not import the measures',
+    name: 'product code must not import measurements',
     file: 'src/programs/entry/a.ts',
-    code: "export * from '../../../measure/common/bound.js';",
+    code: "export * from '../../../measure/common/throughputBound.js';",
     rule: LAYERS_RULE,
   },
   {
@@ -142,32 +142,32 @@
     rule: undefined,
   },
   {
-    name: 'a test keeps to the layers',
+    name: 'a test must follow the layers',
     file: 'src/base/test/a.test.ts',
     code: "export * from '../../features/claims/common/claims.js';",
     rule: LAYERS_RULE,
   },
   {
-    name: 'no default export',
+    name: 'a default export is reported',
     file: 'src/base/common/a.ts',
     code: 'const x = 1;\nexport default x;',
     rule: 'no-restricted-syntax',
   },
   {
-    name: 'no default export by renaming',
+    name: 'an export renamed to default is reported',
     file: 'src/base/common/a.ts',
     code: 'const x = 1;\nexport {x as default};',
     rule: 'no-restricted-syntax',
   },
   {
-    name: 'a default export in a configuration file',
+    name: 'a default export is allowed in a configuration file',
     file: 'other.config.ts',
     code: 'const x = 1;\nexport default x;',
     rule: undefined,
   },
 ];
 
-/** The snippets are in no TypeScript project, so rules that need types are left out. */
+/** The snippets belong to no TypeScript project, so rules that need type information are off. */
 const eslint = new ESLint({
   overrideConfig: {
     files: ['**/*.ts'],
@@ -176,7 +176,7 @@
   },
 });
 
-describe('lint', () => {
+describe('lint rules', () => {
   it.each(cases)('$name', async ({file, code, rule}) => {
     const [result] = await eslint.lintText(code + '\n', {filePath: file});
     const reported = result.messages.map(message => message.ruleId);
--- a/test/lint/verdict.test.ts
+++ b/test/lint/verdict.test.ts
@@ -5,21 +5,24 @@
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
-/** The verdict of CI on a test report. */
+/** Tests the CI script that decides from a test report whether the run passes. */
 
 interface Case {
   readonly name: string;
-  /** Status of each test by its name; undefined when the run left no report. */
+  /** Status of each test by its name; undefined when the run wrote no report. */
   readonly tests: Readonly<Record<string, 'passed' | 'failed'>> | undefined;
+  /** Content of KNOWN-RED.txt; undefined when there is no such file. */
   readonly knownRed: string | undefined;
+  /** Exit status of the test run. */
   readonly status: number;
+  /** Expected exit status of the script. */
   readonly verdict: number;
   readonly lastLine: string;
 }
 
 const cases: readonly Case[] = [
   {
-    name: 'all pass',
+    name: 'passes when all tests pass',
     tests: {a: 'passed', b: 'passed'},
     knownRed: undefined,
     status: 0,
@@ -27,7 +30,7 @@
     lastLine: '2 passed, 0 failed',
   },
   {
-    name: 'a failure',
+    name: 'fails on a failed test',
     tests: {a: 'passed', b: 'failed'},
     knownRed: undefined,
     status: 1,
@@ -35,7 +38,7 @@
     lastLine: '1 passed, 1 failed',
   },
   {
-    name: 'a listed failure',
+    name: 'passes when every failed test is listed',
     tests: {a: 'passed', b: 'failed'},
     knownRed: 'b, a cause, issue 3\n',
     status: 1,
@@ -43,7 +46,7 @@
     lastLine: '1 passed, 1 failed',
   },
   {
-    name: 'a failure whose name only begins like a listed one',
+    name: 'fails on a failed test that only shares a prefix with a listed one',
     tests: {a: 'passed', bc: 'failed'},
     knownRed: 'b, a cause, issue 3\n',
     status: 1,
@@ -51,7 +54,7 @@
     lastLine: '1 passed, 1 failed',
   },
   {
-    name: 'too many listed',
+    name: 'fails when too many tests are listed',
     tests: {a: 'failed'},
     knownRed: 'a, x, 3\nb, x, 3\nc, x, 3\nd, x, 3\n',
     status: 1,
@@ -59,7 +62,7 @@
     lastLine: '0 passed, 1 failed',
   },
   {
-    name: 'no test ran',
+    name: 'fails when no test ran',
     tests: {},
     knownRed: undefined,
     status: 0,
@@ -67,7 +70,7 @@
     lastLine: '0 passed, 0 failed',
   },
   {
-    name: 'an error outside the tests',
+    name: 'fails on an error outside of the tests',
     tests: {a: 'passed'},
     knownRed: undefined,
     status: 1,
@@ -75,7 +78,7 @@
     lastLine: '1 passed, 0 failed',
   },
   {
-    name: 'no report',
+    name: 'fails without a report',
     tests: undefined,
     knownRed: undefined,
     status: 1,
@@ -104,7 +107,7 @@
   });
 }
 
-describe('verdict of CI', () => {
+describe('CI verdict', () => {
   const script = path.resolve('.ci/verdict.js');
   let folder: string;
 
