--- a/demo/decisionLog.ts
+++ b/demo/decisionLog.ts
@@ -46,8 +46,8 @@
 }
 
 function omitFields(line: LogLine): LogLine {
-  const kept = Object.entries(line).filter(
+  const remaining = Object.entries(line).filter(
     ([name]) => !OMITTED_FIELDS.has(name),
   );
-  return Object.fromEntries(kept);
+  return Object.fromEntries(remaining);
 }
--- a/demo/demoSteps.ts
+++ b/demo/demoSteps.ts
@@ -123,12 +123,16 @@
     const ledgers = await Promise.all(
       this.system.services.map(service => service.ledger()),
     );
-    const runs = ledgers.flat().filter(entry => entry.key === key).length;
+    const executionCount = ledgers
+      .flat()
+      .filter(entry => entry.key === key).length;
     this.print(
-      `sent twice, executed ${runs} time(s) according to the service's ledger`,
+      `sent twice, executed ${executionCount} time(s) according to the service's ledger`,
     );
-    if (runs !== 1) {
-      throw new Error(`the booking was executed ${runs} times instead of once`);
+    if (executionCount !== 1) {
+      throw new Error(
+        `the booking was executed ${executionCount} times instead of once`,
+      );
     }
   }
 
@@ -190,14 +194,14 @@
   }
 
   private async runCommand(
-    words: readonly string[],
+    commandArguments: readonly string[],
     exitCode: number,
   ): Promise<void> {
-    const run = await this.operator.run(words);
-    this.print(`$ redwing ${words.join(' ')}\n${run.output}`);
-    if (run.exitCode !== exitCode) {
+    const result = await this.operator.run(commandArguments);
+    this.print(`$ redwing ${commandArguments.join(' ')}\n${result.output}`);
+    if (result.exitCode !== exitCode) {
       throw new Error(
-        `redwing exited with ${run.exitCode}, expected ${exitCode}`,
+        `redwing exited with ${result.exitCode}, expected ${exitCode}`,
       );
     }
   }
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -22,11 +22,11 @@
 }
 
 async function runDemo(): Promise<void> {
-  const limit = rejectAfter(TIMEOUT_MILLISECONDS);
+  const timeout = rejectAfter(TIMEOUT_MILLISECONDS);
   const launch = LaunchedSystem.launch(exampleOptions, exampleOperations);
-  const system = await Promise.race([launch, limit]);
+  const system = await Promise.race([launch, timeout]);
   try {
-    await Promise.race([new DemoSteps(system, print).run(), limit]);
+    await Promise.race([new DemoSteps(system, print).run(), timeout]);
   } finally {
     await system.dispose();
   }
--- a/demo/operatorTool.ts
+++ b/demo/operatorTool.ts
@@ -34,11 +34,11 @@
     writeFileSync(this.settingsFile, JSON.stringify(settings));
   }
 
-  run(words: readonly string[]): Promise<CommandResult> {
+  run(commandWords: readonly string[]): Promise<CommandResult> {
     const program = join(repositoryRoot(), PROGRAM);
     const commandArguments = [
       program,
-      ...words,
+      ...commandWords,
       '--settings',
       this.settingsFile,
     ];
--- a/measure/common/claimLoad.ts
+++ b/measure/common/claimLoad.ts
@@ -36,7 +36,7 @@
   measured: MeasuredSystem,
   options: {readonly seed: number; readonly seconds: number},
 ): Promise<readonly ClaimReport[]> {
-  await configure(measured);
+  await activateConfiguration(measured);
   const reports: ClaimReport[] = [];
   for (const withGrants of [false, true]) {
     for (const instances of [1, 2, 4]) {
@@ -48,7 +48,7 @@
   return reports;
 }
 
-async function configure({system}: MeasuredSystem): Promise<void> {
+async function activateConfiguration({system}: MeasuredSystem): Promise<void> {
   await system.administer([
     {
       kind: 'setClass',
--- a/measure/common/linearFit.ts
+++ b/measure/common/linearFit.ts
@@ -21,11 +21,15 @@
   const size = observations[0]?.regressors.length ?? 0;
   const rows = Array.from({length: size}, (_, row) => [
     ...Array.from({length: size}, (_, column) =>
-      sum(observations, ({regressors}) => regressors[row] * regressors[column]),
+      sum(
+        observations,
+        observation =>
+          observation.regressors[row] * observation.regressors[column],
+      ),
     ),
     sum(
       observations,
-      ({regressors, measurement}) => regressors[row] * measurement,
+      observation => observation.regressors[row] * observation.measurement,
     ),
   ]);
   return solveLinearSystem(rows);
@@ -39,12 +43,16 @@
     points.map(({x, y}) => ({measurement: y, regressors: [1, x]})),
   );
   const mean = sum(points, point => point.y) / points.length;
-  const total = sum(points, point => (point.y - mean) ** 2);
-  const residual = sum(
+  const totalSquares = sum(points, point => (point.y - mean) ** 2);
+  const residualSquares = sum(
     points,
     point => (point.y - intercept - slope * point.x) ** 2,
   );
-  return {intercept, slope, rSquared: total === 0 ? 1 : 1 - residual / total};
+  return {
+    intercept,
+    slope,
+    rSquared: totalSquares === 0 ? 1 : 1 - residualSquares / totalSquares,
+  };
 }
 
 export function evaluateLine(line: Line, x: number): number {
--- a/measure/common/recoveryFaults.ts
+++ b/measure/common/recoveryFaults.ts
@@ -16,30 +16,31 @@
 /** Creates the faults for a system of eight two-stage replicas and four instances in four data centres. */
 export function createFaults(system: LaunchedSystem): readonly InjectedFault[] {
   const {engines, instances} = system;
-  const engine = (replica: number, stage: number): EngineHandle =>
+  const engineAt = (replica: number, stage: number): EngineHandle =>
     engines[replica * system.options.stagesPerReplica + stage];
   return [
     // First, so that after-effects of other faults cannot influence it.
     createDataCentreLoss(system, 'upper'),
     {
       name: 'stage killed',
-      inject: () => engine(0, 1).setFault({kind: 'die'}),
-      repair: () => engine(0, 1).setFault({kind: 'revive'}),
+      inject: () => engineAt(0, 1).setFault({kind: 'die'}),
+      repair: () => engineAt(0, 1).setFault({kind: 'revive'}),
     },
     {
       name: 'stage frozen',
-      inject: () => engine(1, 0).setFault({kind: 'freeze'}),
-      repair: () => clearFault(engine(1, 0)),
+      inject: () => engineAt(1, 0).setFault({kind: 'freeze'}),
+      repair: () => clearFault(engineAt(1, 0)),
     },
     {
       name: 'stage slowed',
-      inject: () => engine(2, 1).setFault({kind: 'slow', factor: SLOW_FACTOR}),
-      repair: () => clearFault(engine(2, 1)),
+      inject: () =>
+        engineAt(2, 1).setFault({kind: 'slow', factor: SLOW_FACTOR}),
+      repair: () => clearFault(engineAt(2, 1)),
     },
     {
       name: 'link degraded',
-      inject: () => degradeLink(engine(3, 0), engine(3, 1)),
-      repair: () => clearFault(engine(3, 1)),
+      inject: () => degradeLink(engineAt(3, 0), engineAt(3, 1)),
+      repair: () => clearFault(engineAt(3, 1)),
     },
     {
       name: 'entry instance killed',
@@ -50,12 +51,12 @@
       name: 'stage frozen and entry instance killed',
       inject: async () => {
         await Promise.all([
-          engine(5, 0).setFault({kind: 'freeze'}),
+          engineAt(5, 0).setFault({kind: 'freeze'}),
           system.killInstance(instances[3]),
         ]);
       },
       repair: async () => {
-        await clearFault(engine(5, 0));
+        await clearFault(engineAt(5, 0));
         await restartInstances(system, [instances[3]]);
       },
     },
--- a/measure/common/retryingCaller.ts
+++ b/measure/common/retryingCaller.ts
@@ -149,9 +149,9 @@
   }
 
   private getOrCreateCaller(address: string): Caller {
-    const known = this.callers.get(address);
-    if (known !== undefined) {
-      return known;
+    const existing = this.callers.get(address);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = new Caller(address);
     this.callers.set(address, created);
--- a/measure/common/steadyLoad.ts
+++ b/measure/common/steadyLoad.ts
@@ -69,10 +69,10 @@
 
   private startRequest(): void {
     const caller = this.callers[this.random.nextInteger(this.callers.length)];
-    const running = this.request(caller).finally(() => {
-      this.running.delete(running);
+    const pending = this.request(caller).finally(() => {
+      this.running.delete(pending);
     });
-    this.running.add(running);
+    this.running.add(pending);
   }
 
   private async request(caller: RetryingCaller): Promise<void> {
--- a/measure/common/streamSummary.ts
+++ b/measure/common/streamSummary.ts
@@ -111,15 +111,18 @@
 }
 
 function mergeRow(
-  known: StreamSummaryRow | undefined,
+  existing: StreamSummaryRow | undefined,
   row: StreamSummaryRow,
 ): StreamSummaryRow {
-  return known === undefined
+  return existing === undefined
     ? row
     : {
-        ...known,
-        count: known.count + 1,
-        examples: [...known.examples, ...row.examples].slice(0, EXAMPLE_LIMIT),
+        ...existing,
+        count: existing.count + 1,
+        examples: [...existing.examples, ...row.examples].slice(
+          0,
+          EXAMPLE_LIMIT,
+        ),
       };
 }
 
--- a/measure/common/throughputBound.ts
+++ b/measure/common/throughputBound.ts
@@ -48,7 +48,7 @@
   const solution = solve(createLinearProgram(replicas, classes));
   const requestsPerSecond: Record<string, number> = {};
   for (const offered of classes) {
-    requestsPerSecond[offered.name] = sumRatesOfClass(
+    requestsPerSecond[offered.name] = sumClassRates(
       solution.variables,
       offered.name,
     );
@@ -103,7 +103,7 @@
   );
 }
 
-function sumRatesOfClass(
+function sumClassRates(
   variables: ReadonlyArray<[string, number]>,
   name: string,
 ): number {
--- a/measure/control.ts
+++ b/measure/control.ts
@@ -158,25 +158,29 @@
 ): Promise<ControlReport> {
   await sleep(SETTLE_MILLISECONDS);
   const readings = await Promise.all(
-    benchmarks.map(benchmark => benchmark.read(options.seconds)),
+    benchmarks.map(benchmark => benchmark.takeReading(options.seconds)),
   );
   const [largest] = benchmarks;
-  const before = readings[0];
-  const changes = [await largest.measureChanges(before)];
+  const readingWithoutAccounts = readings[0];
+  const changes = [await largest.measureChanges(readingWithoutAccounts)];
   await largest.setAccounts(ACCOUNTS);
   await sleep(PAUSE_MILLISECONDS);
-  const after = await largest.read(options.seconds / 2);
-  changes.push(await largest.measureChanges(after));
-  const resident = [...readings, after].map(reading => reading.residentBytes);
+  const readingWithAccounts = await largest.takeReading(options.seconds / 2);
+  changes.push(await largest.measureChanges(readingWithAccounts));
+  const resident = [...readings, readingWithAccounts].map(
+    reading => reading.residentBytes,
+  );
   return {
     seed: options.seed,
     periods: PERIODS,
-    readings: [...readings, after],
+    readings: [...readings, readingWithAccounts],
     cpuShare: fitCpu(readings),
     residentBytes: {
       highestBytes: Math.round(Math.max(...resident)),
       perAccount: Math.round(
-        (after.residentBytes - before.residentBytes) / ACCOUNTS,
+        (readingWithAccounts.residentBytes -
+          readingWithoutAccounts.residentBytes) /
+          ACCOUNTS,
       ),
     },
     bytesPerSecond: fitBytes(readings),
@@ -219,18 +223,24 @@
     await this.system.dispose();
   }
 
-  async read(seconds: number): Promise<FleetReading> {
+  async takeReading(seconds: number): Promise<FleetReading> {
     const {platform} = this.system;
     await platform.resetCounts();
-    const use = await this.fleet.measureUsage(seconds * 1000);
+    const usage = await this.fleet.measureUsage(seconds * 1000);
     const reads = (await platform.counts())['membership read'].total;
     const listReadsPerSecond = reads / seconds / this.fleet.size;
-    const listBytes = await this.listBytes();
+    const listBytes = await this.fetchListBytes();
     const {upstreams, accounts} = this;
-    return {...use, upstreams, accounts, listReadsPerSecond, listBytes};
+    return {
+      ...usage,
+      upstreams,
+      accounts,
+      listReadsPerSecond,
+      listBytes,
+    };
   }
 
-  private async listBytes(): Promise<number> {
+  private async fetchListBytes(): Promise<number> {
     const {membershipAddress} = this.system.platformSettings;
     const url = `http://${membershipAddress}/v1/members`;
     return JSON.stringify((await callJson('GET', url)).body).length;
@@ -238,13 +248,13 @@
 
   async setAccounts(count: number): Promise<void> {
     while (this.accounts < count) {
-      const until = Math.min(count, this.accounts + ACCOUNTS_PER_PROPOSAL);
+      const endIndex = Math.min(count, this.accounts + ACCOUNTS_PER_PROPOSAL);
       const operations = Array.from(
-        {length: until - this.accounts},
+        {length: endIndex - this.accounts},
         (_, index) => createAccountOperation(this.accounts + index),
       );
       await this.fleet.propose(operations);
-      this.accounts = until;
+      this.accounts = endIndex;
     }
   }
 
@@ -263,7 +273,7 @@
       await sleep(CHANGE_SPACING_MILLISECONDS);
     }
     await sleep(PAUSE_MILLISECONDS);
-    const use = this.fleet.usageSince(before);
+    const changeUsage = this.fleet.usageSince(before);
     const elapsedSeconds = (performance.now() - before[0].at) / 1000;
     const perChange = (elapsedSeconds * this.fleet.size) / COUNTED_CHANGES;
     return {
@@ -272,11 +282,11 @@
       medianSeconds: round(median(seconds)),
       worstSeconds: round(Math.max(...seconds)),
       cpuMilliseconds: round(
-        (use.cpuShare - baseline.cpuShare) * perChange * 1000,
+        (changeUsage.cpuShare - baseline.cpuShare) * perChange * 1000,
         1,
       ),
       bytes: Math.round(
-        (use.bytesPerSecond - baseline.bytesPerSecond) * perChange,
+        (changeUsage.bytesPerSecond - baseline.bytesPerSecond) * perChange,
       ),
     };
   }
--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -160,9 +160,12 @@
       const addresses = system.instances.map(
         instance => instance.member.callerAddress,
       );
-      const start = index % addresses.length;
-      const seeds = [...addresses.slice(start), ...addresses.slice(0, start)];
-      return new RetryingCaller(seeds, account.bearerKey);
+      const offset = index % addresses.length;
+      const rotatedAddresses = [
+        ...addresses.slice(offset),
+        ...addresses.slice(0, offset),
+      ];
+      return new RetryingCaller(rotatedAddresses, account.bearerKey);
     });
     const offered = {...CLASS, requestsPerSecond: this.requestsPerSecond};
     this.load = new SteadyLoad(
@@ -186,7 +189,7 @@
   }
 
   /** Counts the requests that started in an interval, and the share of them that met their targets. */
-  measureMet(
+  summarizeRequests(
     from: number,
     to: number,
   ): {readonly count: number; readonly share: number} {
@@ -223,11 +226,11 @@
   async run(): Promise<RecoveryReport> {
     const loads = this.both.map(system => system.load.run());
     await sleep(WARM_UP_MILLISECONDS);
-    const quietFrom = performance.now();
-    const before = this.own.countDetections();
+    const faultFreeFrom = performance.now();
+    const detectionsBefore = this.own.countDetections();
     await sleep(FAULT_FREE_MILLISECONDS);
-    const falseDetections = this.own.countDetections() - before;
-    const quietTo = performance.now();
+    const falseDetections = this.own.countDetections() - detectionsBefore;
+    const faultFreeTo = performance.now();
     const intervals: FaultInterval[] = [];
     for (let index = 0; index < this.own.faults.length; index++) {
       intervals.push(await this.watch(index));
@@ -244,8 +247,12 @@
       worstSeconds: Math.max(...seconds),
       falseDetections,
       faultFreeSeconds: FAULT_FREE_MILLISECONDS / 1000,
-      faultFreeMet: this.own.measureMet(quietFrom, quietTo).share,
-      naiveFaultFreeMet: this.naive.measureMet(quietFrom, quietTo).share,
+      faultFreeMet: this.own.summarizeRequests(faultFreeFrom, faultFreeTo)
+        .share,
+      naiveFaultFreeMet: this.naive.summarizeRequests(
+        faultFreeFrom,
+        faultFreeTo,
+      ).share,
       wrongReplies: this.both
         .flatMap(system => system.load.records)
         .filter(
@@ -273,21 +280,23 @@
 
   /** Whether both systems have met their targets for the stable time, judged by requests that have had time to end. */
   private haveRecovered(from: number): boolean {
-    const until = performance.now() - MAXIMUM_REPLY_MILLISECONDS;
+    const judgedUntil = performance.now() - MAXIMUM_REPLY_MILLISECONDS;
     return this.both.every(system => {
       const {seconds, recovered} = computeRecovery(
         system.load.records,
         from,
-        until,
+        judgedUntil,
+      );
+      return (
+        recovered && judgedUntil - from - seconds * 1000 >= STABLE_MILLISECONDS
       );
-      return recovered && until - from - seconds * 1000 >= STABLE_MILLISECONDS;
     });
   }
 
   private report({fault, from, to}: FaultInterval): FaultReport {
     const own = computeRecovery(this.own.load.records, from, to);
     const naive = computeRecovery(this.naive.load.records, from, to);
-    const met = this.own.measureMet(from, to);
+    const met = this.own.summarizeRequests(from, to);
     return {
       fault,
       seconds: round(own.seconds),
@@ -296,7 +305,7 @@
       naiveRecovered: naive.recovered,
       requests: met.count,
       met: met.share,
-      naiveMet: this.naive.measureMet(from, to).share,
+      naiveMet: this.naive.summarizeRequests(from, to).share,
     };
   }
 }
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -70,7 +70,7 @@
     readonly residentBytesPerUpstream: number;
     readonly idleCpuSharePerUpstream: number;
     /** Time to partition 2,400 engines into cells, as after each change of the membership list. */
-    readonly divisionMilliseconds: number;
+    readonly measureDivisionMilliseconds: number;
   };
   readonly claims: readonly ClaimReport[];
   /** Calls to the platform by one instance that receives no requests. */
@@ -147,8 +147,8 @@
 }
 
 class SlopesBenchmark {
-  private readonly owner: number;
-  private readonly requester: number;
+  private readonly ownerIndex: number;
+  private readonly requesterIndex: number;
   private readonly random;
   private index = 0;
 
@@ -157,17 +157,17 @@
     private readonly options: SlopesOptions,
   ) {
     this.random = new SeededRandomSource(options.seed);
-    this.owner = findOwnerIndex(measured);
-    this.requester = (this.owner + 1) % INSTANCES;
+    this.ownerIndex = findOwnerIndex(measured);
+    this.requesterIndex = (this.ownerIndex + 1) % INSTANCES;
   }
 
   async run(): Promise<SlopesReport> {
     await this.listEngines(ENGINES[0]);
     await this.warmUp();
     const platformCallsPerSecond = await this.measurePlatformCalls();
-    const idle = await this.measureIdle(this.owner);
-    const remote = await this.observeRounds(this.requester);
-    const local = await this.observeRounds(this.owner);
+    const idle = await this.measureIdle(this.ownerIndex);
+    const remote = await this.observeRounds(this.requesterIndex);
+    const local = await this.observeRounds(this.ownerIndex);
     const claims = await measureClaims(this.measured, this.options);
     const accounts = await this.measureAccounts();
     const followedEngines = await this.measureFollowedEngines();
@@ -195,7 +195,7 @@
 
   private async warmUp(): Promise<void> {
     await Promise.all(
-      [this.owner, this.requester].map(index =>
+      [this.ownerIndex, this.requesterIndex].map(index =>
         this.runRound(index, {concurrency: 8, outputTokens: 8}),
       ),
     );
@@ -226,10 +226,10 @@
   /** Sends rounds of requests to one instance and observes the usage of that instance and of the cell owner. */
   private async observeRounds(index: number): Promise<ObservedRounds> {
     const own: Observation[] = [await this.observeIdle(index)];
-    const atOwner: OwnerObservation[] = [];
+    const ownerObservations: OwnerObservation[] = [];
     for (const shape of ROUNDS) {
       const {pid} = this.instance(index).entry;
-      const ownerPid = this.instance(this.owner).entry.pid;
+      const ownerPid = this.instance(this.ownerIndex).entry.pid;
       const before = readProcessUsage(pid);
       const ownerBefore = readProcessUsage(ownerPid);
       const {requests, tokens} = await this.runRound(index, shape);
@@ -240,9 +240,9 @@
         measurement: after.cpuMilliseconds - before.cpuMilliseconds,
         regressors: [requests, tokens, seconds],
       });
-      atOwner.push({requests, rates});
+      ownerObservations.push({requests, rates});
     }
-    return {own, ownerObservations: atOwner};
+    return {own, ownerObservations};
   }
 
   private async observeIdle(index: number): Promise<Observation> {
@@ -277,22 +277,24 @@
 
   private async measureAccounts(): Promise<SlopesReport['accounts']> {
     const readings: AccountReading[] = [];
-    let known = 1;
+    let previousCount = 1;
     for (const accounts of ACCOUNTS) {
-      await this.addAccounts(known, accounts);
-      known = accounts;
+      await this.addAccounts(previousCount, accounts);
+      previousCount = accounts;
       await sleep(SETTLE_MILLISECONDS);
-      const idle = await this.measureIdle(this.requester);
-      const {pid} = this.instance(this.requester).entry;
+      const idle = await this.measureIdle(this.requesterIndex);
+      const {pid} = this.instance(this.requesterIndex).entry;
       const before = readProcessUsage(pid);
-      const {requests} = await this.runRound(this.requester, ROUNDS[0]);
-      const used =
+      const {requests} = await this.runRound(this.requesterIndex, ROUNDS[0]);
+      const cpuMilliseconds =
         readProcessUsage(pid).cpuMilliseconds - before.cpuMilliseconds;
       readings.push({
         accounts,
         residentBytes: idle.residentBytes,
         idleCpuShare: round(idle.cpuShare, 5),
-        cpuMillisecondsPerRequest: round(used / Math.max(1, requests)),
+        cpuMillisecondsPerRequest: round(
+          cpuMilliseconds / Math.max(1, requests),
+        ),
       });
     }
     const line = fitLine(
@@ -329,16 +331,16 @@
       );
       await this.measured.system.platform.setMembers({set});
       await sleep(SETTLE_MILLISECONDS * 2);
-      readings.push(await this.measureIdle(this.requester));
+      readings.push(await this.measureIdle(this.requesterIndex));
     }
     const [few, many] = readings;
-    const more = KNOWN_UPSTREAMS[1] - KNOWN_UPSTREAMS[0];
+    const addedUpstreams = KNOWN_UPSTREAMS[1] - KNOWN_UPSTREAMS[0];
     return {
       residentBytesPerUpstream: Math.round(
-        (many.residentBytes - few.residentBytes) / more,
+        (many.residentBytes - few.residentBytes) / addedUpstreams,
       ),
-      idleCpuSharePerUpstream: (many.cpuShare - few.cpuShare) / more,
-      divisionMilliseconds: round(divisionMilliseconds()),
+      idleCpuSharePerUpstream: (many.cpuShare - few.cpuShare) / addedUpstreams,
+      measureDivisionMilliseconds: round(divisionMilliseconds()),
     };
   }
 
@@ -357,7 +359,10 @@
     const readings: Array<UsageRates & {readonly engines: number}> = [];
     for (const count of ENGINES) {
       await this.listEngines(count);
-      readings.push({...(await this.measureIdle(this.owner)), engines: count});
+      readings.push({
+        ...(await this.measureIdle(this.ownerIndex)),
+        engines: count,
+      });
     }
     const slope = (select: (reading: UsageRates) => number): number =>
       fitLine(
@@ -390,16 +395,20 @@
 
 /** Divides the usage of the owner beyond its idle usage by the number of requests to the other instance. */
 function computeReservationCost(
-  {ownerObservations: atOwner}: ObservedRounds,
+  {ownerObservations}: ObservedRounds,
   idle: UsageRates,
 ): SlopesReport['reservation'] {
   const meanPerRequest = (select: (rates: UsageRates) => number): number => {
-    const used = atOwner.reduce(
+    const used = ownerObservations.reduce(
       (sum, {rates}) => sum + (select(rates) - select(idle)) * rates.seconds,
       0,
     );
     return (
-      used / atOwner.reduce((sum, observation) => sum + observation.requests, 0)
+      used /
+      ownerObservations.reduce(
+        (sum, observation) => sum + observation.requests,
+        0,
+      )
     );
   };
   return {
--- a/measure/throughput.ts
+++ b/measure/throughput.ts
@@ -249,11 +249,11 @@
         record =>
           record.isCounted && record.isOnTime && record.classOfWork === name,
       ).length / options.seconds;
-    const limit = bound.requestsPerSecond[name];
+    const boundRate = bound.requestsPerSecond[name];
     reports[name] = {
       onTime: round(onTime),
-      bound: round(limit),
-      ratio: round(onTime / limit),
+      bound: round(boundRate),
+      ratio: round(onTime / boundRate),
     };
   }
   return reports;
@@ -263,11 +263,12 @@
 function worstSmallAccountShare(records: readonly LoadRecord[]): number {
   const shares = ACCOUNTS.filter(account => account.name !== 'large').map(
     account => {
-      const own = records.filter(
+      const accountRecords = records.filter(
         record => record.isCounted && record.clientAccount === account.name,
       );
       return (
-        own.filter(record => record.isOnTime).length / Math.max(1, own.length)
+        accountRecords.filter(record => record.isOnTime).length /
+        Math.max(1, accountRecords.length)
       );
     },
   );
@@ -275,9 +276,9 @@
 }
 
 function lateShare(records: readonly LoadRecord[]): number {
-  const taken = records.filter(record => record.outcome.status === 200);
-  const late = taken.filter(record => !record.isOnTime);
-  return round(late.length / Math.max(1, taken.length));
+  const accepted = records.filter(record => record.outcome.status === 200);
+  const late = accepted.filter(record => !record.isOnTime);
+  return round(late.length / Math.max(1, accepted.length));
 }
 
 function countFailures(
--- a/test/lint/verdict.test.ts
+++ b/test/lint/verdict.test.ts
@@ -16,7 +16,7 @@
   /** Exit status of the test run. */
   readonly status: number;
   /** Expected exit status of the script. */
-  readonly verdict: number;
+  readonly expectedStatus: number;
   readonly lastLine: string;
 }
 
@@ -26,7 +26,7 @@
     tests: {a: 'passed', b: 'passed'},
     knownRed: undefined,
     status: 0,
-    verdict: 0,
+    expectedStatus: 0,
     lastLine: '2 passed, 0 failed',
   },
   {
@@ -34,7 +34,7 @@
     tests: {a: 'passed', b: 'failed'},
     knownRed: undefined,
     status: 1,
-    verdict: 1,
+    expectedStatus: 1,
     lastLine: '1 passed, 1 failed',
   },
   {
@@ -42,7 +42,7 @@
     tests: {a: 'passed', b: 'failed'},
     knownRed: 'b, a cause, issue 3\n',
     status: 1,
-    verdict: 0,
+    expectedStatus: 0,
     lastLine: '1 passed, 1 failed',
   },
   {
@@ -50,7 +50,7 @@
     tests: {a: 'passed', bc: 'failed'},
     knownRed: 'b, a cause, issue 3\n',
     status: 1,
-    verdict: 1,
+    expectedStatus: 1,
     lastLine: '1 passed, 1 failed',
   },
   {
@@ -58,7 +58,7 @@
     tests: {a: 'failed'},
     knownRed: 'a, x, 3\nb, x, 3\nc, x, 3\nd, x, 3\n',
     status: 1,
-    verdict: 1,
+    expectedStatus: 1,
     lastLine: '0 passed, 1 failed',
   },
   {
@@ -66,7 +66,7 @@
     tests: {},
     knownRed: undefined,
     status: 0,
-    verdict: 1,
+    expectedStatus: 1,
     lastLine: '0 passed, 0 failed',
   },
   {
@@ -74,7 +74,7 @@
     tests: {a: 'passed'},
     knownRed: undefined,
     status: 1,
-    verdict: 1,
+    expectedStatus: 1,
     lastLine: '1 passed, 0 failed',
   },
   {
@@ -82,7 +82,7 @@
     tests: undefined,
     knownRed: undefined,
     status: 1,
-    verdict: 1,
+    expectedStatus: 1,
     lastLine: '0 passed, 0 failed',
   },
 ];
@@ -119,7 +119,7 @@
 
   it.each(cases)(
     '$name',
-    ({tests, knownRed, status, verdict, lastLine}: Case) => {
+    ({tests, knownRed, status, expectedStatus, lastLine}: Case) => {
       const report = path.join(folder, 'report.json');
       writeFileSync(report, tests === undefined ? '' : makeReport(tests));
       if (knownRed !== undefined) {
@@ -130,7 +130,7 @@
         [script, report, String(status)],
         {cwd: folder, encoding: 'utf8'},
       );
-      expect(run.status).toBe(verdict);
+      expect(run.status).toBe(expectedStatus);
       expect(run.stdout.trimEnd().split('\n').at(-1)).toBe(lastLine);
     },
   );
