--- a/measure/common/caller.ts
+++ b/measure/common/caller.ts
@@ -2,7 +2,6 @@
 
 /** A client of the router, for measurements and fault tests, that streams replies and times their tokens. */
 
-/** One request to make. */
 export interface CallerRequest {
   readonly classOfWork: string;
   readonly bearerKey: string;
--- a/measure/common/linearFit.ts
+++ b/measure/common/linearFit.ts
@@ -35,7 +35,7 @@
   return solveLinearSystem(rows);
 }
 
-/** Fits a line through points. */
+/** Fits a line through points. @throws when all of them have the same x. */
 export function fitLine(
   points: ReadonlyArray<{readonly x: number; readonly y: number}>,
 ): Line {
--- a/measure/common/steadyLoad.ts
+++ b/measure/common/steadyLoad.ts
@@ -8,7 +8,7 @@
 
 /** Load of one class of work at a constant mean rate until stopped, by callers that follow the protocol. */
 
-/** A finished request. */
+/** A finished request, with the outcome of all its attempts. */
 export interface SteadyLoadRecord extends TimedRequest {
   readonly callOutcome: RetriedOutcome;
   readonly isCorrect: boolean;
--- a/measure/throughput.ts
+++ b/measure/throughput.ts
@@ -40,7 +40,7 @@
   readonly worstSmallAccountRatio: number;
   readonly naiveWorstSmallAccountRatio: number;
   readonly wrongReplies: number;
-  /** Share of the accepted requests that did not end on time. */
+  /** Share of the requests with status 200 whose reply was late, incomplete or wrong. */
   readonly lateShare: number;
   /** Failures by error kind. */
   readonly failures: Readonly<Record<string, number>>;
