--- a/test/placement/rollout.test.ts
+++ b/test/placement/rollout.test.ts
@@ -3,8 +3,8 @@
 import {SeededRandomSource} from '../../src/base/common/randomSource.js';
 import {checkWholeOwnReply} from '../prove/checks/wholeOwnReply.js';
 import {Submission} from '../prove/observations.js';
-import {ProofCaller} from '../prove/proofCaller.js';
-import {launchProvedSystem} from '../prove/provedSystem.js';
+import {TestClient} from '../prove/testClient.js';
+import {launchSystemUnderTest} from '../prove/systemUnderTest.js';
 import {randomWork} from '../prove/work.js';
 import {LaunchedSystem} from '../support/launcher.js';
 import {callJson, EngineHandle} from '../support/systemParts.js';
@@ -20,7 +20,7 @@
 const SEED = Number(process.env['ROLLOUT_SEED'] ?? 1);
 
 let system: LaunchedSystem;
-const caller = new ProofCaller();
+const client = new TestClient();
 
 beforeAll(async () => {
   const manifest = {
@@ -30,7 +30,7 @@
     bytesPerSecond: 100_000_000,
   };
   const manifests = ['1', '2'].map(version => ({...manifest, version}));
-  system = await launchProvedSystem(
+  system = await launchSystemUnderTest(
     {
       enginesPerProcess: 4,
       controlSettings: {placementEnabled: true},
@@ -41,7 +41,7 @@
 });
 
 afterAll(async () => {
-  await caller.close();
+  await client.close();
   await system?.dispose();
 });
 
@@ -73,7 +73,7 @@
     const address = system.instances[place]!.member.callerAddress;
     const key = work.repeatable ? undefined : work.businessKey;
     const startedAt = Date.now();
-    const answer = await caller.submit(address, work, key);
+    const response = await client.submit(address, work, key);
     submissions.push({
       work,
       kind: 'work',
@@ -81,7 +81,7 @@
       address,
       startedAt,
       endedAt: Date.now(),
-      answer,
+      response,
     });
   }
   return submissions;
@@ -100,7 +100,7 @@
       keepCalling(number, () => wanted),
     );
     const changedAt = Date.now();
-    const answer = await system.administer([
+    const response = await system.administer([
       {
         kind: 'setModel',
         value: {
@@ -111,7 +111,7 @@
         },
       },
     ]);
-    expect(answer.status).toBe(201);
+    expect(response.status).toBe(201);
     const isDone = async (): Promise<boolean> => {
       const all = await Promise.all(system.engines.map(e => serves(e, '2')));
       return all.every(done => done);
@@ -123,11 +123,11 @@
       );
     const seconds = (Date.now() - changedAt) / 1000;
     const submissions = (await Promise.all(callers)).flat();
-    const failed = submissions.filter(one => one.answer.end !== 'whole');
+    const failed = submissions.filter(one => one.response.end !== 'whole');
     console.log(
       JSON.stringify({seed: SEED, seconds, requests: submissions.length}),
     );
-    expect(failed.map(one => one.answer)).toEqual([]);
+    expect(failed.map(one => one.response)).toEqual([]);
     expect(checkWholeOwnReply(submissions, LAYER_COUNT)).toEqual([]);
     await expectLedgersAgree();
   },
--- a/test/proofs/configuration.test.ts
+++ b/test/proofs/configuration.test.ts
@@ -1,109 +1,114 @@
 import {afterAll, beforeAll, expect, it} from 'vitest';
 
 import {checkConfigurationInForce} from '../prove/checks/configurationInForce.js';
-import {Operators} from '../prove/operators.js';
-import {launchProvedSystem} from '../prove/provedSystem.js';
+import {OperatorClient} from '../prove/operatorClient.js';
+import {launchSystemUnderTest} from '../prove/systemUnderTest.js';
 import {LaunchedSystem} from '../support/launcher.js';
 
-/** Accepted changes at seven instances while operators race and the store fails. */
+/** Accepted changes must reach seven instances while operators change concurrently and the store fails. */
 
-const INSTANCES = 7;
-const BOUND_MILLISECONDS = 5000;
+const INSTANCE_COUNT = 7;
+const CONVERGENCE_TIMEOUT_MILLISECONDS = 5000;
 
 let system: LaunchedSystem;
-let operators: Operators;
-let changes = 0;
+let operatorClient: OperatorClient;
+let changeCount = 0;
 
 beforeAll(async () => {
-  system = await launchProvedSystem({
-    instances: INSTANCES,
+  system = await launchSystemUnderTest({
+    instances: INSTANCE_COUNT,
     replicas: 1,
     services: [],
   });
-  operators = new Operators(system);
+  operatorClient = new OperatorClient(system);
 });
 
 afterAll(() => system?.dispose());
 
-function change(index: number): Promise<boolean> {
-  changes++;
-  return operators.change(system.instances[index]!, `account-${changes}`);
+function addAccountAt(index: number): Promise<boolean> {
+  changeCount++;
+  return operatorClient.addAccount(
+    system.instances[index]!,
+    `account-${changeCount}`,
+  );
 }
 
-/** Seconds until all instances show what was accepted. */
-async function inForce(name: string): Promise<void> {
+/** Expects all accepted changes to be in force at all instances, and prints the seconds that this took. */
+async function expectInForce(name: string): Promise<void> {
   const start = performance.now();
-  await operators.settle(BOUND_MILLISECONDS);
+  await operatorClient.awaitConvergence(CONVERGENCE_TIMEOUT_MILLISECONDS);
   const seconds = (performance.now() - start) / 1000;
-  expect(checkConfigurationInForce(operators.evidence)).toEqual([]);
+  expect(checkConfigurationInForce(operatorClient.evidence)).toEqual([]);
   console.log(
     `${name}: ${seconds.toFixed(2)} s to the last of ${system.instances.length} instances`,
   );
 }
 
-it('a change is in force everywhere', async () => {
-  expect(await change(0)).toBe(true);
-  await inForce('a change');
+it('a change takes effect at all instances', async () => {
+  expect(await addAccountAt(0)).toBe(true);
+  await expectInForce('a change');
 });
 
-it('operators race at all instances, with answers lost after their effect', async () => {
+it('accepted changes of concurrent operators take effect when table responses are lost after the write', async () => {
   await system.platform.setFault({
     fault: {kind: 'answerLost'},
     part: 'table',
     access: 'write',
     times: 4,
   });
-  const before = operators.highestAccepted;
-  await Promise.all(system.instances.map((_, index) => change(index)));
+  const revisionBefore = operatorClient.highestAcceptedRevision;
+  await Promise.all(system.instances.map((_, index) => addAccountAt(index)));
   await system.platform.setFault({fault: {kind: 'clear'}});
-  expect(await change(1)).toBe(true);
-  expect(operators.highestAccepted).toBeGreaterThan(before);
-  await inForce('racing operators');
+  expect(await addAccountAt(1)).toBe(true);
+  expect(operatorClient.highestAcceptedRevision).toBeGreaterThan(
+    revisionBefore,
+  );
+  await expectInForce('concurrent operators');
 });
 
-it('the store goes down right after a change was accepted', async () => {
-  expect(await change(2)).toBe(true);
+it('an accepted change takes effect when the store fails right afterwards, and new changes are refused', async () => {
+  expect(await addAccountAt(2)).toBe(true);
   await system.platform.setFault({fault: {kind: 'down'}, part: 'table'});
-  await inForce('the store down after');
-  expect(await change(3)).toBe(false);
-  await inForce('a change refused while the store is down');
+  await expectInForce('store down after the change');
+  expect(await addAccountAt(3)).toBe(false);
+  await expectInForce('change refused while the store is down');
   await system.platform.setFault({fault: {kind: 'clear'}});
 });
 
-it('an instance is cut off from the store, not from its peers', async () => {
+it('a change reaches an instance that is disconnected from the store but not from its peers', async () => {
   const instance = system.instances[4]!.id;
   await system.platform.setFault({fault: {kind: 'down'}, instance});
-  expect(await change(5)).toBe(true);
-  await inForce('one cut off from the store');
+  expect(await addAccountAt(5)).toBe(true);
+  await expectInForce('one instance disconnected from the store');
   await system.platform.setFault({fault: {kind: 'clear'}});
 });
 
-it('a control program paused over a change takes it up when it wakes', async () => {
+it('a control program that is paused during a change applies it after it resumes', async () => {
   const {control} = system.instances[6]!;
   control.freeze();
-  expect(await change(0)).toBe(true);
+  expect(await addAccountAt(0)).toBe(true);
   control.resume();
-  await inForce('one paused over the change');
+  await expectInForce('one control program paused during the change');
 });
 
-it('an instance that starts during an outage serves nothing older than what was accepted', async () => {
-  expect(await change(0)).toBe(true);
+it('an instance that starts during an outage is not ready with a configuration older than the accepted one', async () => {
+  expect(await addAccountAt(0)).toBe(true);
   await system.platform.setFault({fault: {kind: 'down'}, part: 'table'});
-  const fresh = await system.startInstance();
-  await system.until('it answers', async () => {
-    return (await operators.sample(fresh)) !== undefined;
+  const newInstance = await system.startInstance();
+  await system.until('the new instance responds', async () => {
+    return (await operatorClient.sample(newInstance)) !== undefined;
   });
-  const wanted = operators.highestAccepted;
-  const isOlder = async (): Promise<boolean> => {
-    const isReady = await fresh.isReady();
-    const shown = await operators.sample(fresh);
-    return isReady && (shown?.revision ?? 0) < wanted;
+  const acceptedRevision = operatorClient.highestAcceptedRevision;
+  const isReadyWithOlderRevision = async (): Promise<boolean> => {
+    const isReady = await newInstance.isReady();
+    const sample = await operatorClient.sample(newInstance);
+    return isReady && (sample?.revision ?? 0) < acceptedRevision;
   };
   const end = performance.now() + 2000;
   while (performance.now() < end) {
-    expect(await isOlder()).toBe(false);
+    expect(await isReadyWithOlderRevision()).toBe(false);
   }
   await system.platform.setFault({fault: {kind: 'clear'}});
-  await system.awaitReady([fresh]);
-  await inForce('one started during an outage');
+  await system.awaitReady([newInstance]);
+  await expectInForce('one instance started during an outage');
 });
--- a/test/proofs/leaving.test.ts
+++ b/test/proofs/leaving.test.ts
@@ -1,68 +1,75 @@
 import {afterAll, beforeAll, beforeEach, expect, it} from 'vitest';
 
-import {AddressBook} from '../prove/addressBook.js';
+import {EntrypointCache} from '../prove/entrypointCache.js';
 import {
   checkLeavingGetsNothing,
-  lastArrivalAfter,
+  lastArrivalDelay,
   LEAVING_GRACE_MILLISECONDS,
 } from '../prove/checks/leavingGetsNothing.js';
-import {ProofBench} from '../prove/proofBench.js';
+import {FaultTestFixture} from '../prove/faultTestFixture.js';
 import {SteadyLoad} from '../prove/steadyLoad.js';
 import {sleep} from '../support/sleep.js';
 
-/** Upstreams that leave, with a list that lags. */
+/** New work for a leaving upstream must end even when the membership list shows its state late. */
 
-const LAG_MILLISECONDS = 1000;
-const GAP_MILLISECONDS = 25;
-const WATCHED_MILLISECONDS = LAG_MILLISECONDS + LEAVING_GRACE_MILLISECONDS;
+const LIST_LAG_MILLISECONDS = 1000;
+const ARRIVAL_INTERVAL_MILLISECONDS = 25;
+const LEAVING_BOUND_MILLISECONDS =
+  LIST_LAG_MILLISECONDS + LEAVING_GRACE_MILLISECONDS;
 
-let bench: ProofBench;
+let fixture: FaultTestFixture;
 
 beforeAll(async () => {
-  bench = await ProofBench.launch();
+  fixture = await FaultTestFixture.launch();
 });
 
-afterAll(() => bench?.dispose());
+afterAll(() => fixture?.dispose());
 
-beforeEach(() => bench.startCase());
+beforeEach(() => fixture.startCase());
 
 it.each(['engine-0-0', 'stock-0'])(
   'a leaving upstream %s gets nothing new',
   async id => {
-    const seed = 21 + bench.system.engines.findIndex(({id: own}) => own === id);
-    const {caller, ledgers, system} = bench;
+    const seed =
+      21 +
+      fixture.system.engines.findIndex(({id: engineId}) => engineId === id);
+    const {client, ledgers, system} = fixture;
     const upstreams = [...system.engines, ...system.services];
     const {member} = upstreams.find(upstream => upstream.id === id)!;
-    const seeds = system.instances.map(
+    const seedAddresses = system.instances.map(
       instance => instance.member.callerAddress,
     );
-    const book = new AddressBook(caller, seeds, WATCHED_MILLISECONDS);
-    const load = new SteadyLoad(caller, book, {
+    const entrypoints = new EntrypointCache(
+      client,
+      seedAddresses,
+      LEAVING_BOUND_MILLISECONDS,
+    );
+    const load = new SteadyLoad(client, entrypoints, {
       seed,
-      gapMilliseconds: GAP_MILLISECONDS,
+      arrivalIntervalMilliseconds: ARRIVAL_INTERVAL_MILLISECONDS,
     });
     await system.until('the upstream is in use', async () => {
-      ledgers.readOn();
-      return ledgers.index.arrivalsAt(id).length > 0;
+      ledgers.readNewEntries();
+      return ledgers.index.arrivalTimesAt(id).length > 0;
     });
     const from = Date.now();
     await system.platform.setMembers({
       set: [{...member, state: 'leaving'}],
-      lagMilliseconds: LAG_MILLISECONDS,
+      lagMilliseconds: LIST_LAG_MILLISECONDS,
     });
-    await sleep(2 * WATCHED_MILLISECONDS);
-    const loaded = await load.stop();
+    await sleep(2 * LEAVING_BOUND_MILLISECONDS);
+    const results = await load.stop();
     const to = Date.now();
     await system.platform.setMembers({set: [member], lagMilliseconds: 0});
-    bench.add(loaded.flatMap(({submissions}) => submissions));
-    expect(bench.violations()).toEqual([]);
-    const lagMilliseconds = LAG_MILLISECONDS;
+    fixture.addSubmissions(results.flatMap(({submissions}) => submissions));
+    expect(fixture.violations()).toEqual([]);
+    const lagMilliseconds = LIST_LAG_MILLISECONDS;
     const window = {upstream: id, from, to, lagMilliseconds};
     expect(checkLeavingGetsNothing([window], ledgers.index)).toEqual([]);
-    expect(loaded.filter(({isDone}) => !isDone)).toEqual([]);
-    const last = lastArrivalAfter(window, ledgers.index);
+    expect(results.filter(({isCompleted}) => !isCompleted)).toEqual([]);
+    const lastDelay = lastArrivalDelay(window, ledgers.index);
     console.log(
-      `${id}: last new work ${last} ms after the notice, list lag ${LAG_MILLISECONDS} ms, ${loaded.length} works`,
+      `${id}: last new work ${lastDelay} ms after the notice, list lag ${LIST_LAG_MILLISECONDS} ms, ${results.length} work items`,
     );
   },
 );
--- a/test/proofs/outage.test.ts
+++ b/test/proofs/outage.test.ts
@@ -1,55 +1,66 @@
 import {expect, it, onTestFinished} from 'vitest';
 
-import {AddressBook} from '../prove/addressBook.js';
-import {ProofBench} from '../prove/proofBench.js';
-import {LoadedWork, SteadyLoad} from '../prove/steadyLoad.js';
+import {EntrypointCache} from '../prove/entrypointCache.js';
+import {FaultTestFixture} from '../prove/faultTestFixture.js';
+import {WorkResult, SteadyLoad} from '../prove/steadyLoad.js';
 import {sleep} from '../support/sleep.js';
 
-/** A long outage of the table: what is served, and what is said of the rest. */
+/** During a long outage of the table, orders with grants must complete, and all responses must match the ledgers. */
 
-/** Longer than any confirmation of an instance's standing lasts. */
+/** Longer than any confirmation of an instance's standing is valid. */
 const OUTAGE_MILLISECONDS = 15_000;
-const KEEP_MILLISECONDS = 5000;
-const GAP_MILLISECONDS = 100;
-const PATIENCE_MILLISECONDS = 6000;
+const ENTRYPOINTS_MAXIMUM_AGE_MILLISECONDS = 5000;
+const ARRIVAL_INTERVAL_MILLISECONDS = 100;
+const CALLER_TIMEOUT_MILLISECONDS = 6000;
 
-function share(works: readonly LoadedWork[], keyed: boolean): number {
-  const orders = works.filter(({submissions}) => {
+function completedShare(
+  results: readonly WorkResult[],
+  hasKey: boolean,
+): number {
+  const selected = results.filter(({submissions}) => {
     const [first] = submissions;
-    return first !== undefined && first.work.repeatable !== keyed;
+    return first !== undefined && first.work.repeatable !== hasKey;
   });
-  const done = orders.filter(({isDone}) => isDone);
-  return orders.length === 0 ? NaN : done.length / orders.length;
+  const completed = selected.filter(({isCompleted}) => isCompleted);
+  return selected.length === 0 ? NaN : completed.length / selected.length;
 }
 
-it('new orders with grants are served through a long outage of the table', async () => {
-  const bench = await ProofBench.launch();
-  onTestFinished(() => bench.dispose());
-  const {caller, system} = bench;
-  const seeds = system.instances.map(({member}) => member.callerAddress);
-  const book = new AddressBook(caller, seeds, KEEP_MILLISECONDS);
-  await book.current();
+it('new orders with grants and repeatable work complete during a long outage of the table', async () => {
+  const fixture = await FaultTestFixture.launch();
+  onTestFinished(() => fixture.dispose());
+  const {client, system} = fixture;
+  const seedAddresses = system.instances.map(
+    ({member}) => member.callerAddress,
+  );
+  const entrypoints = new EntrypointCache(
+    client,
+    seedAddresses,
+    ENTRYPOINTS_MAXIMUM_AGE_MILLISECONDS,
+  );
+  await entrypoints.current();
   await system.platform.setFault({fault: {kind: 'down'}, part: 'table'});
   const loads = [1, 0].map(
     boundKeyShare =>
-      new SteadyLoad(caller, book, {
+      new SteadyLoad(client, entrypoints, {
         seed: 31 + boundKeyShare,
-        gapMilliseconds: GAP_MILLISECONDS,
-        follower: {
+        arrivalIntervalMilliseconds: ARRIVAL_INTERVAL_MILLISECONDS,
+        retryOptions: {
           boundKeyShare,
           duplicateShare: 0,
-          patienceMilliseconds: PATIENCE_MILLISECONDS,
+          timeoutMilliseconds: CALLER_TIMEOUT_MILLISECONDS,
         },
       }),
   );
   await sleep(OUTAGE_MILLISECONDS);
   const [granted, plain] = await Promise.all(loads.map(load => load.stop()));
   await system.platform.setFault({fault: {kind: 'clear'}, part: 'table'});
-  bench.add([...granted!, ...plain!].flatMap(({submissions}) => submissions));
-  expect(bench.violations()).toEqual([]);
+  fixture.addSubmissions(
+    [...granted!, ...plain!].flatMap(({submissions}) => submissions),
+  );
+  expect(fixture.violations()).toEqual([]);
   console.log(
-    `outage of ${OUTAGE_MILLISECONDS} ms: served of orders with grants ${share(granted!, true)}, with plain keys ${share(plain!, true)}, of repeatable work ${share(granted!, false)}; ${granted!.length} works each`,
+    `outage of ${OUTAGE_MILLISECONDS} ms: completed share of orders with grants ${completedShare(granted!, true)}, with plain keys ${completedShare(plain!, true)}, of repeatable work ${completedShare(granted!, false)}; ${granted!.length} work items each`,
   );
-  expect(share(granted!, true)).toBe(1);
-  expect(share(granted!, false)).toBe(1);
+  expect(completedShare(granted!, true)).toBe(1);
+  expect(completedShare(granted!, false)).toBe(1);
 });
--- a/test/proofs/resubmissions.test.ts
+++ b/test/proofs/resubmissions.test.ts
@@ -1,29 +1,29 @@
 import {afterAll, beforeAll, beforeEach, expect, it} from 'vitest';
 
-import {Answer, Work} from '../prove/observations.js';
-import {ProofBench} from '../prove/proofBench.js';
+import {RecordedResponse, Work} from '../prove/observations.js';
+import {FaultTestFixture} from '../prove/faultTestFixture.js';
 
-/** Resubmissions while instances, stages or the store fail; the ledgers decide. */
+/** Resubmissions while instances or the store fail; the checks compare all responses with the ledgers. */
 
-const LONG_REPLY = 120;
+const LONG_REPLY_TOKENS = 120;
 const DEADLINE_MILLISECONDS = 30_000;
 
-/** Longer than any confirmation of an instance's standing lasts. */
+/** Longer than any confirmation of an instance's standing is valid. */
 const LONG_PAUSE_MILLISECONDS = 12_500;
 
 type KeyKind = 'plain' | 'bound';
 
-let bench: ProofBench;
+let fixture: FaultTestFixture;
 
 beforeAll(async () => {
-  bench = await ProofBench.launch({}, DEADLINE_MILLISECONDS);
+  fixture = await FaultTestFixture.launch({}, DEADLINE_MILLISECONDS);
 });
 
-afterAll(() => bench?.dispose());
+afterAll(() => fixture?.dispose());
 
 beforeEach(async () => {
-  bench.startCase();
-  const {system} = bench;
+  fixture.startCase();
+  const {system} = fixture;
   await system.platform.setFault({fault: {kind: 'clear'}});
   for (const {entry} of system.instances) {
     if (!entry.isRunning) {
@@ -33,154 +33,164 @@
   await system.awaitReady();
 });
 
-async function keyOf(kind: KeyKind, work: Work): Promise<string> {
+async function createKey(kind: KeyKind, work: Work): Promise<string> {
   return kind === 'plain'
     ? `plain-${work.businessKey}`
-    : bench.boundKey(bench.instance(0), work);
+    : fixture.boundKey(fixture.instance(0), work);
 }
 
-function statements(answers: readonly Answer[]): readonly unknown[] {
-  return answers.map(({executed}) => executed);
+function executedOf(
+  responses: readonly RecordedResponse[],
+): readonly unknown[] {
+  return responses.map(({executed}) => executed);
 }
 
 it.each<KeyKind>(['plain', 'bound'])(
-  'an entry instance is killed mid-reply: others tell what became of a %s key and run nothing again',
+  'when an entry instance is killed during a reply, other instances do not run its %s key again',
   async kind => {
-    const [first, second, third] = bench.system.instances;
-    const work = bench.newWork(LONG_REPLY);
-    const key = await keyOf(kind, work);
-    const cut = bench.submit(first!, work, key);
-    await bench.untilBegun(work);
+    const [first, second, third] = fixture.system.instances;
+    const work = fixture.newWork(LONG_REPLY_TOKENS);
+    const key = await createKey(kind, work);
+    const firstResponse = fixture.submit(first!, work, key);
+    await fixture.awaitBegun(work);
     await first!.entry.kill();
-    expect((await cut).end).toBe('cut');
-    const later = await Promise.all([
-      bench.lookUp(second!, work, key),
-      bench.submit(second!, work, key),
-      bench.submit(third!, work, key),
+    expect((await firstResponse).end).toBe('cut');
+    const laterResponses = await Promise.all([
+      fixture.lookUp(second!, work, key),
+      fixture.submit(second!, work, key),
+      fixture.submit(third!, work, key),
     ]);
-    expect(later.map(({end}) => end)).not.toContain('whole');
-    expect(statements(later)).not.toContain('no');
-    expect(bench.violations()).toEqual([]);
-    expect(bench.runsOf(work)).toBe(1);
+    expect(laterResponses.map(({end}) => end)).not.toContain('whole');
+    expect(executedOf(laterResponses)).not.toContain('no');
+    expect(fixture.violations()).toEqual([]);
+    expect(fixture.runCountOf(work)).toBe(1);
   },
 );
 
 it.each<KeyKind>(['plain', 'bound'])(
-  'an instance that stops says nothing untrue of a %s key that runs at a killed one',
+  'a stopping instance reports `executed: unknown` for a %s key that ran at a killed instance',
   async kind => {
-    const [first, second] = bench.system.instances;
-    const held = bench.newWork(LONG_REPLY);
-    const work = bench.newWork(LONG_REPLY);
-    const key = await keyOf(kind, work);
-    const cut = bench.submit(first!, work, key);
-    const holding = bench.submit(second!, held, `held-${held.businessKey}`);
-    await bench.untilBegun(work);
-    await bench.untilBegun(held);
+    const [first, second] = fixture.system.instances;
+    const otherWork = fixture.newWork(LONG_REPLY_TOKENS);
+    const work = fixture.newWork(LONG_REPLY_TOKENS);
+    const key = await createKey(kind, work);
+    const firstResponse = fixture.submit(first!, work, key);
+    const otherResponse = fixture.submit(
+      second!,
+      otherWork,
+      `held-${otherWork.businessKey}`,
+    );
+    await fixture.awaitBegun(work);
+    await fixture.awaitBegun(otherWork);
     await first!.entry.kill();
-    const stopped = second!.entry.terminate();
-    await bench.system.until('the instance refuses', async () => {
+    const exitCode = second!.entry.terminate();
+    await fixture.system.until('the instance refuses', async () => {
       return !(await second!.isReady());
     });
-    const refused = await bench.submit(second!, work, key);
+    const refused = await fixture.submit(second!, work, key);
     expect(refused.errorKind).toBe('shuttingDown');
     expect(refused.executed).toBe('unknown');
-    await cut;
-    expect((await holding).end).toBe('whole');
-    expect(await stopped).toBe(0);
-    expect(bench.violations()).toEqual([]);
+    await firstResponse;
+    expect((await otherResponse).end).toBe('whole');
+    expect(await exitCode).toBe(0);
+    expect(fixture.violations()).toEqual([]);
   },
 );
 
-it('a key that a stopping instance has surely not run may be sent again under another', async () => {
-  const [first] = bench.system.instances;
-  const held = bench.newWork(LONG_REPLY);
-  const work = bench.newWork(8);
-  const key = await keyOf('bound', work);
-  const holding = bench.submit(first!, held, `held-${held.businessKey}`);
-  await bench.untilBegun(held);
-  const stopped = first!.entry.terminate();
-  await bench.system.until('the instance refuses', async () => {
+it('a stopping instance refuses its own unused key with `executed: no` and other addresses', async () => {
+  const [first] = fixture.system.instances;
+  const otherWork = fixture.newWork(LONG_REPLY_TOKENS);
+  const work = fixture.newWork(8);
+  const key = await createKey('bound', work);
+  const otherResponse = fixture.submit(
+    first!,
+    otherWork,
+    `held-${otherWork.businessKey}`,
+  );
+  await fixture.awaitBegun(otherWork);
+  const exitCode = first!.entry.terminate();
+  await fixture.system.until('the instance refuses', async () => {
     return !(await first!.isReady());
   });
-  const refused = await bench.submit(first!, work, key);
+  const refused = await fixture.submit(first!, work, key);
   expect(refused).toMatchObject({errorKind: 'shuttingDown', executed: 'no'});
   expect(refused.addresses).not.toEqual([]);
-  expect((await holding).end).toBe('whole');
-  expect(await stopped).toBe(0);
-  expect(bench.violations()).toEqual([]);
+  expect((await otherResponse).end).toBe('whole');
+  expect(await exitCode).toBe(0);
+  expect(fixture.violations()).toEqual([]);
 });
 
 it.each<KeyKind>(['plain', 'bound'])(
-  'a resubmission of a %s key at a second instance while the store is down',
+  'a resubmission of a %s key to a second instance does not run again while the store is down',
   async kind => {
-    const [first, second] = bench.system.instances;
-    const work = bench.newWork(LONG_REPLY);
-    const key = await keyOf(kind, work);
-    const whole = bench.submit(first!, work, key);
-    await bench.untilBegun(work);
-    await bench.system.platform.setFault({
+    const [first, second] = fixture.system.instances;
+    const work = fixture.newWork(LONG_REPLY_TOKENS);
+    const key = await createKey(kind, work);
+    const firstResponse = fixture.submit(first!, work, key);
+    await fixture.awaitBegun(work);
+    await fixture.system.platform.setFault({
       fault: {kind: 'down'},
       part: 'table',
     });
-    const again = await Promise.all([
-      bench.submit(second!, work, key),
-      bench.lookUp(second!, work, key),
+    const resubmitted = await Promise.all([
+      fixture.submit(second!, work, key),
+      fixture.lookUp(second!, work, key),
     ]);
-    expect(statements(again)).not.toContain('no');
-    expect((await whole).end).toBe('whole');
-    const ended = await bench.lookUp(second!, work, key);
-    expect(ended.executed).not.toBe('no');
-    expect(bench.violations()).toEqual([]);
-    expect(bench.runsOf(work)).toBe(1);
+    expect(executedOf(resubmitted)).not.toContain('no');
+    expect((await firstResponse).end).toBe('whole');
+    const lookedUp = await fixture.lookUp(second!, work, key);
+    expect(lookedUp.executed).not.toBe('no');
+    expect(fixture.violations()).toEqual([]);
+    expect(fixture.runCountOf(work)).toBe(1);
   },
 );
 
-it('an instance wakes after a long pause: what went on elsewhere meanwhile is not run again', async () => {
-  const [first, second] = bench.system.instances;
-  const running = bench.newWork(LONG_REPLY);
-  const plain = bench.newWork(8);
-  const bound = bench.newWork(8);
-  const call = bench.newWork(8, 'service');
-  const boundKey = await keyOf('bound', bound);
-  const runningKey = await keyOf('bound', running);
-  const streaming = bench.submit(first!, running, runningKey);
-  await bench.untilBegun(running);
+it('an instance that resumes after a long pause does not run work again that ran elsewhere', async () => {
+  const [first, second] = fixture.system.instances;
+  const running = fixture.newWork(LONG_REPLY_TOKENS);
+  const plain = fixture.newWork(8);
+  const bound = fixture.newWork(8);
+  const call = fixture.newWork(8, 'service');
+  const boundKey = await createKey('bound', bound);
+  const runningKey = await createKey('bound', running);
+  const streaming = fixture.submit(first!, running, runningKey);
+  await fixture.awaitBegun(running);
   first!.entry.freeze();
   const pausedUntil = Date.now() + LONG_PAUSE_MILLISECONDS;
-  // These wait in the paused process's sockets.
+  // These requests wait in the socket buffers of the paused process.
   const waiting = [
-    bench.submit(first!, plain, 'plain-while-paused'),
-    bench.submit(first!, call, 'call-while-paused'),
-    bench.submit(first!, bound, boundKey),
+    fixture.submit(first!, plain, 'plain-while-paused'),
+    fixture.submit(first!, call, 'call-while-paused'),
+    fixture.submit(first!, bound, boundKey),
   ];
-  const elsewhere = await Promise.all([
-    bench.submit(second!, plain, 'plain-while-paused'),
-    bench.submit(second!, call, 'call-while-paused'),
-    bench.submit(second!, bound, boundKey),
-    bench.submit(second!, running, runningKey),
+  const responsesElsewhere = await Promise.all([
+    fixture.submit(second!, plain, 'plain-while-paused'),
+    fixture.submit(second!, call, 'call-while-paused'),
+    fixture.submit(second!, bound, boundKey),
+    fixture.submit(second!, running, runningKey),
   ]);
-  await bench.system.until('the pause is over', async () => {
+  await fixture.system.until('the pause is over', async () => {
     return Date.now() > pausedUntil;
   });
   first!.entry.resume();
   await Promise.all([streaming, ...waiting]);
-  expect(elsewhere.map(({end}) => end)).toEqual([
+  expect(responsesElsewhere.map(({end}) => end)).toEqual([
     'whole',
     'whole',
     'failure',
     'failure',
   ]);
-  expect(statements(elsewhere)).not.toContain('no');
-  expect(bench.violations()).toEqual([]);
-  expect(bench.runsOf(plain)).toBe(1);
-  expect(bench.runsOf(call)).toBe(1);
-  expect(bench.runsOf(running)).toBe(1);
+  expect(executedOf(responsesElsewhere)).not.toContain('no');
+  expect(fixture.violations()).toEqual([]);
+  expect(fixture.runCountOf(plain)).toBe(1);
+  expect(fixture.runCountOf(call)).toBe(1);
+  expect(fixture.runCountOf(running)).toBe(1);
 });
 
-it('a claim whose answer is lost, sent to all instances at once, runs at most once', async () => {
-  const {system} = bench;
-  const works = Array.from({length: 6}, (_, index) =>
-    bench.newWork(8, index % 2 === 0 ? 'model' : 'service'),
+it('work sent to all instances concurrently runs at most once when responses to its claim are lost', async () => {
+  const {system} = fixture;
+  const workItems = Array.from({length: 6}, (_, index) =>
+    fixture.newWork(8, index % 2 === 0 ? 'model' : 'service'),
   );
   await system.platform.setFault({
     fault: {kind: 'answerLost'},
@@ -189,18 +199,18 @@
     times: 5,
   });
   await Promise.all(
-    works.flatMap(work =>
+    workItems.flatMap(work =>
       system.instances.map(instance =>
-        bench.submit(instance, work, `at-once-${work.businessKey}`),
+        fixture.submit(instance, work, `at-once-${work.businessKey}`),
       ),
     ),
   );
-  expect(bench.violations()).toEqual([]);
-  const again = await Promise.all(
-    works.map(work =>
-      bench.submit(bench.instance(0), work, `at-once-${work.businessKey}`),
+  expect(fixture.violations()).toEqual([]);
+  const resubmitted = await Promise.all(
+    workItems.map(work =>
+      fixture.submit(fixture.instance(0), work, `at-once-${work.businessKey}`),
     ),
   );
-  expect(again.map(({end}) => end)).not.toContain('cut');
-  expect(bench.violations()).toEqual([]);
+  expect(resubmitted.map(({end}) => end)).not.toContain('cut');
+  expect(fixture.violations()).toEqual([]);
 });
--- a/test/proofs/stops.test.ts
+++ b/test/proofs/stops.test.ts
@@ -1,88 +1,97 @@
 import {afterAll, beforeAll, beforeEach, expect, it} from 'vitest';
 
-import {AddressBook} from '../prove/addressBook.js';
-import {ProofBench} from '../prove/proofBench.js';
-import {LoadedWork, SteadyLoad} from '../prove/steadyLoad.js';
+import {EntrypointCache} from '../prove/entrypointCache.js';
+import {FaultTestFixture} from '../prove/faultTestFixture.js';
+import {WorkResult, SteadyLoad} from '../prove/steadyLoad.js';
 import {sleep} from '../support/sleep.js';
 
-/** Planned stops under load: nothing in flight is cut off, and callers with old addresses get on. */
+/** Planned stops under load must complete requests in flight, and callers with outdated addresses must succeed. */
 
-const LONG_REPLY = 150;
-const STREAMS = 4;
-const KEEP_SECONDS = 2;
-const KEEP_MILLISECONDS = KEEP_SECONDS * 1000;
-const GAP_MILLISECONDS = 40;
+const LONG_REPLY_TOKENS = 150;
+const STREAM_COUNT = 4;
+const ENTRYPOINTS_MAXIMUM_AGE_SECONDS = 2;
+const ENTRYPOINTS_MAXIMUM_AGE_MILLISECONDS =
+  ENTRYPOINTS_MAXIMUM_AGE_SECONDS * 1000;
+const ARRIVAL_INTERVAL_MILLISECONDS = 40;
 const DEADLINE_MILLISECONDS = 30_000;
 
-let bench: ProofBench;
+let fixture: FaultTestFixture;
 
 beforeAll(async () => {
-  bench = await ProofBench.launch(
-    {entrySettings: {entrypointsSeconds: KEEP_SECONDS}},
+  fixture = await FaultTestFixture.launch(
+    {entrySettings: {entrypointsSeconds: ENTRYPOINTS_MAXIMUM_AGE_SECONDS}},
     DEADLINE_MILLISECONDS,
   );
 });
 
-afterAll(() => bench?.dispose());
+afterAll(() => fixture?.dispose());
 
-beforeEach(() => bench.startCase());
+beforeEach(() => fixture.startCase());
 
 function startLoad(seed: number): SteadyLoad {
-  const {caller, system} = bench;
-  const seeds = system.instances.map(({member}) => member.callerAddress);
-  const book = new AddressBook(caller, seeds, KEEP_MILLISECONDS);
-  const gapMilliseconds = GAP_MILLISECONDS;
-  return new SteadyLoad(caller, book, {
+  const {client, system} = fixture;
+  const seedAddresses = system.instances.map(
+    ({member}) => member.callerAddress,
+  );
+  const entrypoints = new EntrypointCache(
+    client,
+    seedAddresses,
+    ENTRYPOINTS_MAXIMUM_AGE_MILLISECONDS,
+  );
+  const arrivalIntervalMilliseconds = ARRIVAL_INTERVAL_MILLISECONDS;
+  return new SteadyLoad(client, entrypoints, {
     seed,
-    gapMilliseconds,
-    // Several submissions of one key at once may end as unknown when its instance stops.
-    follower: {duplicateShare: 0},
+    arrivalIntervalMilliseconds,
+    // Without duplicates, as concurrent submissions of a key may get `executed: unknown` when its instance stops.
+    retryOptions: {duplicateShare: 0},
   });
 }
 
-/** What became of work that was not done; its last answer says why. */
-function failures(works: readonly LoadedWork[]): readonly unknown[] {
-  return works
-    .filter(({isDone}) => !isDone)
+/** Returns the responses to all work that was not completed; the last one of each states the failure. */
+function failedResponses(results: readonly WorkResult[]): readonly unknown[] {
+  return results
+    .filter(({isCompleted}) => !isCompleted)
     .map(({submissions}) =>
-      submissions.map(({address, answer}) => ({address, ...answer})),
+      submissions.map(({address, response}) => ({address, ...response})),
     );
 }
 
-it('SIGTERM under load: long streams end whole, the exit code is 0, no work fails', async () => {
-  const stopping = bench.instance(0);
-  const works = Array.from({length: STREAMS}, () => bench.newWork(LONG_REPLY));
-  const streams = works.map(work =>
-    bench.submitUntilTaken(stopping, work, `long-${work.businessKey}`),
+it('SIGTERM under load completes long streams, ends with exit code 0 and fails no work', async () => {
+  const stopping = fixture.instance(0);
+  const workItems = Array.from({length: STREAM_COUNT}, () =>
+    fixture.newWork(LONG_REPLY_TOKENS),
+  );
+  const streams = workItems.map(work =>
+    fixture.submitUntilAccepted(stopping, work, `long-${work.businessKey}`),
   );
-  await Promise.all(works.map(work => bench.untilBegun(work)));
+  await Promise.all(workItems.map(work => fixture.awaitBegun(work)));
   const load = startLoad(11);
   expect(await stopping.entry.terminate()).toBe(0);
-  const answers = await Promise.all(streams);
-  expect(answers.map(({end}) => end)).toEqual(works.map(() => 'whole'));
-  const loaded = await load.stop();
-  expect(failures(loaded)).toEqual([]);
-  expect(loaded.length).toBeGreaterThan(0);
-  bench.add(loaded.flatMap(({submissions}) => submissions));
-  expect(bench.violations()).toEqual([]);
+  const responses = await Promise.all(streams);
+  expect(responses.map(({end}) => end)).toEqual(workItems.map(() => 'whole'));
+  const results = await load.stop();
+  expect(failedResponses(results)).toEqual([]);
+  expect(results.length).toBeGreaterThan(0);
+  fixture.addSubmissions(results.flatMap(({submissions}) => submissions));
+  expect(fixture.violations()).toEqual([]);
   await stopping.entry.restart();
-  await bench.system.awaitReady();
+  await fixture.system.awaitReady();
 });
 
-it('every instance is replaced, no faster than callers ask again, under load: no work fails', async () => {
-  const {system} = bench;
+it('replacing all instances under load, no faster than callers refresh entrypoints, fails no work', async () => {
+  const {system} = fixture;
   const load = startLoad(12);
   const exitCodes: Array<number | undefined> = [];
-  for (const old of [...system.instances]) {
-    const fresh = await system.startInstance();
-    await system.awaitReady([fresh]);
-    exitCodes.push(...(await system.stopInstance(old)));
-    await sleep(KEEP_MILLISECONDS);
+  for (const previous of [...system.instances]) {
+    const replacement = await system.startInstance();
+    await system.awaitReady([replacement]);
+    exitCodes.push(...(await system.stopInstance(previous)));
+    await sleep(ENTRYPOINTS_MAXIMUM_AGE_MILLISECONDS);
   }
-  const loaded = await load.stop();
+  const results = await load.stop();
   expect(exitCodes).toEqual(exitCodes.map(() => 0));
-  expect(failures(loaded)).toEqual([]);
-  bench.add(loaded.flatMap(({submissions}) => submissions));
-  expect(bench.violations()).toEqual([]);
-  console.log(`replaced 3 instances, ${loaded.length} works, 0 failed`);
+  expect(failedResponses(results)).toEqual([]);
+  fixture.addSubmissions(results.flatMap(({submissions}) => submissions));
+  expect(fixture.violations()).toEqual([]);
+  console.log(`replaced 3 instances, ${results.length} work items, 0 failed`);
 });
--- a/test/prove/checks/atMostOnce.ts
+++ b/test/prove/checks/atMostOnce.ts
@@ -1,8 +1,8 @@
 import {LedgerIndex} from '../ledgerIndex.js';
 import {Submission, Violation} from '../observations.js';
-import {summary} from './notRunMeansNotRun.js';
+import {summarize} from './notRunMeansNotRun.js';
 
-/** Work that may not be repeated has at most one run under its business key, over all submissions. */
+/** Checks that non-repeatable work ran at most once under its business key, over all submissions. */
 export function checkAtMostOnce(
   submissions: readonly Submission[],
   ledger: LedgerIndex,
@@ -14,8 +14,12 @@
   );
   return [...keys].flatMap(key => {
     const runs = ledger.runsOfKey(key);
-    const own = submissions.filter(({work}) => work.businessKey === key);
-    const detail = `${key} ran ${runs.length} times: ${JSON.stringify(runs)}; submissions: ${JSON.stringify(own.map(summary))}`;
-    return runs.length > 1 ? [{point: 'atMostOnce', subject: key, detail}] : [];
+    const submissionsOfKey = submissions.filter(
+      ({work}) => work.businessKey === key,
+    );
+    const detail = `${key} ran ${runs.length} times: ${JSON.stringify(runs)}; submissions: ${JSON.stringify(submissionsOfKey.map(summarize))}`;
+    return runs.length > 1
+      ? [{invariant: 'atMostOnce', subject: key, detail}]
+      : [];
   });
 }
--- a/test/prove/checks/checkLedgers.ts
+++ b/test/prove/checks/checkLedgers.ts
@@ -5,14 +5,14 @@
 import {checkNotRunMeansNotRun} from './notRunMeansNotRun.js';
 import {checkWholeOwnReply} from './wholeOwnReply.js';
 
-/** The checks that hold what callers were told against the ledgers. */
+/** Runs the checks that compare the responses to callers with the ledgers. */
 export function checkLedgers(
   submissions: readonly Submission[],
   ledger: LedgerIndex,
   layerCount: number,
   requestIds: readonly string[] = ledger.requestIds,
 ): readonly Violation[] {
-  const answered = submissions.filter(({answer}) => answer.status > 0);
+  const answered = submissions.filter(({response}) => response.status > 0);
   return [
     ...checkLayersOnceInOrder(answered, ledger, layerCount, requestIds),
     ...checkWholeOwnReply(answered, layerCount),
--- a/test/prove/checks/configurationInForce.ts
+++ b/test/prove/checks/configurationInForce.ts
@@ -5,61 +5,69 @@
 } from '../observations.js';
 
 /**
- * Accepted changes are at every settled instance; an instance's revision never goes down while its program
- * runs; one revision has one content everywhere.
+ * Checks that every final sample contains all accepted changes, that the revision of a running control program
+ * never decreases, and that a revision has the same content at all instances.
  */
 export function checkConfigurationInForce(
   evidence: ConfigurationEvidence,
 ): readonly Violation[] {
   const details = [
-    ...missing(evidence),
-    ...reverted(evidence.samples),
-    ...differing(evidence.samples),
+    ...findMissingChanges(evidence),
+    ...findDecreasedRevisions(evidence.samples),
+    ...findDifferingContents(evidence.samples),
   ];
   return details.map(detail => ({
-    point: 'configurationInForce',
+    invariant: 'configurationInForce',
     subject: detail,
     detail,
   }));
 }
 
-function missing(evidence: ConfigurationEvidence): readonly string[] {
-  const {accepted, settled} = evidence;
-  return settled.flatMap(({instance, revision, names}) =>
+function findMissingChanges(
+  evidence: ConfigurationEvidence,
+): readonly string[] {
+  const {accepted, finalSamples} = evidence;
+  return finalSamples.flatMap(({instance, revision, names}) =>
     accepted
       .filter(change => !names.has(change.name) || revision < change.revision)
       .map(
         change =>
-          `${instance} at revision ${revision} lacks ${change.name}, accepted as ${change.revision}`,
+          `${instance} at revision ${revision} lacks ${change.name}, accepted in revision ${change.revision}`,
       ),
   );
 }
 
-function reverted(samples: readonly ConfigurationSample[]): readonly string[] {
+function findDecreasedRevisions(
+  samples: readonly ConfigurationSample[],
+): readonly string[] {
   const highest = new Map<string, number>();
-  const found: string[] = [];
+  const details: string[] = [];
   for (const {instance, pid, revision} of samples) {
     const process = `${instance} (process ${pid})`;
-    const former = highest.get(process) ?? 0;
-    if (revision < former) {
-      found.push(`${process} went from revision ${former} to ${revision}`);
+    const highestSoFar = highest.get(process) ?? 0;
+    if (revision < highestSoFar) {
+      details.push(
+        `${process} went from revision ${highestSoFar} to ${revision}`,
+      );
     }
-    highest.set(process, Math.max(former, revision));
+    highest.set(process, Math.max(highestSoFar, revision));
   }
-  return found;
+  return details;
 }
 
-function differing(samples: readonly ConfigurationSample[]): readonly string[] {
+function findDifferingContents(
+  samples: readonly ConfigurationSample[],
+): readonly string[] {
   const byRevision = new Map<number, ConfigurationSample>();
-  const found: string[] = [];
+  const details: string[] = [];
   for (const sample of samples) {
     const first = byRevision.get(sample.revision) ?? sample;
     byRevision.set(sample.revision, first);
     if (first.digest !== sample.digest) {
-      found.push(
+      details.push(
         `revision ${sample.revision} differs between ${first.instance} and ${sample.instance}`,
       );
     }
   }
-  return found;
+  return details;
 }
--- a/test/prove/checks/layersOnceInOrder.ts
+++ b/test/prove/checks/layersOnceInOrder.ts
@@ -3,29 +3,28 @@
 import {EngineStep, Submission, Violation} from '../observations.js';
 
 /**
- * Every released token needs one epoch in which all layers ran once and in order at its position and made
- * this token; in no epoch does a layer begin twice at a position.
+ * Checks that for each released token, in one epoch, all layers ran once and in order at its position and
+ * produced this token, and that no layer begins twice at a position within an epoch.
  */
 export function checkLayersOnceInOrder(
   submissions: readonly Submission[],
   ledger: LedgerIndex,
   layerCount: number,
-  /** Whose steps to look at for repetitions. */
+  /** The requests to check for repeated steps. */
   requestIds: readonly string[] = ledger.requestIds,
 ): readonly Violation[] {
-  const lineages = submissions
-    .filter(isRunOfItsOwn)
+  const incompleteTokens = submissions
+    .filter(hasModelReply)
     .flatMap(submission => checkTokens(submission, ledger, layerCount));
-  const repeats = requestIds.flatMap(requestId =>
-    checkRepeats(requestId, ledger.steps(requestId)),
+  const repetitions = requestIds.flatMap(requestId =>
+    checkRepetitions(requestId, ledger.steps(requestId)),
   );
-  return [...lineages, ...repeats];
+  return [...incompleteTokens, ...repetitions];
 }
 
-/** Recorded replies carry the text of an earlier request. */
-function isRunOfItsOwn(submission: Submission): boolean {
-  const {work, kind, answer} = submission;
-  return kind === 'work' && work.kind === 'model' && answer.text !== '';
+function hasModelReply(submission: Submission): boolean {
+  const {work, kind, response} = submission;
+  return kind === 'work' && work.kind === 'model' && response.text !== '';
 }
 
 function checkTokens(
@@ -33,24 +32,29 @@
   ledger: LedgerIndex,
   layerCount: number,
 ): readonly Violation[] {
-  const {work, answer} = submission;
-  const ownSteps = ledger.steps(answer.requestId ?? '');
+  const {work, response} = submission;
+  // A replayed reply has no steps under its own request id; those of its business key produced the tokens.
+  const ownSteps = ledger.steps(response.requestId ?? '');
   const steps = ownSteps.length > 0 ? ownSteps : stepsOfKey(work, ledger);
   const prompt = promptTokens([{role: 'user', content: work.content}]);
-  return answer.text.split(' ').flatMap((token, index) => {
+  return response.text.split(' ').flatMap((token, index) => {
     const position = prompt.length + index;
-    const passes = steps.filter(step => step.positions.to === position);
-    const epochs = new Set(passes.map(step => step.epoch));
-    const isMade = [...epochs].some(epoch =>
-      isWholePass(
-        passes.filter(step => step.epoch === epoch),
+    const stepsAtPosition = steps.filter(
+      step => step.positions.to === position,
+    );
+    const epochs = new Set(stepsAtPosition.map(step => step.epoch));
+    const isComputed = [...epochs].some(epoch =>
+      isCompletePass(
+        stepsAtPosition.filter(step => step.epoch === epoch),
         token,
         layerCount,
       ),
     );
-    const detail = `token ${index} (${token}) of ${work.businessKey}, request ${answer.requestId}, has no pass through all layers: ${JSON.stringify(passes)}`;
+    const detail = `token ${index} (${token}) of ${work.businessKey}, request ${response.requestId}, has no pass through all layers: ${JSON.stringify(stepsAtPosition)}`;
     const subject = work.businessKey;
-    return isMade ? [] : [{point: 'layersOnceInOrder', subject, detail}];
+    return isComputed
+      ? []
+      : [{invariant: 'layersOnceInOrder', subject, detail}];
   });
 }
 
@@ -63,7 +67,7 @@
     .flatMap(run => ledger.steps(run.requestId));
 }
 
-function isWholePass(
+function isCompletePass(
   steps: readonly EngineStep[],
   token: string,
   layerCount: number,
@@ -72,46 +76,50 @@
     .filter(step => step.kind === 'completed')
     .sort((left, right) => left.layers.from - right.layers.from);
   let coveredTo = 0;
-  let doneAt = 0;
+  let completedAt = 0;
   for (const step of completed) {
     const begun = steps.find(
       other => other.kind === 'begun' && other.layers.from === coveredTo,
     );
     const isNext = step.layers.from === coveredTo;
-    if (!isNext || begun === undefined || begun.at < doneAt) {
+    if (!isNext || begun === undefined || begun.at < completedAt) {
       return false;
     }
     coveredTo = step.layers.to;
-    doneAt = step.at;
+    completedAt = step.at;
   }
   return coveredTo === layerCount && completed.at(-1)?.token === token;
 }
 
-function checkRepeats(
+function checkRepetitions(
   requestId: string,
   steps: readonly EngineStep[],
 ): readonly Violation[] {
   const seen = new Map<string, EngineStep>();
-  const found: Violation[] = [];
+  const violations: Violation[] = [];
   for (const step of steps.filter(({kind}) => kind === 'begun')) {
-    for (const place of placesOf(step)) {
-      const former = seen.get(place);
-      if (former !== undefined) {
-        const detail = `request ${requestId}: ${place} ran twice: ${JSON.stringify([former, step])}`;
-        found.push({point: 'layersOnceInOrder', subject: requestId, detail});
+    for (const computation of computationsOf(step)) {
+      const previous = seen.get(computation);
+      if (previous !== undefined) {
+        const detail = `request ${requestId}: ${computation} ran twice: ${JSON.stringify([previous, step])}`;
+        violations.push({
+          invariant: 'layersOnceInOrder',
+          subject: requestId,
+          detail,
+        });
       }
-      seen.set(place, step);
+      seen.set(computation, step);
     }
   }
-  return found.slice(0, 1);
+  return violations.slice(0, 1);
 }
 
-function placesOf(step: EngineStep): readonly string[] {
-  const places: string[] = [];
+function computationsOf(step: EngineStep): readonly string[] {
+  const computations: string[] = [];
   for (let at = step.positions.from; at < step.positions.to; at++) {
     for (let layer = step.layers.from; layer < step.layers.to; layer++) {
-      places.push(`epoch ${step.epoch} position ${at} layer ${layer}`);
+      computations.push(`epoch ${step.epoch} position ${at} layer ${layer}`);
     }
   }
-  return places;
+  return computations;
 }
--- a/test/prove/checks/leavingGetsNothing.ts
+++ b/test/prove/checks/leavingGetsNothing.ts
@@ -1,35 +1,41 @@
 import {LedgerIndex} from '../ledgerIndex.js';
 import {LeavingWindow, Violation} from '../observations.js';
 
-/** Time after the list shows that an upstream leaves, in which it may still get new work. */
+/** How long an upstream may still get new work after the membership list shows that it leaves. */
 export const LEAVING_GRACE_MILLISECONDS = 3000;
 
-/** Some seconds after its notice a leaving upstream begins nothing of a request that is new there. */
+/** Checks that no new request arrives at a leaving upstream after the list lag and the grace period. */
 export function checkLeavingGetsNothing(
-  windows: readonly LeavingWindow[],
+  leavingWindows: readonly LeavingWindow[],
   ledger: LedgerIndex,
 ): readonly Violation[] {
-  return windows.flatMap(window => {
+  return leavingWindows.flatMap(window => {
     const {upstream, from, to, lagMilliseconds} = window;
-    const bound = from + lagMilliseconds + LEAVING_GRACE_MILLISECONDS;
-    const late = ledger
-      .arrivalsAt(upstream)
-      .filter(at => at > bound && at < to);
-    const after = late.map(at => at - from);
-    const detail = `${upstream} got new work ${after.join(', ')} ms after its notice`;
-    return late.length > 0
-      ? [{point: 'leavingGetsNothing', subject: `${upstream} ${from}`, detail}]
+    const deadline = from + lagMilliseconds + LEAVING_GRACE_MILLISECONDS;
+    const lateArrivals = ledger
+      .arrivalTimesAt(upstream)
+      .filter(at => at > deadline && at < to);
+    const delays = lateArrivals.map(at => at - from);
+    const detail = `${upstream} got new work ${delays.join(', ')} ms after its notice`;
+    return lateArrivals.length > 0
+      ? [
+          {
+            invariant: 'leavingGetsNothing',
+            subject: `${upstream} ${from}`,
+            detail,
+          },
+        ]
       : [];
   });
 }
 
-/** Milliseconds from the notice to the last new request within the window; undefined when none came. */
-export function lastArrivalAfter(
+/** Returns the milliseconds from the notice to the last new request within the window; undefined without any. */
+export function lastArrivalDelay(
   window: LeavingWindow,
   ledger: LedgerIndex,
 ): number | undefined {
-  const within = ledger
-    .arrivalsAt(window.upstream)
+  const arrivals = ledger
+    .arrivalTimesAt(window.upstream)
     .filter(at => at > window.from && at < window.to);
-  return within.length > 0 ? Math.max(...within) - window.from : undefined;
+  return arrivals.length > 0 ? Math.max(...arrivals) - window.from : undefined;
 }
--- a/test/prove/checks/notRunMeansNotRun.ts
+++ b/test/prove/checks/notRunMeansNotRun.ts
@@ -2,8 +2,8 @@
 import {Submission, Violation} from '../observations.js';
 
 /**
- * After `executed: no` nothing of this request is in any ledger. For work that may not be repeated, also no
- * run under its business key, but those of submissions that were open or came later.
+ * Checks that a request with the response `executed: no` is in no ledger. For non-repeatable work, also checks
+ * that there is no run under its business key, except runs of submissions that were still open or came later.
  */
 export function checkNotRunMeansNotRun(
   submissions: readonly Submission[],
@@ -15,7 +15,7 @@
     byKey.set(businessKey, [...(byKey.get(businessKey) ?? []), submission]);
   }
   return submissions
-    .filter(submission => submission.answer.executed === 'no')
+    .filter(submission => submission.response.executed === 'no')
     .flatMap(submission => [
       ...checkRequest(submission, ledger),
       ...checkKey(
@@ -27,42 +27,42 @@
 }
 
 function checkRequest(
-  {work, answer}: Submission,
+  {work, response}: Submission,
   ledger: LedgerIndex,
 ): readonly Violation[] {
-  const requestId = answer.requestId ?? '';
+  const requestId = response.requestId ?? '';
   const ran = [...ledger.steps(requestId), ...ledger.executions(requestId)];
-  const detail = `${work.businessKey}: request ${requestId} was told ${answer.errorKind}, executed: no, and ran: ${JSON.stringify(ran.slice(0, 3))}`;
+  const detail = `${work.businessKey}: request ${requestId} got ${response.errorKind}, executed: no, but ran: ${JSON.stringify(ran.slice(0, 3))}`;
   return ran.length > 0
-    ? [{point: 'notRunMeansNotRun', subject: work.businessKey, detail}]
+    ? [{invariant: 'notRunMeansNotRun', subject: work.businessKey, detail}]
     : [];
 }
 
 function checkKey(
   submission: Submission,
-  ofKey: readonly Submission[],
+  submissionsOfKey: readonly Submission[],
   ledger: LedgerIndex,
 ): readonly Violation[] {
-  const {work, answer, endedAt} = submission;
+  const {work, response, endedAt} = submission;
   if (work.repeatable) {
     return [];
   }
-  const laterOnes = ofKey.filter(
+  const openOrLater = submissionsOfKey.filter(
     other => other !== submission && other.endedAt >= endedAt,
   );
-  const contradicting = ledger
+  const contradictingRuns = ledger
     .runsOfKey(work.businessKey)
-    .filter(run => !laterOnes.some(later => later.startedAt <= run.beganAt));
-  const detail = `${work.businessKey}: ${submission.kind} at ${submission.address} was told ${answer.errorKind}, executed: no, at ${endedAt}, but ran: ${JSON.stringify(contradicting)}; submissions: ${JSON.stringify(ofKey.map(summary))}`;
-  return contradicting.length > 0
-    ? [{point: 'notRunMeansNotRun', subject: work.businessKey, detail}]
+    .filter(run => !openOrLater.some(later => later.startedAt <= run.beganAt));
+  const detail = `${work.businessKey}: ${submission.kind} at ${submission.address} got ${response.errorKind}, executed: no, at ${endedAt}, but ran: ${JSON.stringify(contradictingRuns)}; submissions: ${JSON.stringify(submissionsOfKey.map(summarize))}`;
+  return contradictingRuns.length > 0
+    ? [{invariant: 'notRunMeansNotRun', subject: work.businessKey, detail}]
     : [];
 }
 
-/** What matters of a submission as evidence. */
-export function summary(submission: Submission): object {
+/** Returns the fields of a submission that are shown with a violation. */
+export function summarize(submission: Submission): object {
   const {kind, address, idempotencyKey, startedAt, endedAt} = submission;
-  const {requestId, status, end, executed, errorKind} = submission.answer;
+  const {requestId, status, end, executed, errorKind} = submission.response;
   const key = idempotencyKey?.slice(0, 12);
   const times = {startedAt, endedAt};
   return {
--- a/test/prove/checks/wholeOwnReply.ts
+++ b/test/prove/checks/wholeOwnReply.ts
@@ -4,21 +4,21 @@
 import {Submission, Violation} from '../observations.js';
 import {serviceCallOf} from '../work.js';
 
-/** An answer that ends as a whole one is the right reply to its own work; a cut one is a beginning of it. */
+/** Checks that a complete response has the expected reply to its work, and an incomplete one a prefix of it. */
 export function checkWholeOwnReply(
   submissions: readonly Submission[],
   layerCount: number,
 ): readonly Violation[] {
   return submissions.flatMap(submission => {
-    const {work, answer} = submission;
+    const {work, response} = submission;
     const expected = expectedText(submission, layerCount);
-    const isRight =
-      answer.end === 'whole'
-        ? answer.text === expected
-        : work.kind === 'service' || isBeginning(answer.text, expected);
-    const detail = `${work.businessKey}, request ${answer.requestId} at ${submission.address}, ended ${answer.end} with ${JSON.stringify(answer.text)} in place of ${JSON.stringify(expected)}`;
+    const isCorrect =
+      response.end === 'whole'
+        ? response.text === expected
+        : work.kind === 'service' || isPrefix(response.text, expected);
+    const detail = `${work.businessKey}, request ${response.requestId} at ${submission.address}, ended ${response.end} with ${JSON.stringify(response.text)} instead of ${JSON.stringify(expected)}`;
     const subject = work.businessKey;
-    return isRight ? [] : [{point: 'wholeOwnReply', subject, detail}];
+    return isCorrect ? [] : [{invariant: 'wholeOwnReply', subject, detail}];
   });
 }
 
@@ -34,7 +34,7 @@
   return reply.tokens.join(' ');
 }
 
-/** Whole tokens only. */
-function isBeginning(text: string, expected: string): boolean {
+/** Compares whole tokens. */
+function isPrefix(text: string, expected: string): boolean {
   return text === '' || `${expected} `.startsWith(`${text} `);
 }
--- a/test/prove/faults.ts
+++ b/test/prove/faults.ts
@@ -9,61 +9,61 @@
 import {ManagedProcess} from '../support/managedProcess.js';
 import {EngineHandle, ServiceHandle} from '../support/systemParts.js';
 import {LeavingWindow} from './observations.js';
-import {Operators} from './operators.js';
+import {OperatorClient} from './operatorClient.js';
 
-/** Faults that rounds cause, each with what ends it. */
+/** The faults that fault-injection rounds can cause, each with the step that ends it. */
 
-/** A fault as chosen for a round. */
-export interface ChosenFault {
+/** A fault chosen for a round, with its target. */
+export interface InjectedFault {
   readonly name: string;
-  /** What it strikes. */
+  /** Id of the affected upstream or instance; `all` when it affects every instance. */
   readonly target: string;
-  /** How long work is made while it lasts. */
-  readonly milliseconds: number;
-  /** Whether a planned stop beside it must still cut off nothing. */
-  readonly isQuiet: boolean;
-  strike(): Promise<void>;
+  /** How long callers submit new work while the fault lasts. */
+  readonly durationMilliseconds: number;
+  /** Whether a planned stop during this fault must still complete all requests. */
+  readonly isHarmlessToCallers: boolean;
+  inject(): Promise<void>;
   clear(): Promise<void>;
 }
 
-/** What faults leave as evidence, and what they need beside the system. */
-export interface FaultRecords {
+/** The state of a round that faults use, and the evidence that they add for the checks. */
+export interface FaultContext {
   readonly round: number;
-  readonly operators: Operators;
-  readonly windows: LeavingWindow[];
+  readonly operatorClient: OperatorClient;
+  readonly leavingWindows: LeavingWindow[];
   readonly exitCodes: Array<{
     readonly instance: string;
     readonly code: number | undefined;
   }>;
 }
 
-/** Makes a fault of a system for a round. */
-export type FaultMaker = (
+/** Chooses the target of a fault and returns the fault, not yet injected. */
+export type FaultFactory = (
   system: LaunchedSystem,
   random: RandomSource,
-  records: FaultRecords,
-) => ChosenFault;
+  context: FaultContext,
+) => InjectedFault;
 
-const SHORT_MILLISECONDS = 500;
-const LEAVING_MILLISECONDS = 5000;
+const FAULT_MILLISECONDS = 500;
+const LEAVING_FAULT_MILLISECONDS = 5000;
 const LIST_LAG_MILLISECONDS = 700;
 
-/** All faults by what they strike and by name; a round chooses what to strike first. */
-export const faultMakers: Readonly<
-  Record<string, Readonly<Record<string, FaultMaker>>>
+/** All faults by target group and name; a round chooses the group first, then a fault of it. */
+export const faultFactories: Readonly<
+  Record<string, Readonly<Record<string, FaultFactory>>>
 > = {
   stages: {
     stageKilled: (system, random) => {
-      const {id, process} = pick(system.engines, random);
-      return killed('stageKilled', id, process);
+      const {id, process} = pickRandom(system.engines, random);
+      return killFault('stageKilled', id, process);
     },
     stagePaused: (system, random) => {
-      const {id, process} = pick(system.engines, random);
-      return paused('stagePaused', id, process);
+      const {id, process} = pickRandom(system.engines, random);
+      return pauseFault('stagePaused', id, process);
     },
-    stageDiesBegun: stageDies('begun'),
-    stageDiesComputed: stageDies('computed'),
-    stageDiesAnswered: stageDies('answered'),
+    stageDiesBegun: stageCrash('begun'),
+    stageDiesComputed: stageCrash('computed'),
+    stageDiesAnswered: stageCrash('answered'),
     stageFrozen: engineFault('stageFrozen', {kind: 'freeze'}),
     stageSlow: engineFault('stageSlow', {kind: 'slow', factor: 40}),
     stageRequestLost: engineFault('stageRequestLost', {kind: 'requestLost'}, 3),
@@ -78,32 +78,32 @@
       from: '*',
       milliseconds: 80,
     }),
-    importAbsent: stageKilledWithImport({kind: 'importAbsent'}),
-    importStale: stageKilledWithImport({kind: 'importStale'}),
+    importAbsent: stageKillWithImportFault({kind: 'importAbsent'}),
+    importStale: stageKillWithImportFault({kind: 'importStale'}),
   },
   instances: {
     entryKilled: (system, random) => {
-      const {id, entry} = pick(system.instances, random);
-      return killed('entryKilled', id, entry);
+      const {id, entry} = pickRandom(system.instances, random);
+      return killFault('entryKilled', id, entry);
     },
     entryPaused: (system, random) => {
-      const {id, entry} = pick(system.instances, random);
-      return paused('entryPaused', id, entry);
+      const {id, entry} = pickRandom(system.instances, random);
+      return pauseFault('entryPaused', id, entry);
     },
     entryStopped,
     controlKilled: (system, random) => {
-      const {id, control} = pick(system.instances, random);
-      return killed('controlKilled', id, control);
+      const {id, control} = pickRandom(system.instances, random);
+      return killFault('controlKilled', id, control);
     },
     controlPaused: (system, random) => {
-      const {id, control} = pick(system.instances, random);
-      return paused('controlPaused', id, control);
+      const {id, control} = pickRandom(system.instances, random);
+      return pauseFault('controlPaused', id, control);
     },
     instanceKilled: (system, random) => {
-      const {id, entry, control} = pick(system.instances, random);
-      return both(
-        killed('instanceKilled', id, entry),
-        killed('instanceKilled', id, control),
+      const {id, entry, control} = pickRandom(system.instances, random);
+      return combine(
+        killFault('instanceKilled', id, entry),
+        killFault('instanceKilled', id, control),
       );
     },
   },
@@ -148,8 +148,8 @@
   },
   services: {
     serviceKilled: (system, random) => {
-      const {id, process} = pick(system.services, random);
-      return killed('serviceKilled', id, process);
+      const {id, process} = pickRandom(system.services, random);
+      return killFault('serviceKilled', id, process);
     },
     serviceRequestLost: serviceFault('serviceRequestLost', {
       kind: 'requestLost',
@@ -163,25 +163,32 @@
   },
 };
 
-function pick<T>(items: readonly T[], random: RandomSource): T {
+function pickRandom<T>(items: readonly T[], random: RandomSource): T {
   return items[random.nextInteger(items.length)]!;
 }
 
-function fault(
+function makeFault(
   name: string,
   target: string,
-  strike: () => Promise<void>,
+  inject: () => Promise<void>,
   clear: () => Promise<void>,
-): ChosenFault {
-  const milliseconds = SHORT_MILLISECONDS;
-  return {name, target, milliseconds, isQuiet: false, strike, clear};
+): InjectedFault {
+  const durationMilliseconds = FAULT_MILLISECONDS;
+  return {
+    name,
+    target,
+    durationMilliseconds,
+    isHarmlessToCallers: false,
+    inject,
+    clear,
+  };
 }
 
-function both(first: ChosenFault, second: ChosenFault): ChosenFault {
+function combine(first: InjectedFault, second: InjectedFault): InjectedFault {
   return {
     ...first,
-    strike: async () => {
-      await Promise.all([first.strike(), second.strike()]);
+    inject: async () => {
+      await Promise.all([first.inject(), second.inject()]);
     },
     clear: async () => {
       await Promise.all([first.clear(), second.clear()]);
@@ -189,32 +196,32 @@
   };
 }
 
-/** A process that ended by another fault of the round is started once. */
-async function restartEnded(process: ManagedProcess): Promise<void> {
+/** Two faults of a round may have ended the same process; only the first call starts it again. */
+async function restartIfEnded(process: ManagedProcess): Promise<void> {
   if (!process.isRunning) {
     await process.restart();
   }
 }
 
-function killed(
+function killFault(
   name: string,
   target: string,
   process: ManagedProcess,
-): ChosenFault {
-  return fault(
+): InjectedFault {
+  return makeFault(
     name,
     target,
     () => process.kill(),
-    () => restartEnded(process),
+    () => restartIfEnded(process),
   );
 }
 
-function paused(
+function pauseFault(
   name: string,
   target: string,
   process: ManagedProcess,
-): ChosenFault {
-  return fault(
+): InjectedFault {
+  return makeFault(
     name,
     target,
     async () => process.freeze(),
@@ -226,10 +233,10 @@
   name: string,
   engineFault: EngineFault,
   times?: number,
-): FaultMaker {
+): FaultFactory {
   return (system, random) => {
-    const engine = pick(system.engines, random);
-    return fault(
+    const engine = pickRandom(system.engines, random);
+    return makeFault(
       name,
       engine.id,
       () => ignoreUnreachable(() => engine.setFault(engineFault, {times})),
@@ -238,7 +245,7 @@
   };
 }
 
-/** A process that another fault of the round killed or paused can't be told anything. */
+/** Ignores connection errors: another fault of the round may have killed or paused the process. */
 async function ignoreUnreachable(command: () => Promise<void>): Promise<void> {
   try {
     await command();
@@ -249,14 +256,14 @@
   }
 }
 
-/** Brings a stand-in back, whatever struck it. */
+/** Returns a stand-in to normal operation, also after other faults of the round. */
 async function restore(
   system: LaunchedSystem,
   standIn: EngineHandle | ServiceHandle,
 ): Promise<void> {
   standIn.process.resume();
-  await restartEnded(standIn.process);
-  await system.until(`${standIn.id} answers`, () =>
+  await restartIfEnded(standIn.process);
+  await system.until(`${standIn.id} responds`, () =>
     standIn.setFault({kind: 'clear'}).then(
       () => true,
       () => false,
@@ -264,30 +271,30 @@
   );
 }
 
-function stageDies(point: 'begun' | 'computed' | 'answered'): FaultMaker {
-  return (system, random, records) => {
+function stageCrash(point: 'begun' | 'computed' | 'answered'): FaultFactory {
+  return (system, random, context) => {
     const steps = 1 + random.nextInteger(6);
-    const dies: EngineFault = {kind: 'dieAfterSteps', steps, point};
+    const crash: EngineFault = {kind: 'dieAfterSteps', steps, point};
     const name = `stageDies-${point}-${steps}`;
-    return engineFault(name, dies)(system, random, records);
+    return engineFault(name, crash)(system, random, context);
   };
 }
 
-/** A stage ends, and the replacement can't take over an exported KV cache. */
-function stageKilledWithImport(importFault: EngineFault): FaultMaker {
+/** A stage is killed, and its replacement can't import the exported KV cache. */
+function stageKillWithImportFault(importFault: EngineFault): FaultFactory {
   return (system, random) => {
-    const {id, process} = pick(system.engines, random);
-    const kill = killed(importFault.kind, id, process);
+    const {id, process} = pickRandom(system.engines, random);
+    const kill = killFault(importFault.kind, id, process);
     const others = system.engines.filter(engine => engine.id !== id);
     return {
       ...kill,
-      strike: async () => {
+      inject: async () => {
         await Promise.all(
           others.map(engine =>
             ignoreUnreachable(() => engine.setFault(importFault, {times: 5})),
           ),
         );
-        await kill.strike();
+        await kill.inject();
       },
       clear: async () => {
         await Promise.all(others.map(engine => restore(system, engine)));
@@ -300,21 +307,21 @@
 function entryStopped(
   system: LaunchedSystem,
   random: RandomSource,
-  records: FaultRecords,
-): ChosenFault {
-  const {id, entry} = pick(system.instances, random);
-  let ending: Promise<number | undefined> | undefined;
-  return fault(
+  context: FaultContext,
+): InjectedFault {
+  const {id, entry} = pickRandom(system.instances, random);
+  let exitCode: Promise<number | undefined> | undefined;
+  return makeFault(
     'entryStopped',
     id,
     async () => {
-      ending = entry.isRunning ? entry.terminate() : undefined;
+      exitCode = entry.isRunning ? entry.terminate() : undefined;
     },
     async () => {
-      if (ending !== undefined) {
-        records.exitCodes.push({instance: id, code: await ending});
+      if (exitCode !== undefined) {
+        context.exitCodes.push({instance: id, code: await exitCode});
       }
-      await restartEnded(entry);
+      await restartIfEnded(entry);
     },
   );
 }
@@ -323,15 +330,16 @@
   name: string,
   platformFault: PlatformFault,
   scope: Omit<PlatformFaultCommand, 'fault'>,
-): FaultMaker {
+): FaultFactory {
   return system => ({
-    ...fault(
+    ...makeFault(
       name,
       scope.instance ?? 'all',
       () => system.platform.setFault({fault: platformFault, ...scope}),
       () => clearPlatform(system, scope),
     ),
-    isQuiet: scope.part === 'objects' || scope.part === 'membership',
+    isHarmlessToCallers:
+      scope.part === 'objects' || scope.part === 'membership',
   });
 }
 
@@ -342,24 +350,24 @@
   return system.platform.setFault({fault: {kind: 'clear'}, part: scope.part});
 }
 
-/** The store can't be reached, or loses its answers, for one instance only. */
-function tableFaultForOne(name: string, kind: PlatformFault): FaultMaker {
-  return (system, random, records) => {
-    const {id} = pick(system.instances, random);
+/** The table is unreachable, or its responses are lost, for one instance only. */
+function tableFaultForOne(name: string, kind: PlatformFault): FaultFactory {
+  return (system, random, context) => {
+    const {id} = pickRandom(system.instances, random);
     const scope = {part: 'table', instance: id} as const;
-    return platformFault(name, kind, scope)(system, random, records);
+    return platformFault(name, kind, scope)(system, random, context);
   };
 }
 
 function upstreamLeaving(
   system: LaunchedSystem,
   random: RandomSource,
-  records: FaultRecords,
-): ChosenFault {
-  const {member} = pick([...system.engines, ...system.services], random);
+  context: FaultContext,
+): InjectedFault {
+  const {member} = pickRandom([...system.engines, ...system.services], random);
   let from = 0;
   return {
-    ...fault(
+    ...makeFault(
       'upstreamLeaving',
       member.id,
       async () => {
@@ -372,21 +380,26 @@
       async () => {
         const lagMilliseconds = LIST_LAG_MILLISECONDS;
         const to = Date.now();
-        records.windows.push({upstream: member.id, from, to, lagMilliseconds});
+        context.leavingWindows.push({
+          upstream: member.id,
+          from,
+          to,
+          lagMilliseconds,
+        });
         await system.platform.setMembers({set: [member], lagMilliseconds: 0});
       },
     ),
-    milliseconds: LEAVING_MILLISECONDS,
-    isQuiet: true,
+    durationMilliseconds: LEAVING_FAULT_MILLISECONDS,
+    isHarmlessToCallers: true,
   };
 }
 
 function instanceLeaving(
   system: LaunchedSystem,
   random: RandomSource,
-): ChosenFault {
-  const {member} = pick(system.instances, random);
-  return fault(
+): InjectedFault {
+  const {member} = pickRandom(system.instances, random);
+  return makeFault(
     'instanceLeaving',
     member.id,
     () => system.setMemberState(member, 'leaving'),
@@ -394,54 +407,57 @@
   );
 }
 
-/** An operator at each instance changes the configuration at the same time. */
+/** Operators at all instances change the configuration concurrently. */
 function racingOperators(
   system: LaunchedSystem,
   _random: RandomSource,
-  {round, operators}: FaultRecords,
-): ChosenFault {
+  {round, operatorClient}: FaultContext,
+): InjectedFault {
   let changes: ReadonlyArray<Promise<boolean>> = [];
-  const strike = async (): Promise<void> => {
+  const inject = async (): Promise<void> => {
     changes = system.instances.map(instance =>
-      operators.change(instance, `r${round}-${instance.id}`),
+      operatorClient.addAccount(instance, `r${round}-${instance.id}`),
     );
   };
   const clear = async (): Promise<void> => {
     await Promise.all(changes);
   };
-  return {...fault('racingOperators', 'all', strike, clear), isQuiet: true};
+  return {
+    ...makeFault('racingOperators', 'all', inject, clear),
+    isHarmlessToCallers: true,
+  };
 }
 
 function racingOperatorsAnswerLost(
   system: LaunchedSystem,
   random: RandomSource,
-  records: FaultRecords,
-): ChosenFault {
-  const lost = faultMakers['platform']!['tableAnswerLost']!(
+  context: FaultContext,
+): InjectedFault {
+  const lost = faultFactories['platform']!['tableAnswerLost']!(
     system,
     random,
-    records,
+    context,
   );
-  const race = racingOperators(system, random, records);
+  const racing = racingOperators(system, random, context);
   return {
-    ...race,
+    ...racing,
     name: 'racingOperatorsAnswerLost',
-    isQuiet: false,
-    strike: async () => {
-      await lost.strike();
-      await race.strike();
+    isHarmlessToCallers: false,
+    inject: async () => {
+      await lost.inject();
+      await racing.inject();
     },
     clear: async () => {
       await lost.clear();
-      await race.clear();
+      await racing.clear();
     },
   };
 }
 
-function serviceFault(name: string, serviceFault: ServiceFault): FaultMaker {
+function serviceFault(name: string, serviceFault: ServiceFault): FaultFactory {
   return (system, random) => {
-    const service = pick(system.services, random);
-    return fault(
+    const service = pickRandom(system.services, random);
+    return makeFault(
       name,
       service.id,
       () => ignoreUnreachable(() => service.setFault(serviceFault, 3)),
--- a/test/prove/ledgerIndex.ts
+++ b/test/prove/ledgerIndex.ts
@@ -1,8 +1,8 @@
 import {EngineStep, ServiceExecution} from './observations.js';
 
-/** Steps and executions of all ledgers, by request and by business key. */
+/** Indexes the steps and executions of all ledgers by request and by business key. */
 export class LedgerIndex {
-  private touched = new Set<string>();
+  private updatedRequestIds = new Set<string>();
   private readonly stepsByRequest = new Map<string, EngineStep[]>();
   private readonly requestsByKey = new Map<string, Set<string>>();
   private readonly executionsByKey = new Map<string, ServiceExecution[]>();
@@ -20,16 +20,20 @@
     executions: readonly ServiceExecution[],
   ): void {
     for (const step of steps) {
-      this.touched.add(step.requestId);
-      listOf(this.stepsByRequest, step.requestId).push(step);
+      this.updatedRequestIds.add(step.requestId);
+      getOrCreateList(this.stepsByRequest, step.requestId).push(step);
       if (step.key !== undefined) {
         const requests = this.requestsByKey.get(step.key) ?? new Set();
         this.requestsByKey.set(step.key, requests.add(step.requestId));
       }
     }
     for (const execution of executions) {
-      listOf(this.executionsByKey, execution.key ?? '').push(execution);
-      listOf(this.executionsByRequest, execution.requestId).push(execution);
+      getOrCreateList(this.executionsByKey, execution.key ?? '').push(
+        execution,
+      );
+      getOrCreateList(this.executionsByRequest, execution.requestId).push(
+        execution,
+      );
     }
   }
 
@@ -37,11 +41,11 @@
     return [...this.stepsByRequest.keys()];
   }
 
-  /** Requests with steps since the last call. */
-  takeTouched(): readonly string[] {
-    const touched = [...this.touched];
-    this.touched = new Set();
-    return touched;
+  /** Returns the requests that got steps since the previous call. */
+  takeUpdatedRequestIds(): readonly string[] {
+    const updatedRequestIds = [...this.updatedRequestIds];
+    this.updatedRequestIds = new Set();
+    return updatedRequestIds;
   }
 
   steps(requestId: string): readonly EngineStep[] {
@@ -52,7 +56,7 @@
     return this.executionsByRequest.get(requestId) ?? [];
   }
 
-  /** When runs under a business key began, each with its request. */
+  /** Returns the start time and the request of each run under a business key. */
   runsOfKey(
     businessKey: string,
   ): ReadonlyArray<{readonly requestId: string; readonly beganAt: number}> {
@@ -68,28 +72,30 @@
   }
 
   /**
-   * When requests came to an upstream that it ran, one time for each. What came early may have waited in the
-   * upstream's own queue for seconds.
+   * Returns the arrival time of each request that an upstream ran. Uses the time of receipt where it is known,
+   * because a request may wait in the upstream's own queue for seconds before it runs.
    */
-  arrivalsAt(upstream: string): readonly number[] {
+  arrivalTimesAt(upstream: string): readonly number[] {
     const arrivals: number[] = [];
     for (const steps of this.stepsByRequest.values()) {
-      const here = steps.filter(step => step.upstream === upstream);
-      if (here.length > 0) {
+      const stepsHere = steps.filter(step => step.upstream === upstream);
+      if (stepsHere.length > 0) {
         arrivals.push(
-          Math.min(...here.map(step => step.receivedAt ?? step.at)),
+          Math.min(...stepsHere.map(step => step.receivedAt ?? step.at)),
         );
       }
     }
     for (const executions of this.executionsByRequest.values()) {
-      const here = executions.filter(entry => entry.upstream === upstream);
-      arrivals.push(...here.map(entry => entry.receivedAt));
+      const executionsHere = executions.filter(
+        entry => entry.upstream === upstream,
+      );
+      arrivals.push(...executionsHere.map(entry => entry.receivedAt));
     }
     return arrivals;
   }
 }
 
-function listOf<T>(map: Map<string, T[]>, key: string): T[] {
+function getOrCreateList<T>(map: Map<string, T[]>, key: string): T[] {
   const existing = map.get(key);
   if (existing !== undefined) {
     return existing;
--- a/test/prove/ledgerReader.ts
+++ b/test/prove/ledgerReader.ts
@@ -9,15 +9,15 @@
 
 const CHUNK_BYTES = 1024 * 1024;
 
-/** Reads the ledger files of all stand-ins further into an index. */
+/** Reads the growing ledger files of all stand-ins into an index. */
 export class LedgerReader {
   readonly index = new LedgerIndex();
   private readonly tails = new Map<string, FileTail>();
 
   constructor(private readonly system: LaunchedSystem) {}
 
-  /** Reads what was written since the last time. */
-  readOn(): void {
+  /** Reads the entries written since the previous call. */
+  readNewEntries(): void {
     for (const {id} of this.system.engines) {
       const entries = this.readFile<EngineLedgerEntry & LedgerStamp>(id);
       this.index.add(entries.filter(isStep), []);
@@ -32,21 +32,21 @@
       this.tails.get(id) ??
       new FileTail(join(this.system.directory, `${id}.ledger`));
     this.tails.set(id, tail);
-    return tail.lines().map(line => JSON.parse(line) as Entry);
+    return tail.readNewLines().map(line => JSON.parse(line) as Entry);
   }
 }
 
-/** The lines that a growing file got since the last time. */
+/** Reads the complete lines appended to a file since the previous read. */
 class FileTail {
   private offset = 0;
-  private rest = '';
+  private partialLine = '';
 
   constructor(private readonly file: string) {}
 
-  lines(): readonly string[] {
+  readNewLines(): readonly string[] {
     const descriptor = openSync(this.file, 'r');
     const buffer = Buffer.alloc(CHUNK_BYTES);
-    let text = this.rest;
+    let text = this.partialLine;
     for (;;) {
       const size = readSync(descriptor, buffer, 0, CHUNK_BYTES, this.offset);
       if (size === 0) {
@@ -57,7 +57,7 @@
     }
     closeSync(descriptor);
     const lines = text.split('\n');
-    this.rest = lines.pop() ?? '';
+    this.partialLine = lines.pop() ?? '';
     return lines;
   }
 }
--- a/test/prove/main.ts
+++ b/test/prove/main.ts
@@ -1,50 +1,50 @@
 import {parseArgs} from 'node:util';
 
 import {LaunchedSystem} from '../support/launcher.js';
-import {Point, points, Violation} from './observations.js';
-import {ProofRounds, RoundReport} from './proofRounds.js';
-import {launchProvedSystem} from './provedSystem.js';
+import {Invariant, invariants, Violation} from './observations.js';
+import {FaultInjectionRounds, RoundReport} from './faultInjectionRounds.js';
+import {launchSystemUnderTest} from './systemUnderTest.js';
 
-/** Rounds of random faults against real processes; the last line printed is one JSON object. */
+/** Runs fault-injection rounds against real processes; the last line of the output is a JSON summary. */
 
 const DEFAULT_ROUNDS = '20';
 const DEFAULT_SEED = '1';
 
-interface ProofOptions {
+interface RunOptions {
   readonly rounds: number;
   readonly seed: number;
-  /** The only round to run, to repeat a finding. */
+  /** The only round to run, to reproduce a violation. */
   readonly only: number | undefined;
-  /** The only fault to cause. */
+  /** Name of the only fault to inject. */
   readonly fault: string | undefined;
 }
 
-/** Counts violations, each subject once, and prints what was found. */
-class ProofResult {
+/** Prints and counts violations, once per invariant and subject. */
+class ViolationReport {
   requests = 0;
   faults = 0;
-  private readonly seen = new Set<string>();
-  private readonly counts = new Map<Point, number>();
+  private readonly reported = new Set<string>();
+  private readonly counts = new Map<Invariant, number>();
 
   constructor(private readonly seed: number) {}
 
   get isClean(): boolean {
-    return this.seen.size === 0;
+    return this.reported.size === 0;
   }
 
-  take(report: RoundReport): void {
+  addRound(report: RoundReport): void {
     this.faults += report.faults.length;
     const faults = report.faults.join(' and ');
-    this.print(`round ${report.round} (${faults})`, report.violations);
+    this.printNew(`round ${report.round} (${faults})`, report.violations);
   }
 
-  print(where: string, violations: readonly Violation[]): void {
-    for (const {point, subject, detail} of violations) {
-      const mark = `${point} ${subject}`;
-      if (!this.seen.has(mark)) {
-        this.seen.add(mark);
-        this.counts.set(point, (this.counts.get(point) ?? 0) + 1);
-        console.log(`seed ${this.seed}, ${where}: ${point}: ${detail}`);
+  printNew(where: string, violations: readonly Violation[]): void {
+    for (const {invariant, subject, detail} of violations) {
+      const violationKey = `${invariant} ${subject}`;
+      if (!this.reported.has(violationKey)) {
+        this.reported.add(violationKey);
+        this.counts.set(invariant, (this.counts.get(invariant) ?? 0) + 1);
+        console.log(`seed ${this.seed}, ${where}: ${invariant}: ${detail}`);
       }
     }
   }
@@ -52,7 +52,7 @@
   summary(rounds: number, seconds: number): object {
     const {requests, faults, seed} = this;
     const violations = Object.fromEntries(
-      points.map(point => [point, this.counts.get(point) ?? 0]),
+      invariants.map(invariant => [invariant, this.counts.get(invariant) ?? 0]),
     );
     return {rounds, requests, faults, violations, seed, seconds};
   }
@@ -60,18 +60,18 @@
 
 async function runRounds(
   system: LaunchedSystem,
-  options: ProofOptions,
-  result: ProofResult,
+  options: RunOptions,
+  result: ViolationReport,
 ): Promise<number> {
-  const rounds = new ProofRounds(system, options.seed, options.fault);
+  const rounds = new FaultInjectionRounds(system, options.seed, options.fault);
   const first = options.only ?? 0;
   const end = options.only === undefined ? options.rounds : first + 1;
   for (let round = first; round < end; round++) {
-    result.take(await rounds.run(round));
+    result.addRound(await rounds.run(round));
   }
-  result.print('at the end', rounds.checkAll());
+  result.printNew('at the end', rounds.checkAll());
   result.requests = rounds.requestCount;
-  console.log(JSON.stringify({witnesses: rounds.witnesses()}));
+  console.log(JSON.stringify({witnesses: rounds.coverage()}));
   await rounds.close();
   return end - first;
 }
@@ -85,15 +85,15 @@
       fault: {type: 'string'},
     },
   });
-  const options: ProofOptions = {
+  const options: RunOptions = {
     rounds: Number(values.rounds),
     seed: Number(values.seed),
     only: values.only === undefined ? undefined : Number(values.only),
     fault: values.fault,
   };
   const start = performance.now();
-  const result = new ProofResult(options.seed);
-  const system = await launchProvedSystem();
+  const result = new ViolationReport(options.seed);
+  const system = await launchSystemUnderTest();
   try {
     const rounds = await runRounds(system, options, result);
     const seconds = Math.round((performance.now() - start) / 1000);
--- a/test/prove/observations.ts
+++ b/test/prove/observations.ts
@@ -3,9 +3,9 @@
 import {LedgerStamp} from '../standins/ledger.js';
 import {ServiceLedgerEntry} from '../standins/serviceStandIn.js';
 
-/** What callers, operators and ledgers saw in a run; times are wall milliseconds of one machine. */
+/** What callers and operators observed and what the ledgers recorded; times are wall-clock milliseconds of one machine. */
 
-/** Something a caller wants done once; its business key is part of the prompt or body. */
+/** Work that a caller wants done once; its business key is part of the prompt or body. */
 export interface Work {
   readonly round: number;
   readonly businessKey: string;
@@ -17,14 +17,14 @@
   readonly maximumOutputTokens: number;
 }
 
-/** What came back from one call. */
-export interface Answer {
+/** The response to one call, as the caller received it. */
+export interface RecordedResponse {
   readonly requestId: string | undefined;
-  /** 0 when none came. */
+  /** HTTP status; 0 when no response was received. */
   readonly status: number;
-  /** Whether it ended as a whole answer, as a stated failure, or not at all. */
+  /** Complete response, stated failure, response cut off before its end, or no connection. */
   readonly end: 'whole' | 'failure' | 'cut' | 'unreachable';
-  /** The text of the reply, also of one that was cut; the body of a service call. */
+  /** The text of the reply, also of an incomplete one; the body of the response to a service call. */
   readonly text: string;
   readonly executed: Executed | undefined;
   readonly errorKind: string | undefined;
@@ -32,7 +32,7 @@
   readonly retryAfterMilliseconds: number | undefined;
 }
 
-/** One call with its answer. */
+/** One call with its response; a lookup counts as a call. */
 export interface Submission {
   readonly work: Work;
   readonly kind: 'work' | 'lookUp';
@@ -40,10 +40,10 @@
   readonly address: string;
   readonly startedAt: number;
   readonly endedAt: number;
-  readonly answer: Answer;
+  readonly response: RecordedResponse;
 }
 
-/** An upstream between the notice that it leaves and its return. */
+/** The time between the notice that an upstream leaves and its return to service. */
 export interface LeavingWindow {
   readonly upstream: string;
   readonly from: number;
@@ -51,7 +51,7 @@
   readonly lagMilliseconds: number;
 }
 
-/** A planned stop, and the work that was still not done when its callers gave up. */
+/** A planned stop, and the work whose callers gave up before it was completed. */
 export interface PlannedStop {
   readonly round: number;
   readonly instance: string;
@@ -59,29 +59,29 @@
   readonly failedWork: readonly string[];
 }
 
-/** A change that an operator was told is accepted: an account of this name. */
+/** A change that the control API reported as accepted: the account that it adds. */
 export interface AcceptedChange {
   readonly name: string;
   readonly revision: number;
 }
 
-/** One instance's configuration at a time. */
+/** The configuration of one instance at one time. */
 export interface ConfigurationSample {
   readonly instance: string;
   /** Process id of the control program. */
   readonly pid: number;
   readonly at: number;
   readonly revision: number;
-  /** Identifies the whole content. */
+  /** Hash of the whole configuration. */
   readonly digest: string;
   readonly names: ReadonlySet<string>;
 }
 
-/** What operators saw; `settled` are the samples after the bound since faults were cleared. */
+/** Accepted changes and samples of a run; `finalSamples` are taken when the time to converge has passed. */
 export interface ConfigurationEvidence {
   readonly accepted: readonly AcceptedChange[];
   readonly samples: readonly ConfigurationSample[];
-  readonly settled: readonly ConfigurationSample[];
+  readonly finalSamples: readonly ConfigurationSample[];
 }
 
 /** A step in an engine's ledger. */
@@ -94,8 +94,8 @@
 /** An execution in a plain service's ledger. */
 export type ServiceExecution = ServiceLedgerEntry & LedgerStamp;
 
-/** The points that must always hold. */
-export const points = [
+/** Names of the invariants that the checks verify. */
+export const invariants = [
   'layersOnceInOrder',
   'wholeOwnReply',
   'notRunMeansNotRun',
@@ -105,25 +105,24 @@
   'configurationInForce',
 ] as const;
 
-/** One of the points. */
-export type Point = (typeof points)[number];
+export type Invariant = (typeof invariants)[number];
 
-/** Evidence that a point does not hold. */
+/** Evidence that an invariant does not hold. */
 export interface Violation {
-  readonly point: Point;
-  /** The work, request, upstream or instance concerned. */
+  readonly invariant: Invariant;
+  /** The affected work, request, upstream or instance. */
   readonly subject: string;
   readonly detail: string;
 }
 
-/** Whether an engine's ledger entry is a step. */
+/** Whether a ledger entry of an engine is the begin or the completion of a step. */
 export function isStep(
   entry: EngineLedgerEntry & LedgerStamp,
 ): entry is EngineStep {
   return entry.kind === 'begun' || entry.kind === 'completed';
 }
 
-/** Number of layers over engines that hold ranges. */
+/** Number of layers of the model, from the layer ranges of its engines. */
 export function layerCountOf(
   engines: ReadonlyArray<Pick<EngineSettings, 'layers'>>,
 ): number {
--- a/test/prove/operators.ts
+++ b/test/prove/operatorClient.ts
@@ -11,47 +11,47 @@
 
 const ACCEPTED_STATUS = 201;
 
-/** Operators who change the configuration, and what all instances show of it. */
-export class Operators {
+/** Changes the configuration as operators do, and samples the configuration of all instances. */
+export class OperatorClient {
   private readonly accepted: AcceptedChange[] = [];
   private readonly samples: ConfigurationSample[] = [];
-  private settled: readonly ConfigurationSample[] = [];
+  private finalSamples: readonly ConfigurationSample[] = [];
 
   constructor(private readonly system: LaunchedSystem) {}
 
   get evidence(): ConfigurationEvidence {
-    const {accepted, samples, settled} = this;
-    return {accepted, samples, settled};
+    const {accepted, samples, finalSamples} = this;
+    return {accepted, samples, finalSamples};
   }
 
-  get highestAccepted(): number {
+  get highestAcceptedRevision(): number {
     return Math.max(0, ...this.accepted.map(change => change.revision));
   }
 
-  /** Adds an account of this name at an instance; notes when the operator is told that it is accepted. */
-  async change(instance: InstanceHandle, name: string): Promise<boolean> {
+  /** Adds an account of this name at an instance; resolves to whether the response states that it is accepted. */
+  async addAccount(instance: InstanceHandle, name: string): Promise<boolean> {
     const value = {name, keyHash: hashKey(name)};
     const operations = [{kind: 'setClientAccount', value}];
     const address = instance.member.controlAddress;
     try {
-      const answer = await callJson(
+      const response = await callJson(
         'POST',
         `http://${address}/v1/configuration/revisions`,
         {operations},
         this.headers,
       );
-      const {revision} = answer.body as {revision: number};
-      if (answer.status === ACCEPTED_STATUS) {
+      const {revision} = response.body as {revision: number};
+      if (response.status === ACCEPTED_STATUS) {
         this.accepted.push({name, revision});
         return true;
       }
     } catch {
-      // Not told that it is accepted.
+      // Without a response, the change does not count as accepted.
     }
     return false;
   }
 
-  /** What an instance shows; undefined when it doesn't answer. */
+  /** Samples the configuration of an instance; undefined when it doesn't respond. */
   async sample(
     instance: InstanceHandle,
   ): Promise<ConfigurationSample | undefined> {
@@ -80,17 +80,19 @@
     return Promise.all(instances.map(instance => this.sample(instance)));
   }
 
-  /** Waits until all instances show the highest accepted revision, for a bounded time; then notes what they show. */
-  async settle(boundMilliseconds: number): Promise<void> {
-    const wanted = this.highestAccepted;
-    const end = Date.now() + boundMilliseconds;
-    let shown = await this.sampleAll();
-    const isInForce = () =>
-      shown.every(sample => sample !== undefined && sample.revision >= wanted);
-    while (!isInForce() && Date.now() < end) {
-      shown = await this.sampleAll();
+  /** Waits until all instances have the highest accepted revision or the timeout passes; keeps the final samples. */
+  async awaitConvergence(timeoutMilliseconds: number): Promise<void> {
+    const targetRevision = this.highestAcceptedRevision;
+    const end = Date.now() + timeoutMilliseconds;
+    let samples = await this.sampleAll();
+    const hasConverged = () =>
+      samples.every(
+        sample => sample !== undefined && sample.revision >= targetRevision,
+      );
+    while (!hasConverged() && Date.now() < end) {
+      samples = await this.sampleAll();
     }
-    this.settled = shown.flatMap(sample => sample ?? []);
+    this.finalSamples = samples.flatMap(sample => sample ?? []);
   }
 
   private get headers(): Readonly<Record<string, string>> {
@@ -104,7 +106,7 @@
   configuration: Configuration,
 ): ConfigurationSample {
   const {revision, clientAccounts} = configuration;
-  const digest = createHash('sha256').update(ordered(configuration));
+  const digest = createHash('sha256').update(toSortedJson(configuration));
   return {
     instance,
     pid,
@@ -115,15 +117,15 @@
   };
 }
 
-/** JSON with sorted fields: the order in which entries were added doesn't count. */
-function ordered(value: unknown): string {
-  return JSON.stringify(value, (_key, part: unknown) =>
-    typeof part === 'object' && part !== null && !Array.isArray(part)
+/** Converts to JSON with sorted fields, so that equal content gives an equal digest. */
+function toSortedJson(value: unknown): string {
+  return JSON.stringify(value, (_key, entry: unknown) =>
+    typeof entry === 'object' && entry !== null && !Array.isArray(entry)
       ? Object.fromEntries(
-          Object.entries(part).sort(([left], [right]) =>
+          Object.entries(entry).sort(([left], [right]) =>
             left < right ? -1 : 1,
           ),
         )
-      : part,
+      : entry,
   );
 }
--- a/test/prove/steadyLoad.ts
+++ b/test/prove/steadyLoad.ts
@@ -3,67 +3,77 @@
   SeededRandomSource,
 } from '../../src/base/common/randomSource.js';
 import {sleep} from '../support/sleep.js';
-import {AddressBook} from './addressBook.js';
-import {defaultFollowerOptions, Follower, FollowerOptions} from './follower.js';
+import {EntrypointCache} from './entrypointCache.js';
+import {
+  defaultRetryingCallerOptions,
+  RetryingCaller,
+  RetryingCallerOptions,
+} from './retryingCaller.js';
 import {Submission} from './observations.js';
-import {ProofCaller} from './proofCaller.js';
+import {TestClient} from './testClient.js';
 import {randomWork} from './work.js';
 
-/** One piece of work of a load, with what became of it. */
-export interface LoadedWork {
+/** One piece of work of a load, with its outcome. */
+export interface WorkResult {
   readonly startedAt: number;
-  readonly isDone: boolean;
+  readonly isCompleted: boolean;
   readonly submissions: readonly Submission[];
 }
 
-/** How a load is made. */
+/** The rate and the callers of a load. */
 export interface LoadOptions {
   readonly seed: number;
-  /** Time between arrivals, whatever becomes of earlier ones. */
-  readonly gapMilliseconds: number;
-  readonly follower?: Partial<FollowerOptions>;
+  /** Time between arrivals, independent of when earlier work completes. */
+  readonly arrivalIntervalMilliseconds: number;
+  readonly retryOptions?: Partial<RetryingCallerOptions>;
 }
 
-/** Work that arrives steadily, of callers that share an address book, until it is stopped. */
+/** Open-loop load at a constant rate, from callers that share an entrypoint cache, until it is stopped. */
 export class SteadyLoad {
-  private readonly works: Array<Promise<LoadedWork>> = [];
+  private readonly results: Array<Promise<WorkResult>> = [];
   private readonly random: RandomSource;
   private isStopped = false;
-  private readonly arriving: Promise<void>;
+  private readonly arrivals: Promise<void>;
 
   constructor(
-    private readonly caller: ProofCaller,
-    private readonly book: AddressBook,
+    private readonly client: TestClient,
+    private readonly entrypoints: EntrypointCache,
     private readonly options: LoadOptions,
   ) {
     this.random = new SeededRandomSource(options.seed);
-    this.arriving = this.arrive();
+    this.arrivals = this.generateArrivals();
   }
 
-  /** Ends the arrivals and waits for everything to end. */
-  async stop(): Promise<readonly LoadedWork[]> {
+  /** Stops new arrivals and waits until all work has ended. */
+  async stop(): Promise<readonly WorkResult[]> {
     this.isStopped = true;
-    await this.arriving;
-    return Promise.all(this.works);
+    await this.arrivals;
+    return Promise.all(this.results);
   }
 
-  private async arrive(): Promise<void> {
+  private async generateArrivals(): Promise<void> {
     while (!this.isStopped) {
-      this.works.push(this.run(this.works.length));
-      await sleep(this.options.gapMilliseconds);
+      this.results.push(this.run(this.results.length));
+      await sleep(this.options.arrivalIntervalMilliseconds);
     }
   }
 
-  private async run(number: number): Promise<LoadedWork> {
-    const {seed, follower: options} = this.options;
-    const work = randomWork(this.random, seed, number);
-    const random = new SeededRandomSource(seed + number);
+  private async run(index: number): Promise<WorkResult> {
+    const {seed, retryOptions: options} = this.options;
+    const work = randomWork(this.random, seed, index);
+    const random = new SeededRandomSource(seed + index);
     const startedAt = Date.now();
-    const follower = new Follower(this.caller, work, this.book, random, {
-      ...defaultFollowerOptions,
-      ...options,
-    });
-    const isDone = await follower.run();
-    return {startedAt, isDone, submissions: follower.submissions};
+    const caller = new RetryingCaller(
+      this.client,
+      work,
+      this.entrypoints,
+      random,
+      {
+        ...defaultRetryingCallerOptions,
+        ...options,
+      },
+    );
+    const isCompleted = await caller.run();
+    return {startedAt, isCompleted, submissions: caller.submissions};
   }
 }
--- a/test/prove/provedSystem.ts
+++ b/test/prove/systemUnderTest.ts
@@ -1,19 +1,19 @@
 import {ConfigurationOperation} from '../../src/features/configuration/common/configuration.js';
 import {hashKey, LaunchedSystem} from '../support/launcher.js';
 import {SystemOptions} from '../support/systemOptions.js';
-import {ACCOUNT, classNames} from './proofCaller.js';
+import {ACCOUNT, classNames} from './testClient.js';
 import {SERVICE} from './work.js';
 
-/** The system that faults strike. */
+/** The launched system that faults are injected into. */
 
 const LAYER_COUNT = 8;
 const DEADLINE_MILLISECONDS = 5000;
-/** Targets as parts of the deadline: what a proof allows the machine, it allows in all of them. */
-const FIRST_TOKEN_PART = 0.4;
-const BETWEEN_TOKENS_PART = 0.04;
+/** Latency targets as fractions of the deadline, so that a longer deadline relaxes them too. */
+const FIRST_TOKEN_FRACTION = 0.4;
+const BETWEEN_TOKENS_FRACTION = 0.04;
 
-/** Three instances in two data centres, four replicas of two stages each in its own process. */
-export const provedOptions: Partial<SystemOptions> = {
+/** Three instances in two data centres, and four replicas with two stages, each stage in its own process. */
+export const defaultSystemOptions: Partial<SystemOptions> = {
   instances: 3,
   dataCentres: [
     {name: 'north-1', region: 'north'},
@@ -31,8 +31,8 @@
   services: [{name: SERVICE, replicas: 2}],
 };
 
-/** The model, one class for work that may be repeated and one for work that may not, an account, a service. */
-export const provedOperations = (
+/** Configures the model, a class each for repeatable and non-repeatable work, an account and a service. */
+export const initialOperations = (
   deadlineMilliseconds: number,
 ): readonly ConfigurationOperation[] => [
   {
@@ -44,8 +44,8 @@
       adapters: [],
     },
   },
-  classOf(classNames.repeatable, true, deadlineMilliseconds),
-  classOf(classNames.once, false, deadlineMilliseconds),
+  setClassOperation(classNames.repeatable, true, deadlineMilliseconds),
+  setClassOperation(classNames.once, false, deadlineMilliseconds),
   {
     kind: 'setClientAccount',
     value: {name: ACCOUNT.name, keyHash: hashKey(ACCOUNT.bearerKey)},
@@ -62,18 +62,18 @@
   },
 ];
 
-/** Starts the system; all instances take work when it resolves. */
-export function launchProvedSystem(
+/** Starts the system; resolves when all instances are ready. */
+export function launchSystemUnderTest(
   options: Partial<SystemOptions> = {},
   deadlineMilliseconds = DEADLINE_MILLISECONDS,
 ): Promise<LaunchedSystem> {
   return LaunchedSystem.launch(
-    {...provedOptions, ...options},
-    provedOperations(deadlineMilliseconds),
+    {...defaultSystemOptions, ...options},
+    initialOperations(deadlineMilliseconds),
   );
 }
 
-function classOf(
+function setClassOperation(
   name: string,
   repeatable: boolean,
   deadlineMilliseconds: number,
@@ -82,8 +82,8 @@
     kind: 'setClass',
     value: {
       name,
-      firstTokenMilliseconds: deadlineMilliseconds * FIRST_TOKEN_PART,
-      betweenTokensMilliseconds: deadlineMilliseconds * BETWEEN_TOKENS_PART,
+      firstTokenMilliseconds: deadlineMilliseconds * FIRST_TOKEN_FRACTION,
+      betweenTokensMilliseconds: deadlineMilliseconds * BETWEEN_TOKENS_FRACTION,
       deadlineMilliseconds,
       requestsPerSecond: 20,
       repeatable,
--- a/test/prove/test/checks.test.ts
+++ b/test/prove/test/checks.test.ts
@@ -9,19 +9,19 @@
 import {checkPlannedStopCutsNothing} from '../checks/plannedStopCutsNothing.js';
 import {LedgerIndex} from '../ledgerIndex.js';
 import {
-  Answer,
+  RecordedResponse,
   ConfigurationSample,
   EngineStep,
-  Point,
+  Invariant,
   ServiceExecution,
   Submission,
   Work,
 } from '../observations.js';
 
-/** Hand-made ledgers, each with one violation, and the ledger of a right run. */
+/** Constructed ledgers: correct ones, and ones with a single fault that a check must detect. */
 
-const LAYERS = 4;
-const HALF = 2;
+const LAYER_COUNT = 4;
+const LAYERS_PER_STAGE = 2;
 const work: Work = {
   round: 0,
   businessKey: 'k',
@@ -32,8 +32,8 @@
   maximumOutputTokens: 8,
 };
 const prompt = promptTokens([{role: 'user', content: work.content}]);
-const {tokens} = expectedReply(prompt, LAYERS, work.maximumOutputTokens);
-const whole: Answer = {
+const {tokens} = expectedReply(prompt, LAYER_COUNT, work.maximumOutputTokens);
+const complete: RecordedResponse = {
   requestId: 'a',
   status: 200,
   end: 'whole',
@@ -43,27 +43,32 @@
   addresses: [],
   retryAfterMilliseconds: undefined,
 };
-const cut: Answer = {...whole, end: 'cut', text: ''};
-const told: Answer = {
-  ...cut,
+const incomplete: RecordedResponse = {...complete, end: 'cut', text: ''};
+const notRun: RecordedResponse = {
+  ...incomplete,
   requestId: 'b',
   status: 503,
   end: 'failure',
   executed: 'no',
 };
 
-function submitted(
-  answer: Answer,
+function makeSubmission(
+  response: RecordedResponse,
   startedAt = 0,
   endedAt = 100,
-  of: Work = work,
+  ofWork: Work = work,
 ): Submission {
   const idempotencyKey = 'key';
-  const where = {work: of, kind: 'work', idempotencyKey, address: 'x'} as const;
-  return {...where, startedAt, endedAt, answer};
+  const fields = {
+    work: ofWork,
+    kind: 'work',
+    idempotencyKey,
+    address: 'x',
+  } as const;
+  return {...fields, startedAt, endedAt, response};
 }
 
-/** The two entries of a stage's step for the token at an index. */
+/** Creates the begin and completion entries of the step that a stage runs for one token. */
 function step(
   index: number,
   stage: number,
@@ -77,7 +82,10 @@
     incarnation: '1',
     requestId: 'a',
     epoch: 1,
-    layers: {from: stage * HALF, to: (stage + 1) * HALF},
+    layers: {
+      from: stage * LAYERS_PER_STAGE,
+      to: (stage + 1) * LAYERS_PER_STAGE,
+    },
     positions: {from: index === 0 ? 0 : to - 1, to},
     rebuild: false,
     version: '1',
@@ -91,14 +99,19 @@
   return [fields, {...done, token: change.token ?? token}];
 }
 
-const rightSteps = [...step(0, 0), ...step(0, 1), ...step(1, 0), ...step(1, 1)];
+const correctSteps = [
+  ...step(0, 0),
+  ...step(0, 1),
+  ...step(1, 0),
+  ...step(1, 1),
+];
 
 interface LedgerCase {
   readonly name: string;
   readonly submissions: readonly Submission[];
   readonly steps?: readonly EngineStep[];
   readonly executions?: readonly ServiceExecution[];
-  readonly points: readonly Point[];
+  readonly invariants: readonly Invariant[];
 }
 
 const call: Work = {...work, kind: 'service', content: '{"key":"k"}'};
@@ -117,15 +130,22 @@
 };
 
 const ledgerCases: readonly LedgerCase[] = [
-  {name: 'a right reply', submissions: [submitted(whole)], points: []},
   {
-    name: 'a recorded reply told again',
-    submissions: [submitted(whole), submitted({...whole, requestId: 'b'}, 200)],
-    points: [],
+    name: 'accepts a correct reply',
+    submissions: [makeSubmission(complete)],
+    invariants: [],
+  },
+  {
+    name: 'accepts a recorded reply that is replayed to a second submission',
+    submissions: [
+      makeSubmission(complete),
+      makeSubmission({...complete, requestId: 'b'}, 200),
+    ],
+    invariants: [],
   },
   {
-    name: 'a rebuild under a higher epoch',
-    submissions: [submitted(whole)],
+    name: 'accepts a rebuild under a higher epoch',
+    submissions: [makeSubmission(complete)],
     steps: [
       ...step(0, 0),
       ...step(0, 1),
@@ -133,139 +153,166 @@
       ...step(1, 0, {epoch: 2, at: 40, positions: {from: 0, to: 5}}),
       ...step(1, 1, {epoch: 2, at: 50, positions: {from: 0, to: 5}}),
     ],
-    points: [],
+    invariants: [],
   },
   {
-    name: 'a layer left out',
-    submissions: [submitted(whole)],
+    name: 'rejects a skipped layer',
+    submissions: [makeSubmission(complete)],
     steps: [...step(0, 0), ...step(0, 1), ...step(1, 1)],
-    points: ['layersOnceInOrder'],
+    invariants: ['layersOnceInOrder'],
   },
   {
-    name: 'a layer twice in one epoch',
-    submissions: [submitted(whole)],
-    steps: [...rightSteps, ...step(1, 1, {upstream: 'e2', at: 90})],
-    points: ['layersOnceInOrder', 'layersOnceInOrder'],
+    name: 'rejects a layer that runs twice in one epoch',
+    submissions: [makeSubmission(complete)],
+    steps: [...correctSteps, ...step(1, 1, {upstream: 'e2', at: 90})],
+    invariants: ['layersOnceInOrder', 'layersOnceInOrder'],
   },
   {
-    name: 'stages out of order',
-    submissions: [submitted(whole)],
+    name: 'rejects stages that run out of order',
+    submissions: [makeSubmission(complete)],
     steps: [
       ...step(0, 0),
       ...step(0, 1),
       ...step(1, 0, {at: 40}),
       ...step(1, 1, {at: 30}),
     ],
-    points: ['layersOnceInOrder'],
+    invariants: ['layersOnceInOrder'],
   },
   {
-    name: 'stages of two epochs mixed',
-    submissions: [submitted(whole)],
+    name: 'rejects a token whose stages ran in different epochs',
+    submissions: [makeSubmission(complete)],
     steps: [
       ...step(0, 0),
       ...step(0, 1),
       ...step(1, 0),
       ...step(1, 1, {epoch: 2}),
     ],
-    points: ['layersOnceInOrder'],
+    invariants: ['layersOnceInOrder'],
   },
   {
-    name: 'a token that the last stage did not make',
-    submissions: [submitted(whole)],
+    name: 'rejects a token that the last stage did not produce',
+    submissions: [makeSubmission(complete)],
     steps: [...step(0, 0), ...step(0, 1), ...step(1, 0)].concat(
       step(1, 1, {token: 'other'}),
     ),
-    points: ['layersOnceInOrder'],
+    invariants: ['layersOnceInOrder'],
   },
   {
-    name: 'a truncated reply that ends like a whole one',
-    submissions: [submitted({...whole, text: tokens[0]!})],
-    points: ['wholeOwnReply'],
+    name: 'rejects a truncated reply that ends like a complete one',
+    submissions: [makeSubmission({...complete, text: tokens[0]!})],
+    invariants: ['wholeOwnReply'],
   },
   {
-    name: 'the beginning of the reply, cut off',
-    submissions: [submitted({...whole, end: 'cut', text: tokens[0]!})],
-    points: [],
+    name: 'accepts a prefix of the reply in an incomplete response',
+    submissions: [makeSubmission({...complete, end: 'cut', text: tokens[0]!})],
+    invariants: [],
   },
   {
-    name: "a service's answer to another call",
+    name: 'rejects the response of a service to another call',
     submissions: [
-      submitted({...whole, text: callBody.replace('"k"', '"j"')}, 0, 9, call),
+      makeSubmission(
+        {...complete, text: callBody.replace('"k"', '"j"')},
+        0,
+        9,
+        call,
+      ),
     ],
     steps: [],
     executions: [execution],
-    points: ['wholeOwnReply'],
+    invariants: ['wholeOwnReply'],
   },
   {
-    name: 'a right answer of a service',
-    submissions: [submitted({...whole, text: callBody}, 0, 9, call)],
+    name: 'accepts the correct response of a service',
+    submissions: [makeSubmission({...complete, text: callBody}, 0, 9, call)],
     steps: [],
     executions: [execution],
-    points: [],
+    invariants: [],
   },
   {
-    name: 'told not run, and run',
-    submissions: [submitted({...told, requestId: 'a'})],
-    points: ['notRunMeansNotRun', 'notRunMeansNotRun'],
+    name: 'rejects `executed: no` for a request that ran',
+    submissions: [makeSubmission({...notRun, requestId: 'a'})],
+    invariants: ['notRunMeansNotRun', 'notRunMeansNotRun'],
   },
   {
-    name: 'told not run, and run long after',
-    submissions: [submitted({...told, requestId: 'a'}, 0, 5)],
-    points: ['notRunMeansNotRun', 'notRunMeansNotRun'],
+    name: 'rejects `executed: no` for a request that runs after the response',
+    submissions: [makeSubmission({...notRun, requestId: 'a'}, 0, 5)],
+    invariants: ['notRunMeansNotRun', 'notRunMeansNotRun'],
   },
   {
-    name: 'told not run at a second instance, after the first ran it',
-    submissions: [submitted(cut), submitted(told, 200, 210)],
-    points: ['notRunMeansNotRun'],
+    name: 'rejects `executed: no` at a second instance after the first one ran the work',
+    submissions: [makeSubmission(incomplete), makeSubmission(notRun, 200, 210)],
+    invariants: ['notRunMeansNotRun'],
   },
   {
-    name: 'told not run while another submission is open',
-    submissions: [submitted(whole), submitted(told, 20, 30)],
-    points: [],
+    name: 'accepts `executed: no` while another submission is open',
+    submissions: [makeSubmission(complete), makeSubmission(notRun, 20, 30)],
+    invariants: [],
   },
   {
-    name: 'told not run, then run by a later submission',
-    submissions: [submitted(told, -20, -10), submitted(whole)],
-    points: [],
+    name: 'accepts `executed: no` when a later submission runs the work',
+    submissions: [makeSubmission(notRun, -20, -10), makeSubmission(complete)],
+    invariants: [],
   },
   {
-    name: 'run under two requests',
-    submissions: [submitted(cut), submitted({...whole, requestId: 'b'}, 200)],
+    name: 'rejects work that ran under two requests',
+    submissions: [
+      makeSubmission(incomplete),
+      makeSubmission({...complete, requestId: 'b'}, 200),
+    ],
     steps: [
-      ...rightSteps,
-      ...rightSteps.map(entry => ({...entry, requestId: 'b'})),
+      ...correctSteps,
+      ...correctSteps.map(entry => ({...entry, requestId: 'b'})),
     ],
-    points: ['atMostOnce'],
+    invariants: ['atMostOnce'],
   },
   {
-    name: 'a booking made twice',
-    submissions: [submitted({...whole, text: callBody}, 0, 9, call)],
+    name: 'rejects a non-repeatable service call that ran twice',
+    submissions: [makeSubmission({...complete, text: callBody}, 0, 9, call)],
     steps: [],
     executions: [execution, {...execution, upstream: 't', requestId: 'b'}],
-    points: ['atMostOnce'],
+    invariants: ['atMostOnce'],
   },
   {
-    name: 'a repeatable call made twice',
-    submissions: [submitted(cut, 0, 9, {...call, repeatable: true})],
+    name: 'accepts a repeatable service call that ran twice',
+    submissions: [
+      makeSubmission(incomplete, 0, 9, {...call, repeatable: true}),
+    ],
     steps: [],
     executions: [execution, {...execution, upstream: 't', requestId: 'b'}],
-    points: [],
+    invariants: [],
   },
 ];
 
-it.each(ledgerCases)('$name', ({submissions, steps, executions, points}) => {
-  const ledger = new LedgerIndex(steps ?? rightSteps, executions);
-  const found = checkLedgers(submissions, ledger, LAYERS);
-  expect(found.map(({point}) => point)).toEqual(points);
-});
+it.each(ledgerCases)(
+  'checkLedgers $name',
+  ({submissions, steps, executions, invariants}) => {
+    const ledger = new LedgerIndex(steps ?? correctSteps, executions);
+    const found = checkLedgers(submissions, ledger, LAYER_COUNT);
+    expect(found.map(({invariant}) => invariant)).toEqual(invariants);
+  },
+);
 
 it.each([
-  {name: 'new work long after the notice', at: 9000, count: 1},
-  {name: 'new work within the grace', at: 3500, count: 0},
-  {name: 'new work after its return', at: 20_000, count: 0},
-  {name: 'work that waited at the upstream', at: 9000, waited: 6000, count: 0},
-  {name: 'new work that waited a little', at: 9000, waited: 900, count: 1},
-])('leaving: $name', ({at, waited = 0, count}) => {
+  {name: 'rejects new work long after the notice', at: 9000, count: 1},
+  {name: 'accepts new work within the grace period', at: 3500, count: 0},
+  {
+    name: 'accepts new work after the upstream has returned',
+    at: 20_000,
+    count: 0,
+  },
+  {
+    name: 'accepts work that was received within the grace period and waited at the upstream',
+    at: 9000,
+    waited: 6000,
+    count: 0,
+  },
+  {
+    name: 'rejects new work that was received late and waited',
+    at: 9000,
+    waited: 900,
+    count: 1,
+  },
+])('checkLeavingGetsNothing $name', ({at, waited = 0, count}) => {
   const receivedAt = at - waited;
   const ledger = new LedgerIndex(
     [
@@ -279,15 +326,25 @@
   const window = {upstream: 'e0', from: 0, to: 10_000, lagMilliseconds};
   const found = checkLeavingGetsNothing([window], ledger);
   expect(found).toHaveLength(count);
-  const arrivals = ledger.arrivalsAt('e0').filter(time => time > 4000);
+  const arrivals = ledger.arrivalTimesAt('e0').filter(time => time > 4000);
   expect(arrivals.filter(time => time < 10_000)).toHaveLength(2 * count);
 });
 
 it.each([
-  {name: 'clean', exitCode: 0, failedWork: [], count: 0},
-  {name: 'failed work', exitCode: 0, failedWork: ['k'], count: 1},
-  {name: 'killed', exitCode: undefined, failedWork: [], count: 1},
-])('planned stop: $name', ({exitCode, failedWork, count}) => {
+  {
+    name: 'accepts exit code 0 without failed work',
+    exitCode: 0,
+    failedWork: [],
+    count: 0,
+  },
+  {name: 'rejects failed work', exitCode: 0, failedWork: ['k'], count: 1},
+  {
+    name: 'rejects a process that was killed',
+    exitCode: undefined,
+    failedWork: [],
+    count: 1,
+  },
+])('checkPlannedStopCutsNothing $name', ({exitCode, failedWork, count}) => {
   const stop = {round: 0, instance: 'i', exitCode, failedWork};
   expect(checkPlannedStopCutsNothing([stop])).toHaveLength(count);
 });
@@ -300,7 +357,7 @@
   digest: 'd2',
   names: new Set(['one', 'two']),
 };
-const former: ConfigurationSample = {
+const previousSample: ConfigurationSample = {
   ...sample,
   revision: 1,
   digest: 'd1',
@@ -309,28 +366,43 @@
 const accepted = [{name: 'two', revision: 2}];
 
 it.each([
-  {name: 'in force', samples: [former, sample], settled: [sample], count: 0},
-  {name: 'missing', samples: [former], settled: [former], count: 1},
   {
-    name: 'missing at its revision',
+    name: 'accepts a change that is in force',
+    samples: [previousSample, sample],
+    finalSamples: [sample],
+    count: 0,
+  },
+  {
+    name: 'rejects a missing change',
+    samples: [previousSample],
+    finalSamples: [previousSample],
+    count: 1,
+  },
+  {
+    name: 'rejects a change that is missing in its revision',
     samples: [sample],
-    settled: [{...sample, names: former.names}],
+    finalSamples: [{...sample, names: previousSample.names}],
+    count: 1,
+  },
+  {
+    name: 'rejects a revision that decreases',
+    samples: [sample, previousSample],
+    finalSamples: [sample],
     count: 1,
   },
-  {name: 'reverted', samples: [sample, former], settled: [sample], count: 1},
   {
-    name: 'starting again in a new process',
-    samples: [sample, {...former, pid: 2}],
-    settled: [sample],
+    name: 'accepts an older revision in a restarted process',
+    samples: [sample, {...previousSample, pid: 2}],
+    finalSamples: [sample],
     count: 0,
   },
   {
-    name: 'two contents of one revision',
+    name: 'rejects one revision with two contents',
     samples: [sample, {...sample, instance: 'j', digest: 'other'}],
-    settled: [sample],
+    finalSamples: [sample],
     count: 1,
   },
-])('configuration: $name', ({samples, settled, count}) => {
-  const found = checkConfigurationInForce({accepted, samples, settled});
+])('checkConfigurationInForce $name', ({samples, finalSamples, count}) => {
+  const found = checkConfigurationInForce({accepted, samples, finalSamples});
   expect(found).toHaveLength(count);
 });
--- a/test/prove/proofCaller.ts
+++ b/test/prove/testClient.ts
@@ -1,16 +1,16 @@
 import {Agent} from 'undici';
 
 import {Executed} from '../../src/features/requests/common/failure.js';
-import {Answer, Work} from './observations.js';
+import {RecordedResponse, Work} from './observations.js';
 import {serviceCallOf} from './work.js';
 
-/** The account of all callers. */
+/** The client account of all test callers. */
 export const ACCOUNT = {name: 'orders', bearerKey: 'orders-key'} as const;
 
-/** Class of work by whether it may be repeated. */
+/** Class names of repeatable and of non-repeatable work. */
 export const classNames = {repeatable: 'query', once: 'order'} as const;
 
-/** An answer of `GET /v1/entrypoints`. */
+/** A response of `GET /v1/entrypoints`. */
 export interface Entrypoints {
   readonly addresses: readonly string[];
   readonly grant: string | null;
@@ -33,20 +33,20 @@
   }>;
 }
 
-interface RawAnswer {
+interface RawResponse {
   readonly status: number;
   readonly requestId: string | undefined;
   readonly isEvents: boolean;
   readonly text: string;
-  /** Whether the connection ended as HTTP says it should. */
+  /** Whether the body was received completely according to its HTTP framing. */
   readonly isComplete: boolean;
 }
 
 const DONE_EVENT = 'data: [DONE]';
 const TIMEOUT_MILLISECONDS = 20_000;
-const CONNECT_MILLISECONDS = 1000;
+const CONNECT_TIMEOUT_MILLISECONDS = 1000;
 
-const nothing: Answer = {
+const noResponse: RecordedResponse = {
   requestId: undefined,
   status: 0,
   end: 'unreachable',
@@ -57,15 +57,15 @@
   retryAfterMilliseconds: undefined,
 };
 
-/** Calls entry instances as a caller would; never throws. */
-export class ProofCaller {
+/** Calls entry instances over HTTP as callers do; never throws. */
+export class TestClient {
   private readonly agent = new Agent({
     headersTimeout: TIMEOUT_MILLISECONDS,
     bodyTimeout: TIMEOUT_MILLISECONDS,
-    connect: {timeout: CONNECT_MILLISECONDS},
+    connect: {timeout: CONNECT_TIMEOUT_MILLISECONDS},
   });
 
-  /** Asks an instance which addresses to use; undefined when it can't be asked. */
+  /** Fetches the entrypoints from an instance; undefined when the request fails. */
   async entrypoints(address: string): Promise<Entrypoints | undefined> {
     const raw = await this.call(address, 'GET', '/v1/entrypoints', {});
     return raw?.isComplete && raw.status === 200
@@ -73,38 +73,41 @@
       : undefined;
   }
 
-  /** Submits work and waits for its answer. */
+  /** Submits work and waits for the end of its response. */
   async submit(
     address: string,
     work: Work,
     idempotencyKey: string | undefined,
-  ): Promise<Answer> {
+  ): Promise<RecordedResponse> {
     const name = work.repeatable ? classNames.repeatable : classNames.once;
     const headers: Record<string, string> = {'redwing-class': name};
     if (idempotencyKey !== undefined) {
       headers['idempotency-key'] = idempotencyKey;
     }
     const {path, body} =
-      work.kind === 'model' ? chatCall(work) : plainCall(work);
+      work.kind === 'model' ? toChatCall(work) : toServiceCall(work);
     const raw = await this.call(address, 'POST', path, headers, body);
-    return raw === undefined ? nothing : toAnswer(raw, work);
+    return raw === undefined ? noResponse : toRecordedResponse(raw, work);
   }
 
-  /** Asks what became of a key; a recorded failure is an answer like that of the work itself. */
+  /** Looks up the outcome of a key; converts a recorded response as if it came from the submission itself. */
   async lookUp(
     address: string,
     work: Work,
     idempotencyKey: string,
-  ): Promise<Answer> {
+  ): Promise<RecordedResponse> {
     const path = `/v1/requests/${encodeURIComponent(idempotencyKey)}`;
     const raw = await this.call(address, 'GET', path, {});
     if (raw === undefined || !raw.isComplete || raw.status !== 200) {
-      return nothing;
+      return noResponse;
     }
     const outcome = JSON.parse(raw.text) as {state: string; body?: string};
     return outcome.state === 'completed'
-      ? toAnswer({...raw, isEvents: false, text: outcome.body ?? ''}, work)
-      : {...nothing, ...failureOf(raw.text), status: 200, end: 'failure'};
+      ? toRecordedResponse(
+          {...raw, isEvents: false, text: outcome.body ?? ''},
+          work,
+        )
+      : {...noResponse, ...parseFailure(raw.text), status: 200, end: 'failure'};
   }
 
   async close(): Promise<void> {
@@ -117,7 +120,7 @@
     path: string,
     headers: Readonly<Record<string, string>>,
     body?: string,
-  ): Promise<RawAnswer | undefined> {
+  ): Promise<RawResponse | undefined> {
     try {
       const response = await this.agent.request({
         origin: `http://${address}`,
@@ -134,23 +137,25 @@
       const type = String(response.headers['content-type'] ?? '');
       const id = response.headers['redwing-request-id'];
       const requestId = id === undefined ? undefined : String(id);
-      const read = await readAll(response.body);
+      const received = await readAll(response.body);
       const isEvents = type.startsWith('text/event-stream');
-      return {status, requestId, isEvents, ...read};
+      return {status, requestId, isEvents, ...received};
     } catch (error) {
-      return isRefusal(error) ? undefined : {...lostAnswer, text: ''};
+      return isConnectionFailure(error)
+        ? undefined
+        : {...lostResponse, text: ''};
     }
   }
 }
 
-const lostAnswer = {
+const lostResponse = {
   status: 0,
   requestId: undefined,
   isEvents: false,
   isComplete: false,
 } as const;
 
-function isRefusal(error: unknown): boolean {
+function isConnectionFailure(error: unknown): boolean {
   const {code} = error as NodeJS.ErrnoException;
   return code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
 }
@@ -170,7 +175,10 @@
   }
 }
 
-function chatCall(work: Work): {readonly path: string; readonly body: string} {
+function toChatCall(work: Work): {
+  readonly path: string;
+  readonly body: string;
+} {
   const body = {
     model: 'assistant',
     stream: work.stream,
@@ -180,43 +188,53 @@
   return {path: '/v1/chat/completions', body: JSON.stringify(body)};
 }
 
-function plainCall(work: Work): {readonly path: string; readonly body: string} {
+function toServiceCall(work: Work): {
+  readonly path: string;
+  readonly body: string;
+} {
   const {service, path} = serviceCallOf(work);
   return {path: `/v1/services/${service}${path}`, body: work.content};
 }
 
-function toAnswer(raw: RawAnswer, work: Work): Answer {
+function toRecordedResponse(raw: RawResponse, work: Work): RecordedResponse {
   const {status, requestId} = raw;
-  const base = {...nothing, status, requestId};
+  const base = {...noResponse, status, requestId};
   if (raw.isEvents) {
-    return eventAnswer(raw, base);
+    return parseEventStream(raw, base);
   }
   if (!raw.isComplete) {
     return {...base, end: 'cut'};
   }
   if (status !== 200) {
-    return {...base, ...failureOf(raw.text), end: 'failure'};
+    return {...base, ...parseFailure(raw.text), end: 'failure'};
   }
   const text = work.kind === 'service' ? raw.text : chatText(raw.text);
   return {...base, end: 'whole', text};
 }
 
-function eventAnswer(raw: RawAnswer, base: Answer): Answer {
+function parseEventStream(
+  raw: RawResponse,
+  base: RecordedResponse,
+): RecordedResponse {
   const events = raw.text.split('\n\n');
-  const complete = events.slice(0, -1);
-  const text = complete
+  const completeEvents = events.slice(0, -1);
+  const text = completeEvents
     .filter(event => event.startsWith('data: {'))
     .map(event => chatText(event.slice('data: '.length)))
     .join('');
-  if (complete.at(-1) === DONE_EVENT) {
+  if (completeEvents.at(-1) === DONE_EVENT) {
     return {...base, end: 'whole', text};
   }
-  const failed = complete.find(event => event.startsWith('event: error'));
-  if (failed === undefined) {
+  const failureEvent = completeEvents.find(event =>
+    event.startsWith('event: error'),
+  );
+  if (failureEvent === undefined) {
     return {...base, end: 'cut', text};
   }
-  const body = failed.slice(failed.indexOf('data: ') + 'data: '.length);
-  return {...base, ...failureOf(body), end: 'failure', text};
+  const body = failureEvent.slice(
+    failureEvent.indexOf('data: ') + 'data: '.length,
+  );
+  return {...base, ...parseFailure(body), end: 'failure', text};
 }
 
 function chatText(body: string): string {
@@ -224,7 +242,7 @@
   return choice?.delta?.content ?? choice?.message?.content ?? '';
 }
 
-function failureOf(body: string): Partial<Answer> {
+function parseFailure(body: string): Partial<RecordedResponse> {
   try {
     const {error} = JSON.parse(body) as FailureBody;
     return {
--- a/test/prove/work.ts
+++ b/test/prove/work.ts
@@ -1,7 +1,7 @@
 import {RandomSource} from '../../src/base/common/randomSource.js';
 import {Work} from './observations.js';
 
-/** The work that rounds make. */
+/** Generates random work: chat completions and calls of a plain service. */
 
 /** A call to a plain service. */
 export interface ServiceCall {
@@ -10,33 +10,34 @@
   readonly path: string;
 }
 
-/** The service that rounds call. */
+/** Name of the plain service. */
 export const SERVICE = 'stock';
 
 const SERVICE_SHARE = 0.3;
 const REPEATABLE_SHARE = 0.35;
-const SHORTEST_REPLY = 4;
-const REPLY_SPREAD = 32;
-const LONGEST_PROMPT_WORDS = 12;
+const MINIMUM_REPLY_TOKENS = 4;
+const REPLY_TOKEN_RANGE = 32;
+const MAXIMUM_PROMPT_WORDS = 12;
 
-/** The call that does a piece of work; only `/checks` may be repeated. */
+/** Returns the service call of a piece of work; only calls of `/checks` are repeatable. */
 export function serviceCallOf(work: Work): ServiceCall {
   const path = work.repeatable ? '/checks' : '/bookings';
   return {service: SERVICE, method: 'POST', path};
 }
 
-/** A random piece of work. */
+/** Creates a random piece of work with a unique business key. */
 export function randomWork(
   random: RandomSource,
   round: number,
-  number: number,
+  workNumber: number,
 ): Work {
-  const businessKey = `r${round}-${number}`;
+  const businessKey = `r${round}-${workNumber}`;
   const isService = random.next() < SERVICE_SHARE;
   const repeatable = random.next() < REPEATABLE_SHARE;
-  const outputTokens = SHORTEST_REPLY + random.nextInteger(REPLY_SPREAD);
+  const outputTokens =
+    MINIMUM_REPLY_TOKENS + random.nextInteger(REPLY_TOKEN_RANGE);
   const words = Array.from(
-    {length: random.nextInteger(LONGEST_PROMPT_WORDS)},
+    {length: random.nextInteger(MAXIMUM_PROMPT_WORDS)},
     (_, index) => `word${index}`,
   );
   const prompt = [`[key:${businessKey}]`, `[reply:${outputTokens}]`, ...words];
