--- a/test/router/router.test.ts
+++ b/test/router/router.test.ts
@@ -11,36 +11,36 @@
 } from '../standins/fleet/system.js';
 import {sleep} from '../support/sleep.js';
 
-/** The router on the users' platform: separate processes before stand-ins that speak its protocol. */
+/** Router instances as separate processes, in front of stand-ins that implement the protocols of the platform. */
 
-const EVENTS = 30;
-const STEP_MILLISECONDS = 8_000;
+const EVENT_COUNT = 30;
+const WAIT_TIMEOUT_MILLISECONDS = 8_000;
 
-interface Answer {
+interface RecordedResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** Whether the answer was framed as complete. */
-  readonly isWhole: boolean;
-  readonly longestPause: number;
+  /** Whether the body was received completely according to its HTTP framing. */
+  readonly isComplete: boolean;
+  readonly longestPauseMilliseconds: number;
 }
 
-interface Call {
+interface RequestOptions {
   readonly method?: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
 }
 
-let count = 0;
+let requestCount = 0;
 
-function call(
+function sendRequest(
   instance: RouterInstance,
   path: string,
-  {method = 'POST', headers = {}, body = ''}: Call = {},
-): Promise<Answer> {
+  {method = 'POST', headers = {}, body = ''}: RequestOptions = {},
+): Promise<RecordedResponse> {
   const [host, port] = instance.callers.split(':');
   return new Promise((resolve, reject) => {
-    const sent = request(
+    const outgoing = request(
       {
         host,
         port,
@@ -49,7 +49,7 @@
         agent: false,
         headers: {
           host: 'host.example',
-          'request-id': `request-${++count}`,
+          'request-id': `request-${++requestCount}`,
           'deadline-ms': '8000',
           'token-count': '100,60',
           authorization: `Bearer ${KEY}`,
@@ -58,12 +58,15 @@
       },
       response => {
         let text = '';
-        let last = 0;
-        let longestPause = 0;
+        let lastChunkAt = 0;
+        let longestPauseMilliseconds = 0;
         response.on('data', (chunk: Buffer) => {
           const now = performance.now();
-          longestPause = last === 0 ? 0 : Math.max(longestPause, now - last);
-          last = now;
+          longestPauseMilliseconds =
+            lastChunkAt === 0
+              ? 0
+              : Math.max(longestPauseMilliseconds, now - lastChunkAt);
+          lastChunkAt = now;
           text += chunk.toString();
         });
         response.on('close', () =>
@@ -71,22 +74,22 @@
             status: response.statusCode ?? 0,
             headers: response.headers,
             body: text,
-            isWhole: response.complete,
-            longestPause,
+            isComplete: response.complete,
+            longestPauseMilliseconds,
           }),
         );
       },
     );
-    sent.on('error', reject);
-    sent.end(body);
+    outgoing.on('error', reject);
+    outgoing.end(body);
   });
 }
 
-function idsOf({body}: Answer): readonly number[] {
+function eventIdsOf({body}: RecordedResponse): readonly number[] {
   return [...body.matchAll(/^id: (\d+)$/gm)].map(match => Number(match[1]));
 }
 
-const allIds = [...Array(EVENTS).keys()].map(index => index + 1);
+const allEventIds = [...Array(EVENT_COUNT).keys()].map(index => index + 1);
 
 describe('router instances', () => {
   let system: StandInSystem;
@@ -95,17 +98,17 @@
   beforeAll(async () => {
     system = await StandInSystem.start(3);
     first = system.instances[0]!;
-    // Layers are listed within a reading or two.
+    // The layers of the engines are listed only after one or two reads by the router.
     await waitFor(
-      async () => (await call(first, '/chat/x')).status === 200,
-      STEP_MILLISECONDS,
+      async () => (await sendRequest(first, '/chat/x')).status === 200,
+      WAIT_TIMEOUT_MILLISECONDS,
     );
   });
 
   afterAll(() => system.stop());
 
-  it('forward method, path, query, headers and body as they came', async () => {
-    const answer = await call(first, '/book/a%20b?c=d&c=e', {
+  it('forward requests unchanged except for reserved and hop-by-hop headers', async () => {
+    const response = await sendRequest(first, '/book/a%20b?c=d&c=e', {
       method: 'PUT',
       headers: {
         'X-Own-Name': 'Value',
@@ -116,15 +119,15 @@
       },
       body: 'body bytes',
     });
-    const run = system.plain.flatMap(({runs}) => runs).at(-1)!;
-    expect(answer).toMatchObject({status: 200, isWhole: true});
-    expect(answer.headers['route-stamp']).toContain('plain-');
-    expect(run).toMatchObject({
+    const lastRun = system.plain.flatMap(({runs}) => runs).at(-1)!;
+    expect(response).toMatchObject({status: 200, isComplete: true});
+    expect(response.headers['route-stamp']).toContain('plain-');
+    expect(lastRun).toMatchObject({
       method: 'PUT',
       target: '/book/a%20b?c=d&c=e',
       body: 'body bytes',
     });
-    const text = run.headers.join('\n');
+    const text = lastRun.headers.join('\n');
     expect(text).toContain('X-Own-Name\nValue');
     expect(text).toContain('Tenant\naccount-1');
     expect(text).not.toContain('forged');
@@ -159,10 +162,15 @@
       body: 'x'.repeat(100_001),
       status: 413,
     },
-    {name: 'a unary call', path: '/look/', headers: {}, status: 200},
+    {
+      name: 'a request without streaming',
+      path: '/look/',
+      headers: {},
+      status: 200,
+    },
   ])('answer $status to $name', async ({path, headers, body, status}) => {
-    const answer = await call(first, path, {headers, body});
-    expect(answer.status).toBe(status);
+    const response = await sendRequest(first, path, {headers, body});
+    expect(response.status).toBe(status);
   });
 
   it.each([
@@ -172,22 +180,24 @@
   ] as const)(
     'answer $status when upstreams $behaviour on $path',
     async ({behaviour, path, status, runs}) => {
-      const before = system.plain.flatMap(replica => replica.runs).length;
+      const runsBefore = system.plain.flatMap(replica => replica.runs).length;
       system.plain.forEach(replica => (replica.behaviour = behaviour));
-      const answer = await call(first, path);
+      const response = await sendRequest(first, path);
       system.plain.forEach(replica => (replica.behaviour = 'answer'));
-      expect(answer.status).toBe(status);
+      expect(response.status).toBe(status);
       expect(
-        system.plain.flatMap(replica => replica.runs).length - before,
+        system.plain.flatMap(replica => replica.runs).length - runsBefore,
       ).toBe(runs);
-      expect(answer.headers['retry-after'] === undefined).toBe(status !== 503);
+      expect(response.headers['retry-after'] === undefined).toBe(
+        status !== 503,
+      );
     },
   );
 
-  it('name each other to callers, those of the caller’s data centre where there are enough', async () => {
+  it('list the instances of the caller’s data centre to callers when there are enough of them', async () => {
     await waitFor(
       async () => (await system.resolve(first, 'north')).length === 2,
-      STEP_MILLISECONDS,
+      WAIT_TIMEOUT_MILLISECONDS,
     );
     expect([...(await system.resolve(first, 'north'))].sort()).toEqual(
       [system.instances[0]!.callers, system.instances[2]!.callers].sort(),
@@ -196,26 +206,26 @@
   });
 
   it('stream every event once and in order', async () => {
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       [...Array(12).keys()].map(index =>
-        call(system.instances[index % 3]!, '/chat/x'),
+        sendRequest(system.instances[index % 3]!, '/chat/x'),
       ),
     );
-    for (const answer of answers) {
-      expect(answer).toMatchObject({status: 200, isWhole: true});
-      expect(idsOf(answer)).toEqual(allIds);
+    for (const response of responses) {
+      expect(response).toMatchObject({status: 200, isComplete: true});
+      expect(eventIdsOf(response)).toEqual(allEventIds);
     }
   });
 
-  it('go on behind the event that a caller names', async () => {
-    const answer = await call(first, '/chat/x', {
+  it('resume a stream after the last event id of the caller', async () => {
+    const response = await sendRequest(first, '/chat/x', {
       headers: {'last-event-id': '20'},
     });
-    expect(answer).toMatchObject({status: 200, isWhole: true});
-    expect(idsOf(answer)).toEqual(allIds.slice(20));
+    expect(response).toMatchObject({status: 200, isComplete: true});
+    expect(eventIdsOf(response)).toEqual(allEventIds.slice(20));
   });
 
-  it('put a new configuration in force and refuse a revoked key', async () => {
+  it('apply a new configuration and refuse a revoked key', async () => {
     const {Tenants: accounts, ...rest} = makeManifest(2);
     system.store.put('op', 'config', {
       ...rest,
@@ -223,128 +233,136 @@
     });
     const headers = {authorization: 'Bearer second-key'};
     await waitFor(
-      async () => (await call(first, '/look/', {headers})).status === 200,
-      STEP_MILLISECONDS,
+      async () =>
+        (await sendRequest(first, '/look/', {headers})).status === 200,
+      WAIT_TIMEOUT_MILLISECONDS,
     );
     system.store.put('op', 'config', makeManifest(3));
     await waitFor(
-      async () => (await call(first, '/look/', {headers})).status === 401,
-      STEP_MILLISECONDS,
+      async () =>
+        (await sendRequest(first, '/look/', {headers})).status === 401,
+      WAIT_TIMEOUT_MILLISECONDS,
     );
-    // An older version that turns up again changes nothing.
+    // An older version that is written again must not be applied.
     system.store.put('op', 'config', {
       ...rest,
       Tenants: [...accounts, {Name: 'account-2', ApiKeys: ['second-key']}],
     });
     await sleep(300);
-    expect((await call(first, '/look/', {headers})).status).toBe(401);
+    expect((await sendRequest(first, '/look/', {headers})).status).toBe(401);
   });
 
-  it('keep the last good configuration when one is malformed', async () => {
+  it('keep the last valid configuration when a new one is malformed', async () => {
     system.store.put('op', 'config', {
       ...makeManifest(4),
       Routes: [{Name: 'broken'}],
     });
     await sleep(300);
-    expect((await call(first, '/look/')).status).toBe(200);
+    expect((await sendRequest(first, '/look/')).status).toBe(200);
     expect(first.process.log()).toContain('Routes.0.Host');
     system.store.put('op', 'config', makeManifest(5));
   });
 
-  it('send nothing new to a leaving upstream', async () => {
+  it('send no new requests to a leaving upstream', async () => {
     const [leaving] = system.plain;
     leaving!.list('draining');
     await sleep(1_500);
-    const before = leaving!.runs.length;
+    const runsBefore = leaving!.runs.length;
     for (let index = 0; index < 10; index++) {
-      expect((await call(first, '/book/')).status).toBe(200);
+      expect((await sendRequest(first, '/book/')).status).toBe(200);
     }
-    expect(leaving!.runs.length).toBe(before);
+    expect(leaving!.runs.length).toBe(runsBefore);
     leaving!.list('ready');
   });
 
   it.each(['crash', 'dark'])(
-    'carry streams on when an engine is lost: %s',
+    'continue streams when an engine fails: %s',
     async kind => {
-      const calls = [...Array(12).keys()].map(index =>
-        call(system.instances[index % 3]!, '/chat/x'),
+      const requests = [...Array(12).keys()].map(index =>
+        sendRequest(system.instances[index % 3]!, '/chat/x'),
       );
       await sleep(120);
-      const lost = system.engines.engines.find(
+      const failedEngine = system.engines.engines.find(
         engine =>
           engine.isRunning && !engine.isDark && engine.holds({From: 5, To: 6}),
       );
       if (kind === 'crash') {
-        lost!.crash();
+        failedEngine!.crash();
       } else {
-        lost!.isDark = true;
+        failedEngine!.isDark = true;
       }
-      for (const answer of await Promise.all(calls)) {
-        expect(answer).toMatchObject({status: 200, isWhole: true});
-        expect(idsOf(answer)).toEqual(allIds);
+      for (const response of await Promise.all(requests)) {
+        expect(response).toMatchObject({status: 200, isComplete: true});
+        expect(eventIdsOf(response)).toEqual(allEventIds);
       }
-      system.store.remove('servers', lost!.id);
+      system.store.remove('servers', failedEngine!.id);
     },
   );
 
-  it('take an engine that starts again under its name for an empty one', async () => {
-    const calls = [...Array(12).keys()].map(index =>
-      call(system.instances[index % 3]!, '/chat/x'),
+  it('treat an engine that restarts under the same name as empty', async () => {
+    const requests = [...Array(12).keys()].map(index =>
+      sendRequest(system.instances[index % 3]!, '/chat/x'),
     );
     await sleep(120);
-    const lost = system.engines.engines.find(
+    const failedEngine = system.engines.engines.find(
       engine =>
         engine.isRunning && !engine.isDark && engine.holds({From: 5, To: 6}),
     )!;
-    const again = await lost.restart();
-    for (const answer of await Promise.all(calls)) {
-      expect(answer).toMatchObject({status: 200, isWhole: true});
-      expect(idsOf(answer)).toEqual(allIds);
+    const restarted = await failedEngine.restart();
+    for (const response of await Promise.all(requests)) {
+      expect(response).toMatchObject({status: 200, isComplete: true});
+      expect(eventIdsOf(response)).toEqual(allEventIds);
     }
-    // It is given layers anew, and serves.
+    // The restarted engine is assigned layers and serves again.
     await waitFor(
-      () => again.holds({From: again.firstLayer, To: again.firstLayer + 1}),
-      STEP_MILLISECONDS,
+      () =>
+        restarted.holds({
+          From: restarted.firstLayer,
+          To: restarted.firstLayer + 1,
+        }),
+      WAIT_TIMEOUT_MILLISECONDS,
     );
   });
 
-  it('stop without breaking off a request', async () => {
-    const stopped = system.instances[2]!;
-    const calls = [...Array(6).keys()].map(() => call(stopped, '/chat/x'));
+  it('shut down without interrupting a request', async () => {
+    const stopping = system.instances[2]!;
+    const requests = [...Array(6).keys()].map(() =>
+      sendRequest(stopping, '/chat/x'),
+    );
     await sleep(100);
-    const ended = stopped.process.terminate();
-    for (const answer of await Promise.all(calls)) {
-      expect(answer).toMatchObject({status: 200, isWhole: true});
-      expect(idsOf(answer)).toEqual(allIds);
+    const exitCode = stopping.process.terminate();
+    for (const response of await Promise.all(requests)) {
+      expect(response).toMatchObject({status: 200, isComplete: true});
+      expect(eventIdsOf(response)).toEqual(allEventIds);
     }
-    expect(await ended).toBe(0);
+    expect(await exitCode).toBe(0);
     await waitFor(
       async () =>
-        !(await system.resolve(first, 'north')).includes(stopped.callers),
-      STEP_MILLISECONDS,
+        !(await system.resolve(first, 'north')).includes(stopping.callers),
+      WAIT_TIMEOUT_MILLISECONDS,
     );
-    await waitFor(() => !stopped.process.isRunning, STEP_MILLISECONDS);
+    await waitFor(() => !stopping.process.isRunning, WAIT_TIMEOUT_MILLISECONDS);
     expect(system.store.keys('redwing')).not.toContain('instances/instance-3');
   });
 
-  it('refuse keys once the store has been away for the bound, and serve again when it is back', async () => {
+  it('refuse keys when the store is unavailable beyond the limit, and accept them again after it recovers', async () => {
     system.store.fault = 'silent';
     await waitFor(
-      async () => (await call(first, '/look/')).status === 503,
-      STEP_MILLISECONDS,
+      async () => (await sendRequest(first, '/look/')).status === 503,
+      WAIT_TIMEOUT_MILLISECONDS,
     );
-    const refused = await call(first, '/look/');
+    const refused = await sendRequest(first, '/look/');
     expect(Number(refused.headers['retry-after'])).toBeGreaterThan(0);
     expect(await system.isReady(first)).toBe(false);
-    expect((await call(first, '/open/')).status).toBe(200);
+    expect((await sendRequest(first, '/open/')).status).toBe(200);
     system.store.fault = 'none';
     await waitFor(
-      async () => (await call(first, '/look/')).status === 200,
-      STEP_MILLISECONDS,
+      async () => (await sendRequest(first, '/look/')).status === 200,
+      WAIT_TIMEOUT_MILLISECONDS,
     );
   });
 
-  it('follow on after the history of changes was discarded', async () => {
+  it('apply changes after the store has discarded its change history', async () => {
     system.store.forgetHistory();
     system.store.put(
       'op',
@@ -355,8 +373,9 @@
     );
     const headers = {authorization: 'Bearer ninth'};
     await waitFor(
-      async () => (await call(first, '/look/', {headers})).status === 200,
-      STEP_MILLISECONDS,
+      async () =>
+        (await sendRequest(first, '/look/', {headers})).status === 200,
+      WAIT_TIMEOUT_MILLISECONDS,
     );
   });
 });
