--- a/test/placement/rollout.test.ts
+++ b/test/placement/rollout.test.ts
@@ -9,14 +9,14 @@
 import {LaunchedSystem} from '../support/launcher.js';
 import {callJson, EngineHandle} from '../support/systemParts.js';
 
-/** A version is rolled out by the real programs while requests go on; seeds and counts are printed. */
+/** The real programs roll out a model version while callers send requests; prints seed, seconds and request count. */
 
 const LAYER_COUNT = 8;
-const CALLERS = 4;
-const ROLLOUT_MILLISECONDS = 90_000;
-/** Far more than a reply takes, so that the verdict doesn't depend on the machine's speed. */
+const CALLER_COUNT = 4;
+const ROLLOUT_TIMEOUT_MILLISECONDS = 90_000;
+/** Far longer than a reply takes, so that the result doesn't depend on the machine's speed. */
 const DEADLINE_MILLISECONDS = 30_000;
-const AFTERWARDS_MILLISECONDS = 2_000;
+const LOAD_AFTER_ROLLOUT_MILLISECONDS = 2_000;
 const SEED = Number(process.env['ROLLOUT_SEED'] ?? 1);
 
 let system: LaunchedSystem;
@@ -45,32 +45,35 @@
   await system?.dispose();
 });
 
-interface Report {
+interface EngineReport {
   readonly version: string;
   readonly role: string;
   readonly loading: boolean;
 }
 
-async function serves(engine: EngineHandle, version: string): Promise<boolean> {
+async function servesVersion(
+  engine: EngineHandle,
+  version: string,
+): Promise<boolean> {
   const url = `http://${engine.settings.address}/v1/report`;
-  const report = (await callJson('GET', url)).body as Report;
+  const report = (await callJson('GET', url)).body as EngineReport;
   return (
     report.version === version && report.role === 'both' && !report.loading
   );
 }
 
-/** Submits one piece of work after the other until told to stop. */
-async function keepCalling(
-  number: number,
-  isWanted: () => boolean,
+/** Submits pieces of work one after the other while `isLoadWanted` returns true. */
+async function submitWhile(
+  callerNumber: number,
+  isLoadWanted: () => boolean,
 ): Promise<readonly Submission[]> {
-  const random = new SeededRandomSource(SEED * 100 + number);
+  const random = new SeededRandomSource(SEED * 100 + callerNumber);
   const submissions: Submission[] = [];
-  while (isWanted()) {
-    const piece = randomWork(random, number, submissions.length);
+  while (isLoadWanted()) {
+    const piece = randomWork(random, callerNumber, submissions.length);
     const work = {...piece, kind: 'model', content: contentOf(piece)} as const;
-    const place = random.nextInteger(system.instances.length);
-    const address = system.instances[place]!.member.callerAddress;
+    const index = random.nextInteger(system.instances.length);
+    const address = system.instances[index]!.member.callerAddress;
     const key = work.repeatable ? undefined : work.businessKey;
     const startedAt = Date.now();
     const response = await client.submit(address, work, key);
@@ -92,12 +95,12 @@
 }
 
 it(
-  'brings all replicas to another version without a failed request',
-  {timeout: ROLLOUT_MILLISECONDS + 60_000},
+  'rolls out a version to all replicas without a failed request',
+  {timeout: ROLLOUT_TIMEOUT_MILLISECONDS + 60_000},
   async () => {
-    let wanted = true;
-    const callers = Array.from({length: CALLERS}, (_, number) =>
-      keepCalling(number, () => wanted),
+    let isLoadWanted = true;
+    const callers = Array.from({length: CALLER_COUNT}, (_, number) =>
+      submitWhile(number, () => isLoadWanted),
     );
     const changedAt = Date.now();
     const response = await system.administer([
@@ -113,35 +116,42 @@
     ]);
     expect(response.status).toBe(201);
     const isDone = async (): Promise<boolean> => {
-      const all = await Promise.all(system.engines.map(e => serves(e, '2')));
-      return all.every(done => done);
+      const all = await Promise.all(
+        system.engines.map(engine => servesVersion(engine, '2')),
+      );
+      return all.every(isServing => isServing);
     };
     await system
-      .until('version 2 is everywhere', isDone, ROLLOUT_MILLISECONDS)
+      .until('version 2 is everywhere', isDone, ROLLOUT_TIMEOUT_MILLISECONDS)
       .finally(() =>
-        setTimeout(() => (wanted = false), AFTERWARDS_MILLISECONDS),
+        setTimeout(
+          () => (isLoadWanted = false),
+          LOAD_AFTER_ROLLOUT_MILLISECONDS,
+        ),
       );
     const seconds = (Date.now() - changedAt) / 1000;
     const submissions = (await Promise.all(callers)).flat();
-    const failed = submissions.filter(one => one.response.end !== 'whole');
+    const failed = submissions.filter(
+      submission => submission.response.end !== 'whole',
+    );
     console.log(
       JSON.stringify({seed: SEED, seconds, requests: submissions.length}),
     );
-    expect(failed.map(one => one.response)).toEqual([]);
+    expect(failed.map(submission => submission.response)).toEqual([]);
     expect(checkWholeOwnReply(submissions, LAYER_COUNT)).toEqual([]);
-    await expectLedgersAgree();
+    await expectConsistentLedgers();
   },
 );
 
-/** No reply has tokens of two versions; each replica's orders grow; engines get no order twice. */
-async function expectLedgersAgree(): Promise<void> {
+/** Expects that no reply mixes versions, and that each engine got the orders of both versions once and in sequence. */
+async function expectConsistentLedgers(): Promise<void> {
   const versions = new Map<string, Set<string>>();
   for (const engine of system.engines) {
     const orders: string[] = [];
     for (const entry of await engine.ledger()) {
       if (entry.kind === 'completed' && entry.token !== undefined) {
-        const known = versions.get(entry.requestId) ?? new Set();
-        versions.set(entry.requestId, known.add(entry.version));
+        const versionsOfRequest = versions.get(entry.requestId) ?? new Set();
+        versions.set(entry.requestId, versionsOfRequest.add(entry.version));
       } else if (entry.kind === 'ordered') {
         orders.push(`${entry.version} ${entry.role}`);
       }
