--- a/test/programs/commandLines.test.ts
+++ b/test/programs/commandLines.test.ts
@@ -8,36 +8,46 @@
 import {version} from '../../src/base/common/version.js';
 import {repositoryRoot} from '../support/managedProcess.js';
 
-/** What all programs have in common on the command line. */
+/** Options, exit codes and messages that the command lines of all programs share. */
 
-const USAGE = 2;
+const USAGE_EXIT_CODE = 2;
 
-interface Case {
+interface CommandLineCase {
   readonly name: string;
-  readonly words: readonly string[];
+  readonly commandArguments: readonly string[];
   readonly exitCode: number;
   readonly output: string;
 }
 
-const cases: readonly Case[] = [
-  {name: 'version', words: ['--version'], exitCode: 0, output: version},
-  {name: 'help', words: ['--help'], exitCode: 0, output: 'check-settings'},
+const cases: readonly CommandLineCase[] = [
   {
-    name: 'an unknown option',
-    words: ['check-settings', '--nonsense'],
-    exitCode: USAGE,
+    name: 'prints the version',
+    commandArguments: ['--version'],
+    exitCode: 0,
+    output: version,
+  },
+  {
+    name: 'prints help',
+    commandArguments: ['--help'],
+    exitCode: 0,
+    output: 'check-settings',
+  },
+  {
+    name: 'rejects an unknown option',
+    commandArguments: ['check-settings', '--nonsense'],
+    exitCode: USAGE_EXIT_CODE,
     output: '--nonsense',
   },
   {
-    name: 'wrong settings',
-    words: ['check-settings', '{settings}'],
-    exitCode: USAGE,
+    name: 'rejects settings with an unknown field',
+    commandArguments: ['check-settings', '{settings}'],
+    exitCode: USAGE_EXIT_CODE,
     output: '$.surplus: no such field',
   },
   {
-    name: 'no settings',
-    words: ['check-settings', '{missing}'],
-    exitCode: USAGE,
+    name: 'rejects a missing settings file',
+    commandArguments: ['check-settings', '{missing}'],
+    exitCode: USAGE_EXIT_CODE,
     output: 'a readable file (ENOENT)',
   },
 ];
@@ -45,35 +55,37 @@
 const programs = ['entry', 'control', 'redwing'];
 
 describe.each(programs)('command line of %s', program => {
-  let folder: string;
+  let directory: string;
 
   beforeAll(() => {
-    folder = mkdtempSync(join(tmpdir(), 'command-line-'));
-    writeFileSync(join(folder, 'settings.json'), '{"surplus": 1}');
+    directory = mkdtempSync(join(tmpdir(), 'command-line-'));
+    writeFileSync(join(directory, 'settings.json'), '{"surplus": 1}');
   });
 
-  afterAll(() => rmSync(folder, {recursive: true}));
+  afterAll(() => rmSync(directory, {recursive: true}));
 
-  function wordsOf(one: Case): readonly string[] {
-    return one.words.flatMap(word => {
-      const file = /^\{(.+)\}$/.exec(word)?.[1];
+  function argumentsOf(testCase: CommandLineCase): readonly string[] {
+    return testCase.commandArguments.flatMap(argument => {
+      const file = /^\{(.+)\}$/.exec(argument)?.[1];
       if (file === undefined) {
-        return [word];
+        return [argument];
       }
-      const path = join(folder, `${file}.json`);
+      const path = join(directory, `${file}.json`);
       return program === 'redwing' ? ['--settings', path] : [path];
     });
   }
 
-  it.each(cases)('$name', async one => {
+  it.each(cases)('$name', async testCase => {
     const main = join(repositoryRoot(), `dist/src/programs/${program}/main.js`);
-    const run = await new Promise<{code: unknown; output: string}>(resolve => {
-      const line = [main, ...wordsOf(one)];
-      execFile(process.execPath, line, (error, stdout, stderr) =>
-        resolve({code: error?.code ?? 0, output: stdout + stderr}),
-      );
-    });
-    expect(run.output).toContain(one.output);
-    expect(run.code).toBe(one.exitCode);
+    const result = await new Promise<{code: unknown; output: string}>(
+      resolve => {
+        const argv = [main, ...argumentsOf(testCase)];
+        execFile(process.execPath, argv, (error, stdout, stderr) =>
+          resolve({code: error?.code ?? 0, output: stdout + stderr}),
+        );
+      },
+    );
+    expect(result.output).toContain(testCase.output);
+    expect(result.code).toBe(testCase.exitCode);
   });
 });
