--- a/test/golden/goldenFiles.ts
+++ b/test/golden/goldenFiles.ts
@@ -4,27 +4,25 @@
 import {repositoryRoot} from '../support/managedProcess.js';
 import {GoldenSession} from './goldenSession.js';
 
-/** The files that hold the sessions. */
+/** Reads and writes the session files. */
 
-const FOLDER = join(repositoryRoot(), 'test/golden');
+const DIRECTORY = join(repositoryRoot(), 'test/golden');
 
-/** Names of all sessions, in the order in which they are played. */
+/** Returns the names of all sessions, in the order in which they are played. */
 export function sessionNames(): readonly string[] {
-  const files = readdirSync(FOLDER).filter(file => file.endsWith('.json'));
+  const files = readdirSync(DIRECTORY).filter(file => file.endsWith('.json'));
   return files.map(file => file.replace('.json', '')).sort();
 }
 
-/** Reads a session. */
 export function readSession(name: string): GoldenSession {
   return JSON.parse(readFileSync(pathOf(name), 'utf8')) as GoldenSession;
 }
 
-/** Writes a session. */
 export function writeSession(name: string, session: GoldenSession): void {
   const text = JSON.stringify(session, undefined, 2);
   writeFileSync(pathOf(name), `${text}\n`);
 }
 
 function pathOf(name: string): string {
-  return join(FOLDER, `${name}.json`);
+  return join(DIRECTORY, `${name}.json`);
 }
--- a/test/golden/goldenSessions.test.ts
+++ b/test/golden/goldenSessions.test.ts
@@ -5,7 +5,7 @@
 import {readSession, sessionNames} from './goldenFiles.js';
 import {SessionPlayer} from './goldenSession.js';
 
-/** Golden sessions against the real programs, under both policies and without faults. */
+/** Plays golden sessions against the real programs, under both policies and without faults. */
 
 const policies = ['redwing', 'naive'] as const;
 
@@ -21,10 +21,10 @@
 
   afterAll(() => system?.dispose());
 
-  it.each(sessionNames())('%s', async name => {
+  it.each(sessionNames())('%s gets the recorded responses', async name => {
     const session = readSession(name);
-    const answers = await player.play(session);
+    const responses = await player.play(session);
     const expected = session.steps.map(step => step.answer);
-    expect(answers).toEqual(expected);
+    expect(responses).toEqual(expected);
   });
 });
--- a/test/golden/normaliseResponse.ts
+++ b/test/golden/normaliseResponse.ts
@@ -1,8 +1,8 @@
-/** Brings answers into the form that golden files hold: what differs from run to run is replaced. */
+/** Normalises responses for golden files: replaces fields that differ between runs by fixed texts. */
 
 type Replacement = (value: unknown) => unknown;
 
-/** Fields that differ from run to run, and what stands for them. */
+/** Fields that differ between runs, with the replacement of their values. */
 const VOLATILE_FIELDS: Readonly<Record<string, Replacement>> = {
   id: value => String(value).replace(/^chatcmpl-.+$/, 'chatcmpl-<id>'),
   created: () => '<time>',
@@ -23,8 +23,8 @@
   readonly usage?: unknown;
 }
 
-/** The body of an answer without what differs from run to run. */
-export function normaliseAnswer(contentType: string, text: string): unknown {
+/** Normalises the body of a response, according to its content type. */
+export function normaliseResponse(contentType: string, text: string): unknown {
   if (contentType.startsWith('text/event-stream')) {
     return normaliseStream(text);
   }
@@ -49,7 +49,7 @@
   return Object.fromEntries(fields);
 }
 
-/** A stream in sum: parts of text may be cut differently, their order and the end may not. */
+/** Summarises a stream: the text may be split into different chunks, but its order and the end of the stream count. */
 function normaliseStream(text: string): unknown {
   const events = text.split('\n\n').filter(event => event !== '');
   const chunks = events
