--- a/test/proofs/leaving.test.ts
+++ b/test/proofs/leaving.test.ts
@@ -1,11 +1,11 @@
 import {afterAll, beforeAll, beforeEach, expect, it} from 'vitest';
 
-import {EntrypointCache} from '../prove/entrypointCache.js';
 import {
   checkLeavingGetsNothing,
   lastArrivalDelay,
   LEAVING_GRACE_MILLISECONDS,
 } from '../prove/checks/leavingGetsNothing.js';
+import {EntrypointCache} from '../prove/entrypointCache.js';
 import {FaultTestFixture} from '../prove/faultTestFixture.js';
 import {SteadyLoad} from '../prove/steadyLoad.js';
 import {sleep} from '../support/sleep.js';
--- a/test/proofs/outage.test.ts
+++ b/test/proofs/outage.test.ts
@@ -2,7 +2,7 @@
 
 import {EntrypointCache} from '../prove/entrypointCache.js';
 import {FaultTestFixture} from '../prove/faultTestFixture.js';
-import {WorkResult, SteadyLoad} from '../prove/steadyLoad.js';
+import {SteadyLoad, WorkResult} from '../prove/steadyLoad.js';
 import {sleep} from '../support/sleep.js';
 
 /** During a long outage of the table, orders with grants must complete, and all responses must match the ledgers. */
--- a/test/proofs/resubmissions.test.ts
+++ b/test/proofs/resubmissions.test.ts
@@ -1,7 +1,7 @@
 import {afterAll, beforeAll, beforeEach, expect, it} from 'vitest';
 
-import {RecordedResponse, Work} from '../prove/observations.js';
 import {FaultTestFixture} from '../prove/faultTestFixture.js';
+import {RecordedResponse, Work} from '../prove/observations.js';
 
 /** Resubmissions while instances or the store fail; the checks compare all responses with the ledgers. */
 
--- a/test/proofs/stops.test.ts
+++ b/test/proofs/stops.test.ts
@@ -2,7 +2,7 @@
 
 import {EntrypointCache} from '../prove/entrypointCache.js';
 import {FaultTestFixture} from '../prove/faultTestFixture.js';
-import {WorkResult, SteadyLoad} from '../prove/steadyLoad.js';
+import {SteadyLoad, WorkResult} from '../prove/steadyLoad.js';
 import {sleep} from '../support/sleep.js';
 
 /** Planned stops under load must complete requests in flight, and callers with outdated addresses must succeed. */
--- a/test/prove/faultInjectionRounds.ts
+++ b/test/prove/faultInjectionRounds.ts
@@ -4,8 +4,8 @@
 } from '../../src/base/common/randomSource.js';
 import {LaunchedSystem} from '../support/launcher.js';
 import {sleep} from '../support/sleep.js';
-import {checkConfigurationInForce} from './checks/configurationInForce.js';
 import {checkLedgers} from './checks/checkLedgers.js';
+import {checkConfigurationInForce} from './checks/configurationInForce.js';
 import {checkLeavingGetsNothing} from './checks/leavingGetsNothing.js';
 import {checkPlannedStopCutsNothing} from './checks/plannedStopCutsNothing.js';
 import {
@@ -14,7 +14,6 @@
   faultFactories,
   FaultContext,
 } from './faults.js';
-import {RetryingCaller} from './retryingCaller.js';
 import {LedgerReader} from './ledgerReader.js';
 import {
   LeavingWindow,
@@ -23,6 +22,7 @@
   Violation,
 } from './observations.js';
 import {OperatorClient} from './operatorClient.js';
+import {RetryingCaller} from './retryingCaller.js';
 import {Entrypoints, TestClient} from './testClient.js';
 import {randomWork} from './work.js';
 
--- a/test/prove/faultTestFixture.ts
+++ b/test/prove/faultTestFixture.ts
@@ -5,8 +5,8 @@
 import {checkLedgers} from './checks/checkLedgers.js';
 import {LedgerReader} from './ledgerReader.js';
 import {RecordedResponse, Submission, Work} from './observations.js';
-import {TestClient} from './testClient.js';
 import {launchSystemUnderTest} from './systemUnderTest.js';
+import {TestClient} from './testClient.js';
 
 /** Far longer than the work takes, so that the result doesn't depend on the machine's speed. */
 const DEADLINE_MILLISECONDS = 30_000;
--- a/test/prove/main.ts
+++ b/test/prove/main.ts
@@ -1,8 +1,8 @@
 import {parseArgs} from 'node:util';
 
 import {LaunchedSystem} from '../support/launcher.js';
-import {Invariant, invariants, Violation} from './observations.js';
 import {FaultInjectionRounds, RoundReport} from './faultInjectionRounds.js';
+import {Invariant, invariants, Violation} from './observations.js';
 import {launchSystemUnderTest} from './systemUnderTest.js';
 
 /** Runs fault-injection rounds against real processes; the last line of the output is a JSON summary. */
--- a/test/prove/retryingCaller.ts
+++ b/test/prove/retryingCaller.ts
@@ -199,7 +199,7 @@
   }
 }
 
-/** A duplicate response without a retry time or addresses: the key has run, but its outcome can't be retrieved. */
+/** A 409 `duplicate` without a retry time or addresses: the key has run, but its outcome can't be retrieved. */
 function isOutcomeUnavailable(response: RecordedResponse): boolean {
   return (
     response.errorKind === 'duplicate' &&
--- a/test/prove/steadyLoad.ts
+++ b/test/prove/steadyLoad.ts
@@ -4,12 +4,12 @@
 } from '../../src/base/common/randomSource.js';
 import {sleep} from '../support/sleep.js';
 import {EntrypointCache} from './entrypointCache.js';
+import {Submission} from './observations.js';
 import {
   defaultRetryingCallerOptions,
   RetryingCaller,
   RetryingCallerOptions,
 } from './retryingCaller.js';
-import {Submission} from './observations.js';
 import {TestClient} from './testClient.js';
 import {randomWork} from './work.js';
 
--- a/test/prove/test/checks.test.ts
+++ b/test/prove/test/checks.test.ts
@@ -3,16 +3,16 @@
 import {promptTokens} from '../../../src/features/callers/common/tokenText.js';
 import {expectedReply} from '../../standins/referenceModel.js';
 import {expectedServiceBody} from '../../standins/serviceStandIn.js';
-import {checkConfigurationInForce} from '../checks/configurationInForce.js';
 import {checkLedgers} from '../checks/checkLedgers.js';
+import {checkConfigurationInForce} from '../checks/configurationInForce.js';
 import {checkLeavingGetsNothing} from '../checks/leavingGetsNothing.js';
 import {checkPlannedStopCutsNothing} from '../checks/plannedStopCutsNothing.js';
 import {LedgerIndex} from '../ledgerIndex.js';
 import {
-  RecordedResponse,
   ConfigurationSample,
   EngineStep,
   Invariant,
+  RecordedResponse,
   ServiceExecution,
   Submission,
   Work,
