--- a/test/proofs/leaving.test.ts
+++ b/test/proofs/leaving.test.ts
@@ -39,12 +39,12 @@
     const seedAddresses = system.instances.map(
       instance => instance.member.callerAddress,
     );
-    const entrypoints = new EntrypointCache(
+    const entrypointCache = new EntrypointCache(
       client,
       seedAddresses,
       LEAVING_BOUND_MILLISECONDS,
     );
-    const load = new SteadyLoad(client, entrypoints, {
+    const load = new SteadyLoad(client, entrypointCache, {
       seed,
       arrivalIntervalMilliseconds: ARRIVAL_INTERVAL_MILLISECONDS,
     });
--- a/test/proofs/outage.test.ts
+++ b/test/proofs/outage.test.ts
@@ -32,16 +32,16 @@
   const seedAddresses = system.instances.map(
     ({member}) => member.callerAddress,
   );
-  const entrypoints = new EntrypointCache(
+  const entrypointCache = new EntrypointCache(
     client,
     seedAddresses,
     ENTRYPOINTS_MAXIMUM_AGE_MILLISECONDS,
   );
-  await entrypoints.current();
+  await entrypointCache.current();
   await system.platform.setFault({fault: {kind: 'down'}, part: 'table'});
   const loads = [1, 0].map(
     boundKeyShare =>
-      new SteadyLoad(client, entrypoints, {
+      new SteadyLoad(client, entrypointCache, {
         seed: 31 + boundKeyShare,
         arrivalIntervalMilliseconds: ARRIVAL_INTERVAL_MILLISECONDS,
         retryOptions: {
--- a/test/proofs/stops.test.ts
+++ b/test/proofs/stops.test.ts
@@ -33,13 +33,13 @@
   const seedAddresses = system.instances.map(
     ({member}) => member.callerAddress,
   );
-  const entrypoints = new EntrypointCache(
+  const entrypointCache = new EntrypointCache(
     client,
     seedAddresses,
     ENTRYPOINTS_MAXIMUM_AGE_MILLISECONDS,
   );
   const arrivalIntervalMilliseconds = ARRIVAL_INTERVAL_MILLISECONDS;
-  return new SteadyLoad(client, entrypoints, {
+  return new SteadyLoad(client, entrypointCache, {
     seed,
     arrivalIntervalMilliseconds,
     // Without duplicates, as concurrent submissions of a key may get `executed: unknown` when its instance stops.
--- a/test/prove/faultInjectionRounds.ts
+++ b/test/prove/faultInjectionRounds.ts
@@ -68,9 +68,9 @@
 
   /** Counts of what the checks covered: responses by end and `executed`, rebuilds, configuration changes. */
   coverage(): Readonly<Record<string, number>> {
-    const endedAs = (end: string) =>
+    const countByEnd = (end: string) =>
       this.submissions.filter(({response}) => response.end === end).length;
-    const toldExecuted = (executed: string) =>
+    const countByExecuted = (executed: string) =>
       this.submissions.filter(({response}) => response.executed === executed)
         .length;
     const {index} = this.ledgers;
@@ -78,12 +78,12 @@
       id => new Set(index.steps(id).map(({epoch}) => epoch)).size > 1,
     );
     return {
-      whole: endedAs('whole'),
-      cut: endedAs('cut'),
-      unreachable: endedAs('unreachable'),
-      toldNotRun: toldExecuted('no'),
-      toldUnknown: toldExecuted('unknown'),
-      toldRun: toldExecuted('yes'),
+      whole: countByEnd('whole'),
+      cut: countByEnd('cut'),
+      unreachable: countByEnd('unreachable'),
+      toldNotRun: countByExecuted('no'),
+      toldUnknown: countByExecuted('unknown'),
+      toldRun: countByExecuted('yes'),
       requestsInLedgers: index.requestIds.length,
       requestsOfSeveralEpochs: rebuiltRequests.length,
       acceptedChanges: this.operatorClient.evidence.accepted.length,
--- a/test/prove/main.ts
+++ b/test/prove/main.ts
@@ -61,16 +61,16 @@
 async function runRounds(
   system: LaunchedSystem,
   options: RunOptions,
-  result: ViolationReport,
+  report: ViolationReport,
 ): Promise<number> {
   const rounds = new FaultInjectionRounds(system, options.seed, options.fault);
   const first = options.only ?? 0;
   const end = options.only === undefined ? options.rounds : first + 1;
   for (let round = first; round < end; round++) {
-    result.addRound(await rounds.run(round));
+    report.addRound(await rounds.run(round));
   }
-  result.printNew('at the end', rounds.checkAll());
-  result.requests = rounds.requestCount;
+  report.printNew('at the end', rounds.checkAll());
+  report.requests = rounds.requestCount;
   console.log(JSON.stringify({witnesses: rounds.coverage()}));
   await rounds.close();
   return end - first;
@@ -92,18 +92,18 @@
     fault: values.fault,
   };
   const start = performance.now();
-  const result = new ViolationReport(options.seed);
+  const report = new ViolationReport(options.seed);
   const system = await launchSystemUnderTest();
   try {
-    const rounds = await runRounds(system, options, result);
+    const rounds = await runRounds(system, options, report);
     const seconds = Math.round((performance.now() - start) / 1000);
     const counts = await system.platform.counts();
     console.log(JSON.stringify({platform: counts}));
-    console.log(JSON.stringify(result.summary(rounds, seconds)));
+    console.log(JSON.stringify(report.summary(rounds, seconds)));
   } finally {
     await system.dispose();
   }
-  return result.isClean ? 0 : 1;
+  return report.isClean ? 0 : 1;
 }
 
 process.exitCode = await main();
--- a/test/prove/retryingCaller.ts
+++ b/test/prove/retryingCaller.ts
@@ -41,7 +41,7 @@
   constructor(
     private readonly client: TestClient,
     private readonly work: Work,
-    private readonly entrypoints: Pick<
+    private readonly entrypointCache: Pick<
       EntrypointCache,
       'addresses' | 'current'
     >,
@@ -57,7 +57,7 @@
   /** Retries until the work is completed or the timeout has passed; resolves to whether it is completed. */
   async run(): Promise<boolean> {
     const end = Date.now() + this.options.timeoutMilliseconds;
-    let target = this.targetWithNewKey(await this.entrypoints.current());
+    let target = this.targetWithNewKey(await this.entrypointCache.current());
     while (Date.now() < end) {
       const response = await this.submitWithOptionalDuplicate(target);
       if (response.end === 'whole') {
@@ -147,7 +147,7 @@
     target: Target,
     response: RecordedResponse,
   ): Promise<Target> {
-    await this.entrypoints.current();
+    await this.entrypointCache.current();
     const address = response.addresses[0] ?? this.randomAddress();
     const mayChangeKey = response.executed === 'no' || !this.mayHaveRun(target);
     if (this.work.repeatable || !mayChangeKey) {
@@ -194,7 +194,7 @@
   }
 
   private randomAddress(): string {
-    const {addresses} = this.entrypoints;
+    const {addresses} = this.entrypointCache;
     return addresses[this.random.nextInteger(addresses.length)]!;
   }
 }
--- a/test/prove/steadyLoad.ts
+++ b/test/prove/steadyLoad.ts
@@ -37,7 +37,7 @@
 
   constructor(
     private readonly client: TestClient,
-    private readonly entrypoints: EntrypointCache,
+    private readonly entrypointCache: EntrypointCache,
     private readonly options: LoadOptions,
   ) {
     this.random = new SeededRandomSource(options.seed);
@@ -66,7 +66,7 @@
     const caller = new RetryingCaller(
       this.client,
       work,
-      this.entrypoints,
+      this.entrypointCache,
       random,
       {
         ...defaultRetryingCallerOptions,
--- a/test/prove/test/checks.test.ts
+++ b/test/prove/test/checks.test.ts
@@ -72,11 +72,11 @@
 function step(
   index: number,
   stage: number,
-  change: Partial<EngineStep> = {},
+  overrides: Partial<EngineStep> = {},
 ): readonly EngineStep[] {
   const to = prompt.length + index;
-  const last = stage === 1;
-  const fields: EngineStep = {
+  const isLastStage = stage === 1;
+  const begun: EngineStep = {
     kind: 'begun',
     upstream: `e${stage}`,
     incarnation: '1',
@@ -92,11 +92,11 @@
     key: index === 0 && stage === 0 ? 'k' : undefined,
     sequence: 0,
     at: 10 * (index * 2 + stage),
-    ...change,
+    ...overrides,
   };
-  const token = last ? tokens[index] : undefined;
-  const done: EngineStep = {...fields, kind: 'completed', at: fields.at + 5};
-  return [fields, {...done, token: change.token ?? token}];
+  const token = isLastStage ? tokens[index] : undefined;
+  const completed: EngineStep = {...begun, kind: 'completed', at: begun.at + 5};
+  return [begun, {...completed, token: overrides.token ?? token}];
 }
 
 const correctSteps = [
