--- a/src/base/common/cancellation.ts
+++ b/src/base/common/cancellation.ts
@@ -1,19 +1,19 @@
 import {Disposable, DisposableStore, toDisposable} from './lifecycle.js';
 
-/** Cancellation of asynchronous work, passed down every asynchronous path. */
+/** Cancellation of asynchronous operations; tokens are passed down the call chain. */
 
-/** Observes whether work is still wanted. */
+/** Tells an operation whether it has been cancelled. */
 export interface CancellationToken {
   readonly isCancelled: boolean;
-  /** Why the work was cancelled; undefined while it is wanted. */
+  /** Why the operation was cancelled; undefined while it is not. */
   readonly reason: string | undefined;
-  /** Calls back once, at once when already cancelled. */
+  /** Calls the listener once on cancellation, or synchronously if already cancelled. */
   onDidCancel(listener: () => void): Disposable;
-  /** The same token in the form that web interfaces take. */
+  /** The token as an `AbortSignal`, for Web APIs. */
   readonly signal: AbortSignal;
 }
 
-/** Creates a token and cancels it; follows an optional parent. */
+/** Creates and cancels a token, which is also cancelled with the optional parent. */
 export class CancellationSource implements Disposable {
   private readonly controller = new AbortController();
   private readonly owned = new DisposableStore();
@@ -30,14 +30,14 @@
     }
   }
 
-  /** Cancels once; later calls have no effect. */
+  /** Cancels the token; further calls have no effect. */
   cancel(reason: string): void {
     if (!this.controller.signal.aborted) {
       this.controller.abort(reason);
     }
   }
 
-  /** Cancels after a time; the timer is released on dispose. */
+  /** Cancels the token after a delay, unless disposed before. */
   cancelAfter(milliseconds: number, reason: string): void {
     const timer = setTimeout(() => this.cancel(reason), milliseconds);
     this.owned.add(toDisposable(() => clearTimeout(timer)));
@@ -75,12 +75,12 @@
   readonly isCancelled = false;
   readonly reason = undefined;
 
-  /** A new one each time: users of a shared one would pile up their listeners on it. */
+  /** Returns a new signal each time: listeners would accumulate on a shared signal. */
   get signal(): AbortSignal {
     return new AbortController().signal;
   }
 
-  /** Keeps no listener, for the same reason. */
+  /** Does not store the listener, for the same reason. */
   onDidCancel(): Disposable {
     return toDisposable(() => undefined);
   }
--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -1,11 +1,11 @@
 import {Disposable} from './lifecycle.js';
 
-/** Time, as a port: the wall clock for people, the monotonic clock for decisions. */
+/** Source of time: the monotonic clock for decisions, the wall clock for timestamps that people read. */
 export abstract class Clock {
-  /** Milliseconds since an arbitrary start; never goes back. */
+  /** Milliseconds since an arbitrary start; never decreases. */
   abstract monotonicMilliseconds(): number;
   /** Milliseconds since the Unix epoch. */
   abstract wallMilliseconds(): number;
-  /** Runs a callback once after a delay; dispose to stop it. */
+  /** Runs a callback once after a delay; dispose the result to cancel it. */
   abstract setTimer(milliseconds: number, callback: () => void): Disposable;
 }
--- a/src/base/common/event.ts
+++ b/src/base/common/event.ts
@@ -2,26 +2,26 @@
 
 import {Disposable, toDisposable} from './lifecycle.js';
 
-/** Events of one type, carried by emittery; listeners run asynchronously, in order of subscription. */
+/** Typed events, implemented with emittery. Listeners run asynchronously, in the order of subscription. */
 
-/** Subscribes to an event; dispose the result to stop. */
+/** Subscribes to an event; dispose the result to unsubscribe. */
 export type Event<T> = (listener: (event: T) => void) => Disposable;
 
 const EVENT_NAME = 'event';
 
-/** Owns the sending side of an event; exposes `event` to others as `onDid…` or `onWill…`. */
+/** Fires an event. Its owner exposes `event` to subscribers as `onDid…` or `onWill…`. */
 export class Emitter<T> implements Disposable {
   private readonly emittery = new Emittery<{[EVENT_NAME]: T}>();
 
-  /** The subscription function to hand out. */
+  /** Subscribes a listener. */
   readonly event: Event<T> = listener => {
-    const stop = this.emittery.on(EVENT_NAME, message =>
-      listener(unwrap(message)),
+    const unsubscribe = this.emittery.on(EVENT_NAME, message =>
+      listener(asEvent(message)),
     );
-    return toDisposable(stop);
+    return toDisposable(unsubscribe);
   };
 
-  /** Sends an event to all current listeners. */
+  /** Notifies all current listeners. */
   fire(event: T): void {
     void this.emittery.emit(EVENT_NAME, event);
   }
@@ -31,6 +31,6 @@
   }
 }
 
-function unwrap<T>(message: unknown): T {
+function asEvent<T>(message: unknown): T {
   return message as T;
 }
--- a/src/base/common/finding.ts
+++ b/src/base/common/finding.ts
@@ -1,16 +1,16 @@
-/** Findings about input, collected with their place and reported together. */
+/** Validation errors of an input. All errors of an input are collected and reported together. */
 
-/** One thing that is wrong with an input. */
+/** A validation error and its location in the input. */
 export interface Finding {
-  /** The file or request part that holds it. */
+  /** The file or the part of the request that contains the error. */
   readonly source: string;
   /** JSON path inside the source, for example `$.classes[0].deadlineMilliseconds`. */
   readonly path: string;
-  /** What was expected there, in one sentence. */
+  /** The value expected at this path, in one phrase. */
   readonly expected: string;
 }
 
-/** One line for people. */
+/** Formats a finding as one line of text. */
 export function formatFinding(finding: Finding): string {
   return `${finding.source} ${finding.path}: ${finding.expected}`;
 }
--- a/src/base/common/lifecycle.ts
+++ b/src/base/common/lifecycle.ts
@@ -1,11 +1,11 @@
-/** Ownership of things that must be released: timers, listeners, connections. */
+/** Ownership of resources that must be released, such as timers, listeners and connections. */
 
-/** Something that releases what it holds; safe to call more than once. */
+/** An object that holds resources. `dispose` releases them and is idempotent. */
 export interface Disposable {
   dispose(): void;
 }
 
-/** Makes a disposable from a function that runs at most once. */
+/** Creates a disposable from a function, which is called at most once. */
 export function toDisposable(release: () => void): Disposable {
   let released = false;
   return {
@@ -19,12 +19,12 @@
   };
 }
 
-/** Owns disposables and releases them together, last added first. */
+/** Owns disposables and disposes them together, in reverse order of addition. */
 export class DisposableStore implements Disposable {
   private readonly owned = new Set<Disposable>();
   private disposed = false;
 
-  /** Takes ownership; what is added after disposal is released at once. */
+  /** Takes ownership of a disposable; one that is added after disposal is disposed immediately. */
   add<T extends Disposable>(disposable: T): T {
     if (this.disposed) {
       disposable.dispose();
@@ -34,7 +34,7 @@
     return disposable;
   }
 
-  /** Releases one owned disposable before the others. */
+  /** Disposes one owned disposable and removes it. */
   delete(disposable: Disposable): void {
     if (this.owned.delete(disposable)) {
       disposable.dispose();
@@ -48,24 +48,24 @@
 
   dispose(): void {
     this.disposed = true;
-    const releasing = [...this.owned].reverse();
+    const disposables = [...this.owned].reverse();
     this.owned.clear();
-    for (const disposable of releasing) {
+    for (const disposable of disposables) {
       disposable.dispose();
     }
   }
 }
 
-/** Base for classes that own disposables for as long as they live. */
+/** Base class of objects whose disposables are disposed with them. */
 export abstract class DisposableOwner implements Disposable {
   private readonly store = new DisposableStore();
 
-  /** Registers a disposable to be released with this object. */
+  /** Registers a disposable to be disposed with this object. */
   protected register<T extends Disposable>(disposable: T): T {
     return this.store.add(disposable);
   }
 
-  /** Whether this object was disposed. */
+  /** Whether this object has been disposed. */
   protected get isDisposed(): boolean {
     return this.store.isDisposed;
   }
--- a/src/base/common/moment.ts
+++ b/src/base/common/moment.ts
@@ -1,18 +1,19 @@
 import {Clock} from './clock.js';
 
-/** A moment on both clocks, so that a suspension of the process can be noticed. */
+/** A point in time on both clocks, from which a suspension of the process can be detected. */
 export interface Moment {
   readonly monotonic: number;
   readonly wall: number;
 }
 
 /**
- * Wall time that may pass beyond monotonic time before the process counts as suspended: well over the drift
- * of sound clocks within a few seconds, well under the bounds for revoked keys and leaving upstreams.
+ * The process counts as having been suspended when the wall clock is ahead of the monotonic clock by more than
+ * this. It is well above the drift between the two clocks within a few seconds, and well below the time limits
+ * for revoked keys and leaving upstreams.
  */
-const SUSPENSION_MILLISECONDS = 300;
+const SUSPENSION_THRESHOLD_MILLISECONDS = 300;
 
-/** Now. */
+/** The current time on both clocks. */
 export function momentOf(clock: Clock): Moment {
   return {
     monotonic: clock.monotonicMilliseconds(),
@@ -20,7 +21,7 @@
   };
 }
 
-/** The moment that was some milliseconds before another. */
+/** The moment a number of milliseconds before another. */
 export function momentBefore(moment: Moment, milliseconds: number): Moment {
   return {
     monotonic: moment.monotonic - milliseconds,
@@ -28,10 +29,15 @@
   };
 }
 
-/** Milliseconds since a moment; the monotonic clock stands still while the process is suspended, the wall clock does not. */
+/**
+ * Milliseconds since a moment. The monotonic clock stops while the process is suspended, so after a suspension the
+ * wall clock is used.
+ */
 export function elapsedSince(clock: Clock, moment: Moment): number {
   const now = momentOf(clock);
   const monotonic = now.monotonic - moment.monotonic;
   const wall = now.wall - moment.wall;
-  return wall - monotonic > SUSPENSION_MILLISECONDS ? wall : monotonic;
+  return wall - monotonic > SUSPENSION_THRESHOLD_MILLISECONDS
+    ? wall
+    : monotonic;
 }
--- a/src/base/common/randomSource.ts
+++ b/src/base/common/randomSource.ts
@@ -1,18 +1,18 @@
-/** Randomness as a port, so that decisions can be repeated from a seed. */
+/** Source of random numbers, so that decisions can be reproduced from a seed. */
 export abstract class RandomSource {
   /** A number in [0, 1). */
   abstract next(): number;
 
-  /** A whole number in [0, limit). */
+  /** An integer in [0, limit). */
   nextInteger(limit: number): number {
     return Math.floor(this.next() * limit);
   }
 }
 
 const MULBERRY_INCREMENT = 0x6d2b79f5;
-const TWO_TO_THE_32 = 4294967296;
+const UINT32_RANGE = 4294967296;
 
-/** A repeatable source (mulberry32); not for secrets. */
+/** A reproducible generator (mulberry32); not cryptographically secure. */
 export class SeededRandomSource extends RandomSource {
   private state: number;
 
@@ -26,6 +26,6 @@
     let mixed = this.state;
     mixed = Math.imul(mixed ^ (mixed >>> 15), mixed | 1);
     mixed ^= mixed + Math.imul(mixed ^ (mixed >>> 7), mixed | 61);
-    return ((mixed ^ (mixed >>> 14)) >>> 0) / TWO_TO_THE_32;
+    return ((mixed ^ (mixed >>> 14)) >>> 0) / UINT32_RANGE;
   }
 }
--- a/src/base/common/rendezvous.ts
+++ b/src/base/common/rendezvous.ts
@@ -1,9 +1,9 @@
-/** Rendezvous (highest random weight) hashing: every process that knows the same names picks the same ones. */
+/** Rendezvous (highest random weight) hashing: processes with the same list of names choose the same ones. */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** The names in falling order of their score for a key. */
+/** Returns the candidates in descending order of their score for a key; equal scores are ordered by name. */
 export function rankByRendezvous<T>(
   key: string,
   candidates: readonly T[],
@@ -21,7 +21,7 @@
   return scored.map(({candidate}) => candidate);
 }
 
-/** A 32-bit score (FNV-1a, then the finaliser of MurmurHash3). */
+/** Returns a 32-bit score: FNV-1a, then the finaliser of MurmurHash3. */
 export function rendezvousScore(key: string, name: string): number {
   let hash = FNV_OFFSET;
   const text = `${key}\u0000${name}`;
--- a/src/base/common/textHash.ts
+++ b/src/base/common/textHash.ts
@@ -1,7 +1,7 @@
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** A 32-bit FNV-1a hash of a text; tells texts apart, keeps no secret. */
+/** Returns a 32-bit FNV-1a hash of a text, for comparing texts; not cryptographically secure. */
 export function textHash(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index++) {
--- a/src/base/common/version.ts
+++ b/src/base/common/version.ts
@@ -1,2 +1,2 @@
-/** The version of all programs; a test compares it with package.json. */
+/** The version of all programs. It must match package.json, which a test checks. */
 export const version = '0.1.0';
--- a/src/base/node/systemClock.ts
+++ b/src/base/node/systemClock.ts
@@ -1,7 +1,7 @@
 import {Clock} from '../common/clock.js';
 import {Disposable, toDisposable} from '../common/lifecycle.js';
 
-/** The clock of the operating system. */
+/** Reads the clocks of the operating system. */
 export class SystemClock extends Clock {
   override monotonicMilliseconds(): number {
     return performance.now();
--- a/src/base/test/version.test.ts
+++ b/src/base/test/version.test.ts
@@ -4,7 +4,7 @@
 
 import {version} from '../common/version.js';
 
-it('is the version of the package', () => {
+it('version matches the version in package.json', () => {
   const packageFile = JSON.parse(readFileSync('package.json', 'utf8'));
   expect(packageFile.version).toBe(version);
 });
