--- a/src/infrastructure/commandLine/node/runCommandLine.ts
+++ b/src/infrastructure/commandLine/node/runCommandLine.ts
@@ -4,12 +4,12 @@
 
 import {version} from '../../../base/common/version.js';
 
-/** Command lines of the programs: help, version and exit statuses alike in all of them. */
+/** Runs the command lines of all programs, with common help and version commands and exit codes. */
 
-/** The exit status of a command line that can't be understood, and of wrong settings. */
+/** Exit code for an invalid command line or invalid settings. */
 export const USAGE_EXIT_CODE = 2;
 
-/** Where a command writes. */
+/** Output streams of a command. */
 export interface Streams {
   readonly stdout: Writable;
   readonly stderr: Writable;
@@ -22,10 +22,10 @@
   readonly commands: readonly CommandClass[];
 }
 
-/** Runs one command line and answers its exit status; errors of usage go to standard error. */
+/** Runs a command line and returns its exit code. Usage errors are written to standard error. */
 export async function runCommandLine(
   program: CommandLine,
-  words: readonly string[],
+  args: readonly string[],
   streams: Streams,
 ): Promise<number> {
   const cli = Cli.from(
@@ -39,7 +39,7 @@
   );
   let command: Command;
   try {
-    command = cli.process([...words], streams);
+    command = cli.process([...args], streams);
   } catch (error) {
     streams.stderr.write(cli.error(error, {colored: false}));
     return USAGE_EXIT_CODE;
--- a/src/infrastructure/engine/common/engineConnection.ts
+++ b/src/infrastructure/engine/common/engineConnection.ts
@@ -1,26 +1,26 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Result} from '../../../base/common/result.js';
 
-/** A model engine that holds a range of layers, as a port. */
+/** Interface of a model engine that holds a range of layers. */
 
-/** Layers from `from` up to but not including `to`. */
+/** A range of layers; `to` is exclusive. */
 export interface LayerRange {
   readonly from: number;
   readonly to: number;
 }
 
-/** Token positions from `from` up to but not including `to`. */
+/** A range of token positions; `to` is exclusive. */
 export interface PositionRange {
   readonly from: number;
   readonly to: number;
 }
 
-/** What a step works on: token texts into the first stage, an opaque activation into the others. */
+/** Input of a step: token texts for the first stage, an opaque activation for the others. */
 export type StepInput =
   | {readonly kind: 'tokens'; readonly tokens: readonly string[]}
   | {readonly kind: 'activation'; readonly data: string};
 
-/** What a step yields: an activation for the next stage, or the next token from the last stage. */
+/** Output of a step: an activation for the next stage, or the next token from the last stage. */
 export type StepOutput =
   | {readonly kind: 'activation'; readonly data: string}
   | {
@@ -29,10 +29,10 @@
       readonly endOfText: boolean;
     };
 
-/** Runs one stage's layers over a range of positions of one request. */
+/** Runs the layers of one stage over a range of token positions of one request. */
 export interface StepRequest {
   readonly requestId: string;
-  /** The fencing number of steps: grows with every attempt of the request; lower ones are void. */
+  /** Fencing number of steps: increases with each attempt of the request; steps with a lower one are rejected. */
   readonly epoch: number;
   readonly model: string;
   readonly version: string;
@@ -41,24 +41,24 @@
   readonly layerCount: number;
   readonly positions: PositionRange;
   readonly input: StepInput;
-  /** Lower numbers run first. */
+  /** Steps with lower numbers run first. */
   readonly priority: number;
-  /** Marks positions recomputed to rebuild a KV cache; they release no token but the last. */
+  /** Whether positions are recomputed to rebuild a KV cache; only the last position yields a token. */
   readonly rebuild: boolean;
-  /** The upstream that made the activation; undefined for the first stage. */
+  /** The upstream that computed the activation; undefined for the first stage. */
   readonly previousUpstream?: string;
   /** Hash of the prompt prefix, for the engine's prefix cache. */
   readonly prefixKey?: string;
 }
 
-/** The evidence of one executed step. */
+/** Confirms the execution of a step. */
 export interface StepReceipt {
   readonly requestId: string;
   readonly epoch: number;
   readonly layers: LayerRange;
   readonly positions: PositionRange;
   readonly output: StepOutput;
-  /** The engine's process, so that a restart is noticed. */
+  /** Identifies the engine's process, so that a restart is detected. */
   readonly engineIncarnation: string;
   readonly queueMilliseconds: number;
   readonly computeMilliseconds: number;
@@ -67,34 +67,34 @@
 
 /** Why a call to an engine failed. */
 export type EngineError =
-  /** No connection was made: surely not run. */
+  /** No connection was established, so the call was not executed. */
   | {readonly kind: 'unreachable'; readonly detail: string}
-  /** The connection broke or timed out after sending: may have run. */
+  /** The connection failed or timed out after sending, so the call may have been executed. */
   | {readonly kind: 'lost'; readonly detail: string}
-  /** The engine refused before running: it has seen a higher epoch of the request (or fencing number of an order). */
+  /** Rejected before execution: the engine has seen a higher epoch of the request (or fencing number of an order). */
   | {readonly kind: 'stale'; readonly highest: number}
-  /** The engine refused before running: its KV cache does not cover the earlier positions. */
+  /** Rejected before execution: the KV cache does not cover the earlier positions. */
   | {readonly kind: 'cacheMissing'; readonly coveredTo: number}
-  /** The engine refused before running: no room. */
+  /** Rejected before execution for lack of capacity. */
   | {readonly kind: 'overloaded'; readonly retryAfterMilliseconds: number}
-  /** The engine refused before running: it does not hold these layers, or is leaving. */
+  /** Rejected before execution: the engine does not hold these layers, or is leaving. */
   | {readonly kind: 'refused'; readonly detail: string}
-  /** The answer does not belong to the call. */
+  /** The response belongs to another call. */
   | {readonly kind: 'mismatch'; readonly detail: string}
-  /** The caller's token was cancelled; the step may have run. */
+  /** The caller's token was cancelled; the call may have been executed. */
   | {readonly kind: 'cancelled'};
 
-/** What an engine says when asked to cancel a request. */
+/** An engine's response to the cancellation of a request. */
 export interface CancelReport {
-  /** `idle`: nothing of the request runs and nothing of it will run at this or lower epochs. */
+  /** `idle`: no step of the request is running, and none will run at this or a lower epoch. */
   readonly state: 'idle' | 'running';
-  /** Whether any step of the request was ever begun here. */
+  /** Whether the engine's process has started any step of the request. */
   readonly begun: boolean;
-  /** The engine's process: one that started after a step was sent can't vouch for the one before it. */
+  /** Identifies the engine's process. After a restart, the report does not cover steps sent to the previous process. */
   readonly engineIncarnation?: string;
 }
 
-/** An engine's own report of its state; it lags. */
+/** State as reported by an engine; it lags behind the actual state. */
 export interface EngineReport {
   readonly upstream: string;
   readonly engineIncarnation: string;
@@ -104,26 +104,25 @@
   readonly adapters: readonly string[];
   readonly layers: LayerRange;
   readonly role: 'both' | 'prefill' | 'decode';
-  /** Whether it refuses orders and steps with old fencing numbers or epochs. */
+  /** Whether the engine rejects orders and steps with outdated fencing numbers or epochs. */
   readonly checksFencing: boolean;
-  /** Sequences that may be resident at once. */
+  /** Maximum number of resident sequences. */
   readonly sequenceLimit: number;
   readonly residentSequences: number;
   readonly queuedSequences: number;
-  /** Milliseconds of one decode step at the present batch. */
+  /** Duration of one decode step at the current batch size. */
   readonly decodeMilliseconds: number;
-  /** Milliseconds of prefill per prompt token. */
   readonly prefillMillisecondsPerToken: number;
   readonly cachedPrefixes: readonly string[];
-  /** Milliseconds since these figures were taken. */
+  /** Time since these values were measured. */
   readonly ageMilliseconds: number;
   readonly leaving: boolean;
-  /** The placement order in progress or last completed. */
+  /** Number of the placement order in progress or last completed. */
   readonly appliedOrder: number;
   readonly loading: boolean;
 }
 
-/** The desired state of an engine; idempotent, ordered by fencing number then order number. */
+/** The desired state of an engine. Orders are idempotent, and ordered by fencing number, then by order number. */
 export interface EngineOrder {
   readonly fencing: number;
   readonly order: number;
@@ -134,27 +133,27 @@
   readonly role: 'both' | 'prefill' | 'decode';
 }
 
-/** One engine, as a port. Every call ends by itself within its time limit or on cancellation. */
+/** Connection to one engine. Every call ends within its time limit or on cancellation. */
 export abstract class EngineConnection {
   abstract step(
     request: StepRequest,
     token: CancellationToken,
   ): Promise<Result<StepReceipt, EngineError>>;
 
-  /** Cancels a request at this and all lower epochs. */
+  /** Cancels the steps of a request at this and all lower epochs. */
   abstract cancel(
     requestId: string,
     epoch: number,
     token: CancellationToken,
   ): Promise<Result<CancelReport, EngineError>>;
 
-  /** Exports the KV cache of a request; the reference can be imported by another engine of the same layers. */
+  /** Exports the KV cache of a request. Another engine with the same layers can import it by the reference. */
   abstract exportCache(
     requestId: string,
     token: CancellationToken,
   ): Promise<Result<CacheReference, EngineError>>;
 
-  /** Imports a KV cache; answers the positions it covers. */
+  /** Imports a KV cache; returns the positions that it covers. */
   abstract importCache(
     requestId: string,
     epoch: number,
@@ -172,14 +171,14 @@
   ): Promise<Result<void, EngineError>>;
 }
 
-/** Names an exported KV cache; opaque apart from what it covers. */
+/** An opaque reference to an exported KV cache, with the layers and positions that the cache covers. */
 export interface CacheReference {
   readonly reference: string;
   readonly layers: LayerRange;
   readonly positions: PositionRange;
 }
 
-/** Makes connections to engines by address. */
+/** Creates connections to engines. */
 export abstract class EngineConnector {
   abstract connect(upstream: string, address: string): EngineConnection;
 }
--- a/src/infrastructure/engine/node/engineAnswers.ts
+++ b/src/infrastructure/engine/node/engineResponses.ts
@@ -14,14 +14,14 @@
   StepRequest,
 } from '../common/engineConnection.js';
 
-/** Checks of what engines answer. Steps are checked by hand, since that runs for each token and stage. */
+/** Validates engine responses. Receipts are validated without a schema, since this runs for each token and stage. */
 
-const range = z.object({
+const rangeSchema = z.object({
   from: z.number().int().nonnegative(),
   to: z.number().int().nonnegative(),
 });
 
-const cancelSchema = z.object({
+const cancelReportSchema = z.object({
   requestId: z.string(),
   state: z.enum(['idle', 'running']),
   begun: z.boolean(),
@@ -31,13 +31,13 @@
 const exportSchema = z.object({
   requestId: z.string(),
   reference: z.string(),
-  layers: range,
-  positions: range,
+  layers: rangeSchema,
+  positions: rangeSchema,
 });
 
-const importSchema = z.object({requestId: z.string(), positions: range});
+const importSchema = z.object({requestId: z.string(), positions: rangeSchema});
 
-const orderSchema = z.object({fencing: z.number(), order: z.number()});
+const orderResponseSchema = z.object({fencing: z.number(), order: z.number()});
 
 const reportSchema = z.object({
   upstream: z.string(),
@@ -46,7 +46,7 @@
   model: z.string(),
   version: z.string(),
   adapters: z.array(z.string()),
-  layers: range,
+  layers: rangeSchema,
   role: z.enum(['both', 'prefill', 'decode']),
   checksFencing: z.boolean(),
   sequenceLimit: z.number().int().nonnegative(),
@@ -73,12 +73,12 @@
 
 const errorSchema = z.object({error: refusalSchema});
 
-/** A receipt that belongs to the step; every field that identifies the work must agree. */
-export function checkReceipt(
+/** Parses a receipt; every field that identifies the work must match the step. */
+export function parseReceipt(
   request: StepRequest,
   body: unknown,
 ): Result<StepReceipt, EngineError> {
-  const receipt = asReceipt(body);
+  const receipt = toReceipt(body);
   if (receipt === undefined) {
     return failure({kind: 'lost', detail: 'the receipt is malformed'});
   }
@@ -100,10 +100,10 @@
   if (receipt.epoch !== request.epoch) {
     return 'epoch';
   }
-  if (!sameRange(receipt.layers, request.layers)) {
+  if (!isSameRange(receipt.layers, request.layers)) {
     return 'range of layers';
   }
-  if (!sameRange(receipt.positions, request.positions)) {
+  if (!isSameRange(receipt.positions, request.positions)) {
     return 'range of positions';
   }
   const isLast = request.layers.to === request.layerCount;
@@ -113,7 +113,7 @@
   return undefined;
 }
 
-function asReceipt(body: unknown): StepReceipt | undefined {
+function toReceipt(body: unknown): StepReceipt | undefined {
   const value = body as StepReceipt;
   const isReceipt =
     typeof body === 'object' &&
@@ -124,9 +124,9 @@
     isRange(value.positions) &&
     isOutput(value.output) &&
     typeof value.engineIncarnation === 'string' &&
-    isDuration(value.queueMilliseconds) &&
-    isDuration(value.computeMilliseconds) &&
-    isDuration(value.transferMilliseconds);
+    isNonNegativeNumber(value.queueMilliseconds) &&
+    isNonNegativeNumber(value.computeMilliseconds) &&
+    isNonNegativeNumber(value.transferMilliseconds);
   return isReceipt ? value : undefined;
 }
 
@@ -145,7 +145,7 @@
   );
 }
 
-function isDuration(value: unknown): boolean {
+function isNonNegativeNumber(value: unknown): boolean {
   return typeof value === 'number' && value >= 0;
 }
 
@@ -159,50 +159,55 @@
   );
 }
 
-function sameRange(left: LayerRange, right: LayerRange): boolean {
+function isSameRange(left: LayerRange, right: LayerRange): boolean {
   return left.from === right.from && left.to === right.to;
 }
 
-/** What an engine says of a cancelled request. */
-export function checkCancelReport(
+/** Parses the response to a cancellation. */
+export function parseCancelReport(
   requestId: string,
   body: unknown,
 ): Result<CancelReport, EngineError> {
-  return checkOwned(cancelSchema, requestId, body, answer => ({
-    state: answer.state,
-    begun: answer.begun,
-    engineIncarnation: answer.engineIncarnation,
+  return parseForRequest(cancelReportSchema, requestId, body, response => ({
+    state: response.state,
+    begun: response.begun,
+    engineIncarnation: response.engineIncarnation,
   }));
 }
 
-/** A reference to an exported KV cache. */
-export function checkExport(
+/** Parses the response to an export of a KV cache. */
+export function parseCacheReference(
   requestId: string,
   body: unknown,
 ): Result<CacheReference, EngineError> {
-  return checkOwned(exportSchema, requestId, body, answer => ({
-    reference: answer.reference,
-    layers: answer.layers,
-    positions: answer.positions,
+  return parseForRequest(exportSchema, requestId, body, response => ({
+    reference: response.reference,
+    layers: response.layers,
+    positions: response.positions,
   }));
 }
 
-/** The positions that an imported KV cache covers. */
-export function checkImport(
+/** Parses the response to an import of a KV cache; returns the positions that the cache covers. */
+export function parseImportedPositions(
   requestId: string,
   body: unknown,
 ): Result<PositionRange, EngineError> {
-  return checkOwned(importSchema, requestId, body, answer => answer.positions);
+  return parseForRequest(
+    importSchema,
+    requestId,
+    body,
+    response => response.positions,
+  );
 }
 
-/** A report that belongs to the upstream asked: an address may have passed to another. */
-export function checkEngineReport(
+/** Parses a report; it must name the expected upstream, since an address may have been reassigned to another one. */
+export function parseEngineReport(
   upstream: string,
   body: unknown,
 ): Result<EngineReport, EngineError> {
   const parsed = reportSchema.safeParse(body);
   if (!parsed.success) {
-    return failure({kind: 'lost', detail: malformed(parsed.error)});
+    return failure({kind: 'lost', detail: describeMalformed(parsed.error)});
   }
   if (parsed.data.upstream !== upstream) {
     const detail = `upstream ${parsed.data.upstream} answered`;
@@ -211,24 +216,24 @@
   return success(parsed.data);
 }
 
-/** Whether the answer names the order sent. */
-export function checkOrderAnswer(
+/** Checks that the response acknowledges the order that was sent. */
+export function validateOrderResponse(
   order: EngineOrder,
   body: unknown,
 ): Result<void, EngineError> {
-  const parsed = orderSchema.safeParse(body);
+  const parsed = orderResponseSchema.safeParse(body);
   if (!parsed.success) {
-    return failure({kind: 'lost', detail: malformed(parsed.error)});
+    return failure({kind: 'lost', detail: describeMalformed(parsed.error)});
   }
-  const {fencing, order: number} = parsed.data;
-  if (fencing !== order.fencing || number !== order.order) {
+  const {fencing, order: orderNumber} = parsed.data;
+  if (fencing !== order.fencing || orderNumber !== order.order) {
     return failure({kind: 'mismatch', detail: 'another order was answered'});
   }
   return success(undefined);
 }
 
-/** A refusal; an answer that states none leaves open whether the step ran. */
-export function checkEngineError(status: number, body: unknown): EngineError {
+/** Parses an error response; without a valid rejection in it, the call may have been executed. */
+export function parseEngineError(status: number, body: unknown): EngineError {
   const parsed = errorSchema.safeParse(body);
   if (parsed.success) {
     return parsed.data.error;
@@ -236,23 +241,23 @@
   return {kind: 'lost', detail: `status ${status} without a stated refusal`};
 }
 
-function checkOwned<T extends {readonly requestId: string}, V>(
+function parseForRequest<T extends {readonly requestId: string}, V>(
   schema: z.ZodType<T>,
   requestId: string,
   body: unknown,
-  take: (answer: T) => V,
+  select: (response: T) => V,
 ): Result<V, EngineError> {
   const parsed = schema.safeParse(body);
   if (!parsed.success) {
-    return failure({kind: 'lost', detail: malformed(parsed.error)});
+    return failure({kind: 'lost', detail: describeMalformed(parsed.error)});
   }
   if (parsed.data.requestId !== requestId) {
     return failure({kind: 'mismatch', detail: 'another request was answered'});
   }
-  return success(take(parsed.data));
+  return success(select(parsed.data));
 }
 
-function malformed(error: z.ZodError): string {
-  const place = error.issues[0]?.path.join('.') ?? '';
-  return `the answer is malformed at $.${place}`;
+function describeMalformed(error: z.ZodError): string {
+  const field = error.issues[0]?.path.join('.') ?? '';
+  return `the answer is malformed at $.${field}`;
 }
--- a/src/infrastructure/engine/node/httpEngineConnector.ts
+++ b/src/infrastructure/engine/node/httpEngineConnector.ts
@@ -6,7 +6,7 @@
   ConnectionCache,
 } from '../../http/node/connectionCache.js';
 import {HttpClient, HttpClientOptions} from '../../http/node/httpClient.js';
-import {HttpCall, HttpOutcome} from '../../http/node/httpExchange.js';
+import {HttpRequest, HttpOutcome} from '../../http/node/httpExchange.js';
 import {parseJson} from '../../http/node/storageClient.js';
 import {
   CacheReference,
@@ -21,41 +21,42 @@
   StepRequest,
 } from '../common/engineConnection.js';
 import {
-  checkCancelReport,
-  checkEngineError,
-  checkEngineReport,
-  checkExport,
-  checkImport,
-  checkOrderAnswer,
-  checkReceipt,
-} from './engineAnswers.js';
-
-/** Bounds of the connections to one engine. */
+  parseCancelReport,
+  parseEngineError,
+  parseEngineReport,
+  parseCacheReference,
+  parseImportedPositions,
+  validateOrderResponse,
+  parseReceipt,
+} from './engineResponses.js';
+
+/** Limits of the connections to one engine. */
 export interface EngineClientOptions {
   readonly steps: Partial<HttpClientOptions>;
-  /** For everything but steps, so that a cancellation never waits behind steps. */
+  /** For all calls except steps, so that a cancellation is not queued behind steps. */
   readonly control: Partial<HttpClientOptions>;
 }
 
 const defaultOptions: EngineClientOptions = {
-  steps: {connections: 64, waitingLimit: 512, callMilliseconds: 30000},
-  control: {connections: 4, waitingLimit: 256, callMilliseconds: 3000},
+  steps: {connections: 64, maxPendingRequests: 512, callMilliseconds: 30000},
+  control: {connections: 4, maxPendingRequests: 256, callMilliseconds: 3000},
 };
 
-const LOCAL_RETRY_MILLISECONDS = 100;
+const QUEUE_FULL_RETRY_MILLISECONDS = 100;
 
-/** Connects to model engines; owns their connections. */
+/** Creates connections to model engines over HTTP, and owns them. */
 export class HttpEngineConnector extends EngineConnector implements Disposable {
   private readonly connections: ConnectionCache<HttpEngineConnection>;
 
   constructor(options: Partial<EngineClientOptions> = {}) {
     super();
-    const whole = {
+    const mergedOptions = {
       steps: {...defaultOptions.steps, ...options.steps},
       control: {...defaultOptions.control, ...options.control},
     };
     this.connections = new ConnectionCache(
-      (upstream, address) => new HttpEngineConnection(upstream, address, whole),
+      (upstream, address) =>
+        new HttpEngineConnection(upstream, address, mergedOptions),
     );
   }
 
@@ -68,13 +69,13 @@
   }
 }
 
-/** One engine over HTTP; the protocol stands in docs/PROTOCOLS.md. */
+/** Connection to one engine; docs/PROTOCOLS.md specifies the protocol. */
 class HttpEngineConnection
   extends EngineConnection
   implements CachedConnection
 {
-  private readonly steps: HttpClient;
-  private readonly control: HttpClient;
+  private readonly stepClient: HttpClient;
+  private readonly controlClient: HttpClient;
 
   constructor(
     private readonly upstream: string,
@@ -82,21 +83,21 @@
     options: EngineClientOptions,
   ) {
     super();
-    this.steps = new HttpClient(address, options.steps);
-    this.control = new HttpClient(address, options.control);
+    this.stepClient = new HttpClient(address, options.steps);
+    this.controlClient = new HttpClient(address, options.control);
   }
 
   get isIdle(): boolean {
-    return this.steps.isIdle && this.control.isIdle;
+    return this.stepClient.isIdle && this.controlClient.isIdle;
   }
 
   override async step(
     request: StepRequest,
     token: CancellationToken,
   ): Promise<Result<StepReceipt, EngineError>> {
-    const call = post('/v1/steps', request);
-    const outcome = await this.steps.send(call, token);
-    return classify(outcome, body => checkReceipt(request, body));
+    const httpRequest = createPostRequest('/v1/steps', request);
+    const outcome = await this.stepClient.send(httpRequest, token);
+    return toEngineResult(outcome, body => parseReceipt(request, body));
   }
 
   override async cancel(
@@ -104,18 +105,23 @@
     epoch: number,
     token: CancellationToken,
   ): Promise<Result<CancelReport, EngineError>> {
-    const call = post('/v1/cancellations', {requestId, epoch});
-    const outcome = await this.control.send(call, token);
-    return classify(outcome, body => checkCancelReport(requestId, body));
+    const httpRequest = createPostRequest('/v1/cancellations', {
+      requestId,
+      epoch,
+    });
+    const outcome = await this.controlClient.send(httpRequest, token);
+    return toEngineResult(outcome, body => parseCancelReport(requestId, body));
   }
 
   override async exportCache(
     requestId: string,
     token: CancellationToken,
   ): Promise<Result<CacheReference, EngineError>> {
-    const call = post('/v1/caches/exports', {requestId});
-    const outcome = await this.control.send(call, token);
-    return classify(outcome, body => checkExport(requestId, body));
+    const httpRequest = createPostRequest('/v1/caches/exports', {requestId});
+    const outcome = await this.controlClient.send(httpRequest, token);
+    return toEngineResult(outcome, body =>
+      parseCacheReference(requestId, body),
+    );
   }
 
   override async importCache(
@@ -125,37 +131,44 @@
     token: CancellationToken,
   ): Promise<Result<PositionRange, EngineError>> {
     const body = {requestId, epoch, reference};
-    const call = post('/v1/caches/imports', body);
-    const outcome = await this.control.send(call, token);
-    return classify(outcome, answer => checkImport(requestId, answer));
+    const httpRequest = createPostRequest('/v1/caches/imports', body);
+    const outcome = await this.controlClient.send(httpRequest, token);
+    return toEngineResult(outcome, response =>
+      parseImportedPositions(requestId, response),
+    );
   }
 
   override async report(
     token: CancellationToken,
   ): Promise<Result<EngineReport, EngineError>> {
-    const call = {method: 'GET', path: '/v1/report'};
-    const outcome = await this.control.send(call, token);
-    return classify(outcome, body => checkEngineReport(this.upstream, body));
+    const httpRequest = {method: 'GET', path: '/v1/report'};
+    const outcome = await this.controlClient.send(httpRequest, token);
+    return toEngineResult(outcome, body =>
+      parseEngineReport(this.upstream, body),
+    );
   }
 
   override async order(
     order: EngineOrder,
     token: CancellationToken,
   ): Promise<Result<void, EngineError>> {
-    const call = {...post('/v1/order', order), method: 'PUT'};
-    const outcome = await this.control.send(call, token);
-    return classify(outcome, body => checkOrderAnswer(order, body));
+    const httpRequest = {
+      ...createPostRequest('/v1/order', order),
+      method: 'PUT',
+    };
+    const outcome = await this.controlClient.send(httpRequest, token);
+    return toEngineResult(outcome, body => validateOrderResponse(order, body));
   }
 
   dispose(): void {
-    this.steps.dispose();
-    this.control.dispose();
+    this.stepClient.dispose();
+    this.controlClient.dispose();
   }
 }
 
-function classify<T>(
+function toEngineResult<T>(
   outcome: HttpOutcome,
-  check: (body: unknown) => Result<T, EngineError>,
+  parse: (body: unknown) => Result<T, EngineError>,
 ): Result<T, EngineError> {
   switch (outcome.kind) {
     case 'notSent':
@@ -163,7 +176,7 @@
     case 'tooMany':
       return failure({
         kind: 'overloaded',
-        retryAfterMilliseconds: LOCAL_RETRY_MILLISECONDS,
+        retryAfterMilliseconds: QUEUE_FULL_RETRY_MILLISECONDS,
       });
     case 'lost':
       return failure({kind: 'lost', detail: outcome.detail});
@@ -172,13 +185,13 @@
     case 'answered': {
       const body = parseJson(outcome.body);
       return outcome.status === 200
-        ? check(body)
-        : failure(checkEngineError(outcome.status, body));
+        ? parse(body)
+        : failure(parseEngineError(outcome.status, body));
     }
   }
 }
 
-function post(path: string, body: unknown): HttpCall {
+function createPostRequest(path: string, body: unknown): HttpRequest {
   return {
     method: 'POST',
     path,
--- a/src/infrastructure/engine/test/engineAnswers.test.ts
+++ b/src/infrastructure/engine/test/engineResponses.test.ts
@@ -2,12 +2,12 @@
 
 import {StepReceipt, StepRequest} from '../common/engineConnection.js';
 import {
-  checkCancelReport,
-  checkEngineError,
-  checkEngineReport,
-  checkOrderAnswer,
-  checkReceipt,
-} from '../node/engineAnswers.js';
+  parseCancelReport,
+  parseEngineError,
+  parseEngineReport,
+  validateOrderResponse,
+  parseReceipt,
+} from '../node/engineResponses.js';
 
 const STEP: StepRequest = {
   requestId: 'request-1',
@@ -33,7 +33,7 @@
   transferMilliseconds: 0,
 };
 
-describe('receipts', () => {
+describe('parseReceipt', () => {
   const cases: ReadonlyArray<readonly [object, string]> = [
     [{}, 'ok'],
     [{requestId: 'request-2'}, 'mismatch'],
@@ -50,17 +50,17 @@
     [{computeMilliseconds: -1}, 'lost'],
     [{engineIncarnation: undefined}, 'lost'],
   ];
-  it.each(cases)('with %j is %s', (change, kind) => {
-    const result = checkReceipt(STEP, {...RECEIPT, ...change});
+  it.each(cases)('a receipt with %j gives %s', (change, kind) => {
+    const result = parseReceipt(STEP, {...RECEIPT, ...change});
     expect(result.ok ? 'ok' : result.error.kind).toBe(kind);
   });
 
-  it.each([undefined, null, 'text', 3, []])('%j is lost', body => {
-    expect(checkReceipt(STEP, body)).toMatchObject({error: {kind: 'lost'}});
+  it.each([undefined, null, 'text', 3, []])('the body %j gives lost', body => {
+    expect(parseReceipt(STEP, body)).toMatchObject({error: {kind: 'lost'}});
   });
 });
 
-describe('other answers', () => {
+describe('other responses', () => {
   const order = {
     fencing: 3,
     order: 4,
@@ -72,20 +72,44 @@
   } as const;
   const report = {state: 'idle', begun: true, requestId: 'request-1'};
   const cases: ReadonlyArray<readonly [string, () => {ok: boolean}, string]> = [
-    ['cancel', () => checkCancelReport('request-1', report), 'ok'],
-    ['crossed cancel', () => checkCancelReport('other', report), 'mismatch'],
-    ['malformed cancel', () => checkCancelReport('request-1', {}), 'lost'],
-    ['order', () => checkOrderAnswer(order, {fencing: 3, order: 4}), 'ok'],
     [
-      'old order',
-      () => checkOrderAnswer(order, {fencing: 3, order: 3}),
+      'a cancel report is accepted',
+      () => parseCancelReport('request-1', report),
+      'ok',
+    ],
+    [
+      'a cancel report of another request is a mismatch',
+      () => parseCancelReport('other', report),
       'mismatch',
     ],
-    ['malformed order', () => checkOrderAnswer(order, {}), 'lost'],
-    ['malformed report', () => checkEngineReport('engine-1', {}), 'lost'],
+    [
+      'a malformed cancel report is lost',
+      () => parseCancelReport('request-1', {}),
+      'lost',
+    ],
+    [
+      'an order response is accepted',
+      () => validateOrderResponse(order, {fencing: 3, order: 4}),
+      'ok',
+    ],
+    [
+      'an order response with an old order number is a mismatch',
+      () => validateOrderResponse(order, {fencing: 3, order: 3}),
+      'mismatch',
+    ],
+    [
+      'a malformed order response is lost',
+      () => validateOrderResponse(order, {}),
+      'lost',
+    ],
+    [
+      'a malformed engine report is lost',
+      () => parseEngineReport('engine-1', {}),
+      'lost',
+    ],
   ];
   it.each(cases)('%s', (name, check, kind) => {
-    const result = check() as ReturnType<typeof checkOrderAnswer>;
+    const result = check() as ReturnType<typeof validateOrderResponse>;
     expect(result.ok ? 'ok' : result.error.kind).toBe(kind);
   });
 
@@ -94,12 +118,12 @@
     [{error: {kind: 'cacheMissing', coveredTo: 0}}, 'cacheMissing'],
     [{error: {kind: 'overloaded', retryAfterMilliseconds: 5}}, 'overloaded'],
     [{error: {kind: 'refused', detail: 'leaving'}}, 'refused'],
-    // An engine can't claim for us that it was never reached.
+    // Only the client can tell that an engine was unreachable.
     [{error: {kind: 'unreachable', detail: ''}}, 'lost'],
     [{error: {kind: 'stale'}}, 'lost'],
     [undefined, 'lost'],
   ];
-  it.each(errors)('a refusal %j is %s', (body, kind) => {
-    expect(checkEngineError(409, body).kind).toBe(kind);
+  it.each(errors)('the error body %j gives %s', (body, kind) => {
+    expect(parseEngineError(409, body).kind).toBe(kind);
   });
 });
--- a/src/infrastructure/http/node/connectionCache.ts
+++ b/src/infrastructure/http/node/connectionCache.ts
@@ -1,11 +1,11 @@
 import {Disposable} from '../../../base/common/lifecycle.js';
 
-/** A connection that can say whether calls are in progress. */
+/** A connection that can be closed while it is idle. */
 export interface CachedConnection extends Disposable {
   readonly isIdle: boolean;
 }
 
-/** Keeps one connection for each upstream and address; idle ones beyond the limit are closed, longest unused first. */
+/** Caches one connection for each upstream and address; above the limit, closes the least recently used idle ones. */
 export class ConnectionCache<T extends CachedConnection> implements Disposable {
   private readonly connections = new Map<string, T>();
 
@@ -14,15 +14,15 @@
     private readonly limit = 4096,
   ) {}
 
-  /** The connection to an upstream, made when there is none. */
+  /** Returns the connection to an upstream; creates it if there is none. */
   get(upstream: string, address: string): T {
-    const name = `${upstream} ${address}`;
+    const key = `${upstream} ${address}`;
     const connection =
-      this.connections.get(name) ?? this.create(upstream, address);
-    // Setting it again moves it to the end: the first is the longest unused.
-    this.connections.delete(name);
-    this.connections.set(name, connection);
-    this.trim();
+      this.connections.get(key) ?? this.create(upstream, address);
+    // Reinsertion keeps the map in order of use, least recently used first.
+    this.connections.delete(key);
+    this.connections.set(key, connection);
+    this.evictIdle();
     return connection;
   }
 
@@ -33,13 +33,13 @@
     this.connections.clear();
   }
 
-  private trim(): void {
-    for (const [name, connection] of this.connections) {
+  private evictIdle(): void {
+    for (const [key, connection] of this.connections) {
       if (this.connections.size <= this.limit) {
         return;
       }
       if (connection.isIdle) {
-        this.connections.delete(name);
+        this.connections.delete(key);
         connection.dispose();
       }
     }
--- a/src/infrastructure/http/node/httpClient.ts
+++ b/src/infrastructure/http/node/httpClient.ts
@@ -2,33 +2,33 @@
 
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Disposable} from '../../../base/common/lifecycle.js';
-import {HttpCall, HttpExchange, HttpOutcome} from './httpExchange.js';
+import {HttpRequest, HttpExchange, HttpOutcome} from './httpExchange.js';
 
-/** Bounds of the connections to one address. */
+/** Limits of the requests to one address. */
 export interface HttpClientOptions {
-  /** Open connections at most; each carries one call at a time. */
+  /** Maximum number of open connections; each carries one request at a time. */
   readonly connections: number;
-  /** Calls in progress or waiting for a connection at most. */
-  readonly waitingLimit: number;
+  /** Maximum number of requests in progress or waiting for a connection. */
+  readonly maxPendingRequests: number;
   readonly connectMilliseconds: number;
-  /** Whole time of a call, used where the call names none. */
+  /** Time limit of requests that do not specify one. */
   readonly callMilliseconds: number;
-  /** Longest answer in bytes. */
+  /** Maximum size of a response body. */
   readonly answerLimitBytes: number;
 }
 
-/** Bounds that fit small control calls. */
+/** Suitable for small control requests. */
 const defaultHttpClientOptions: HttpClientOptions = {
   connections: 8,
-  waitingLimit: 512,
+  maxPendingRequests: 512,
   connectMilliseconds: 1000,
   callMilliseconds: 5000,
   answerLimitBytes: 8 * 1024 * 1024,
 };
 
 /**
- * Calls one address over HTTP/1.1. Connections are kept open; pipelining is off, since the pool would
- * send pipelined calls again after a broken connection.
+ * Sends requests to one address over HTTP/1.1. Connections are kept open. Pipelining is disabled, since the pool would
+ * resend pipelined requests after a connection failure.
  */
 export class HttpClient implements Disposable {
   private readonly pool: Pool;
@@ -42,37 +42,40 @@
       connections: this.options.connections,
       pipelining: 1,
       connect: {timeout: this.options.connectMilliseconds},
-      // Each exchange keeps its own time limit, finer than the pool's timers.
+      // Each exchange has its own timer, which is more precise than the pool's.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
   }
 
-  /** Makes one call, never repeats it; settles by the call's time limit or on cancellation. */
-  async send(call: HttpCall, token: CancellationToken): Promise<HttpOutcome> {
+  /** Sends a request once, without retries. Resolves within the time limit or on cancellation. */
+  async send(
+    request: HttpRequest,
+    token: CancellationToken,
+  ): Promise<HttpOutcome> {
     if (token.isCancelled) {
       return {kind: 'cancelled', sent: false};
     }
     if (this.disposed) {
       return {kind: 'notSent', detail: 'the connection was closed'};
     }
-    if (this.inProgress >= this.options.waitingLimit) {
-      return {kind: 'tooMany', limit: this.options.waitingLimit};
+    if (this.inProgress >= this.options.maxPendingRequests) {
+      return {kind: 'tooMany', limit: this.options.maxPendingRequests};
     }
     this.inProgress++;
     try {
       const exchange = new HttpExchange(
         this.pool,
-        call.milliseconds ?? this.options.callMilliseconds,
+        request.milliseconds ?? this.options.callMilliseconds,
         this.options.answerLimitBytes,
       );
-      return await exchange.run(call, token);
+      return await exchange.run(request, token);
     } finally {
       this.inProgress--;
     }
   }
 
-  /** Whether no call is in progress. */
+  /** Whether no request is in progress or waiting. */
   get isIdle(): boolean {
     return this.inProgress === 0;
   }
--- a/src/infrastructure/http/node/httpExchange.ts
+++ b/src/infrastructure/http/node/httpExchange.ts
@@ -3,44 +3,44 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Disposable} from '../../../base/common/lifecycle.js';
 
-/** A call to make. */
-export interface HttpCall {
+/** A request to send. */
+export interface HttpRequest {
   readonly method: string;
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** Whole time of the call, waiting for a connection included. */
+  /** Time limit of the request, including the wait for a connection. */
   readonly milliseconds?: number;
 }
 
-/** Headers of an answer, names in lower case. */
+/** Response headers; names are in lower case. */
 export type HttpHeaders = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
-/** A whole answer. */
-export interface HttpAnswer {
+/** A complete response. */
+export interface HttpResponse {
   readonly kind: 'answered';
   readonly status: number;
   readonly headers: HttpHeaders;
   readonly body: string;
 }
 
-/** What became of a call. */
+/** The outcome of a request. */
 export type HttpOutcome =
-  | HttpAnswer
-  /** No byte of it was written: it surely had no effect. */
+  | HttpResponse
+  /** No byte was sent, so the request had no effect. */
   | {readonly kind: 'notSent'; readonly detail: string}
-  /** Refused here, before sending, for want of room. */
+  /** Rejected before sending: too many requests are pending in this process. */
   | {readonly kind: 'tooMany'; readonly limit: number}
-  /** Writing had begun and no whole answer came: it may have had its effect. */
+  /** Sending had started and no complete response arrived, so the request may have had an effect. */
   | {readonly kind: 'lost'; readonly detail: string}
-  /** The token was cancelled; `sent` says whether writing had begun. */
+  /** The token was cancelled; `sent` tells whether sending had started. */
   | {readonly kind: 'cancelled'; readonly sent: boolean};
 
 /**
- * One call and its answer. The pool announces the moment before the first byte is written, so
- * whether a failed call was sent is known and not guessed from an error code.
+ * One request and its response. The pool calls `onRequestStart` before it writes the first byte, so whether a failed
+ * request was sent is known and not inferred from an error code.
  */
 export class HttpExchange implements Dispatcher.DispatchHandler {
   private readonly chunks: Buffer[] = [];
@@ -52,30 +52,30 @@
   private settled = false;
   private status = 0;
   private headers: HttpHeaders = {};
-  private size = 0;
+  private receivedBytes = 0;
 
   constructor(
     private readonly pool: Pool,
     private readonly milliseconds: number,
-    private readonly answerLimitBytes: number,
+    private readonly maxResponseBytes: number,
   ) {}
 
-  /** Dispatches the call; used once. */
-  run(call: HttpCall, token: CancellationToken): Promise<HttpOutcome> {
+  /** Sends the request; called once only. */
+  run(request: HttpRequest, token: CancellationToken): Promise<HttpOutcome> {
     return new Promise(resolve => {
       this.settle = resolve;
-      this.timer = setTimeout(() => this.timeOut(), this.milliseconds);
+      this.timer = setTimeout(() => this.onTimeout(), this.milliseconds);
       this.cancellation = token.onDidCancel(() =>
-        this.abandon({kind: 'cancelled', sent: this.sent}),
+        this.abortWith({kind: 'cancelled', sent: this.sent}),
       );
-      this.dispatch(call);
+      this.dispatch(request);
     });
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
     if (this.settled) {
-      controller.abort(new Error('given up before sending'));
+      controller.abort(new Error('request ended before it was sent'));
       return;
     }
     this.sent = true;
@@ -94,11 +94,11 @@
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    this.size += chunk.length;
-    if (this.size > this.answerLimitBytes) {
-      this.abandon({
+    this.receivedBytes += chunk.length;
+    if (this.receivedBytes > this.maxResponseBytes) {
+      this.abortWith({
         kind: 'lost',
-        detail: `answer longer than ${this.answerLimitBytes} bytes`,
+        detail: `answer longer than ${this.maxResponseBytes} bytes`,
       });
       return;
     }
@@ -107,10 +107,10 @@
 
   onResponseEnd(): void {
     if (!this.isFramed()) {
-      this.finish(this.failed('the answer does not say where it ends'));
+      this.settleOnce(this.failed('the answer does not say where it ends'));
       return;
     }
-    this.finish({
+    this.settleOnce({
       kind: 'answered',
       status: this.status,
       headers: this.headers,
@@ -122,22 +122,22 @@
     controller: Dispatcher.DispatchController,
     error: Error,
   ): void {
-    this.finish(this.failed(describe(error)));
+    this.settleOnce(this.failed(describeError(error)));
   }
 
-  private dispatch(call: HttpCall): void {
+  private dispatch(request: HttpRequest): void {
     try {
       this.pool.dispatch(
         {
-          method: call.method as Dispatcher.HttpMethod,
-          path: call.path,
-          headers: call.headers as Record<string, string>,
-          body: call.body,
+          method: request.method as Dispatcher.HttpMethod,
+          path: request.path,
+          headers: request.headers as Record<string, string>,
+          body: request.body,
         },
         this,
       );
     } catch (error) {
-      this.finish(this.failed(describe(error)));
+      this.settleOnce(this.failed(describeError(error)));
     }
   }
 
@@ -145,16 +145,16 @@
     return {kind: this.sent ? 'lost' : 'notSent', detail};
   }
 
-  private timeOut(): void {
-    this.abandon(this.failed(`no answer within ${this.milliseconds} ms`));
+  private onTimeout(): void {
+    this.abortWith(this.failed(`no answer within ${this.milliseconds} ms`));
   }
 
-  private abandon(outcome: HttpOutcome): void {
-    this.finish(outcome);
-    this.controller?.abort(new Error('given up'));
+  private abortWith(outcome: HttpOutcome): void {
+    this.settleOnce(outcome);
+    this.controller?.abort(new Error('request aborted'));
   }
 
-  private finish(outcome: HttpOutcome): void {
+  private settleOnce(outcome: HttpOutcome): void {
     if (this.settled) {
       return;
     }
@@ -164,7 +164,7 @@
     this.settle(outcome);
   }
 
-  /** An answer that ends with its connection can't be told from one cut off. */
+  /** Whether the headers delimit the response. If not, a truncated response looks like a complete one. */
   private isFramed(): boolean {
     return (
       this.headers['content-length'] !== undefined ||
@@ -179,12 +179,13 @@
     if (first === undefined) {
       return '';
     }
-    const whole = this.chunks.length === 1 ? first : Buffer.concat(this.chunks);
-    return whole.toString('utf8');
+    const buffer =
+      this.chunks.length === 1 ? first : Buffer.concat(this.chunks);
+    return buffer.toString('utf8');
   }
 }
 
-function describe(error: unknown): string {
+function describeError(error: unknown): string {
   if (!(error instanceof Error)) {
     return 'unknown error';
   }
--- a/src/infrastructure/http/node/storageClient.ts
+++ b/src/infrastructure/http/node/storageClient.ts
@@ -6,24 +6,24 @@
 import {StorageError} from '../../table/common/tableService.js';
 import {HttpClient, HttpClientOptions} from './httpClient.js';
 import {
-  HttpAnswer,
-  HttpCall,
+  HttpResponse,
+  HttpRequest,
   HttpHeaders,
   HttpOutcome,
 } from './httpExchange.js';
 
-/** Names the calling instance to the platform. */
+/** Identifies the calling instance. */
 const INSTANCE_HEADER = 'redwing-instance';
 
-/** A server sets it to `no` on a refusal that surely had no effect. */
+/** `no` on an error response of a request that was not executed. */
 const EXECUTED_HEADER = 'redwing-executed';
 
-/** Milliseconds to wait after a refusal; finer than `retry-after`. */
-const RETRY_HEADER = 'retry-after-milliseconds';
+/** Delay before a retry; `retry-after` has a resolution of one second. */
+const RETRY_AFTER_HEADER = 'retry-after-milliseconds';
 
-const DEFAULT_RETRY_MILLISECONDS = 1000;
+const DEFAULT_RETRY_AFTER_MILLISECONDS = 1000;
 
-/** Calls one of the platform's services and classifies what comes back; the base of its adapters. */
+/** HTTP client of one of the platform's services. Maps the outcomes of requests to storage errors. */
 export class StorageClient extends DisposableOwner {
   private readonly client: HttpClient;
   private readonly headers: Readonly<Record<string, string>>;
@@ -41,53 +41,53 @@
     };
   }
 
-  /** Makes a call whose answer has status 200 and a body of the schema. */
+  /** Sends a request; expects status 200 and a body that matches the schema. */
   async call<T>(
-    call: HttpCall,
+    request: HttpRequest,
     schema: z.ZodType<T>,
     token: CancellationToken,
   ): Promise<Result<T, StorageError>> {
-    const answer = await this.answer(call, token);
-    if (!answer.ok) {
-      return answer;
+    const response = await this.answer(request, token);
+    if (!response.ok) {
+      return response;
     }
-    return parseAnswer(answer.value, schema);
+    return parseResponse(response.value, schema);
   }
 
-  /** The same for a thing that may be missing: status 404 is undefined. */
+  /** Like `call`, but returns undefined for status 404. */
   async find<T>(
-    call: HttpCall,
+    request: HttpRequest,
     schema: z.ZodType<T>,
     token: CancellationToken,
   ): Promise<Result<T | undefined, StorageError>> {
-    const answer = await this.answer(call, token);
-    if (!answer.ok) {
-      return answer;
+    const response = await this.answer(request, token);
+    if (!response.ok) {
+      return response;
     }
-    if (answer.value.status === 404) {
+    if (response.value.status === 404) {
       return success(undefined);
     }
-    return parseAnswer(answer.value, schema);
+    return parseResponse(response.value, schema);
   }
 
   private async answer(
-    call: HttpCall,
+    request: HttpRequest,
     token: CancellationToken,
-  ): Promise<Result<HttpAnswer, StorageError>> {
+  ): Promise<Result<HttpResponse, StorageError>> {
     const outcome = await this.client.send(
-      {...call, headers: this.headers},
+      {...request, headers: this.headers},
       token,
     );
-    const error = storageError(outcome);
+    const error = toStorageError(outcome);
     if (error !== undefined) {
       return failure(error);
     }
-    return success(outcome as HttpAnswer);
+    return success(outcome as HttpResponse);
   }
 }
 
-/** The error that an outcome stands for; undefined for answers with status 200 and 404. */
-function storageError(outcome: HttpOutcome): StorageError | undefined {
+/** Maps an outcome to an error; undefined for responses with status 200 or 404. */
+function toStorageError(outcome: HttpOutcome): StorageError | undefined {
   switch (outcome.kind) {
     case 'notSent':
       return {kind: 'unavailable', detail: outcome.detail};
@@ -103,61 +103,61 @@
         ? {kind: 'outcomeUnknown', detail: 'cancelled after sending'}
         : {kind: 'unavailable', detail: 'cancelled before sending'};
     case 'answered':
-      return answeredError(outcome);
+      return toResponseError(outcome);
   }
 }
 
-function answeredError(answer: HttpAnswer): StorageError | undefined {
-  if (answer.status === 200 || answer.status === 404) {
+function toResponseError(response: HttpResponse): StorageError | undefined {
+  if (response.status === 200 || response.status === 404) {
     return undefined;
   }
-  if (answer.status === 429) {
-    const retryAfterMilliseconds = retryMilliseconds(answer.headers);
+  if (response.status === 429) {
+    const retryAfterMilliseconds = parseRetryAfter(response.headers);
     return {kind: 'rateLimited', retryAfterMilliseconds};
   }
-  const detail = `status ${answer.status}`;
-  if (saysNotExecuted(answer.headers)) {
+  const detail = `status ${response.status}`;
+  if (isMarkedNotExecuted(response.headers)) {
     return {kind: 'unavailable', detail};
   }
   return {kind: 'outcomeUnknown', detail};
 }
 
-/** Whether a server says that it did nothing. */
-export function saysNotExecuted(headers: HttpHeaders): boolean {
+/** Whether the server states that it did not execute the request. */
+export function isMarkedNotExecuted(headers: HttpHeaders): boolean {
   return headers[EXECUTED_HEADER] === 'no';
 }
 
-/** When a server asks to come back. */
-export function retryMilliseconds(headers: HttpHeaders): number {
-  const fine = Number(headers[RETRY_HEADER] ?? Number.NaN);
-  if (Number.isFinite(fine) && fine >= 0) {
-    return fine;
+/** Returns the delay in milliseconds before a retry, as requested by the server. */
+export function parseRetryAfter(headers: HttpHeaders): number {
+  const milliseconds = Number(headers[RETRY_AFTER_HEADER] ?? Number.NaN);
+  if (Number.isFinite(milliseconds) && milliseconds >= 0) {
+    return milliseconds;
   }
   const seconds = Number(headers['retry-after'] ?? Number.NaN);
   if (Number.isFinite(seconds) && seconds >= 0) {
     return seconds * 1000;
   }
-  return DEFAULT_RETRY_MILLISECONDS;
+  return DEFAULT_RETRY_AFTER_MILLISECONDS;
 }
 
-function parseAnswer<T>(
-  answer: HttpAnswer,
+function parseResponse<T>(
+  response: HttpResponse,
   schema: z.ZodType<T>,
 ): Result<T, StorageError> {
-  if (answer.status !== 200) {
-    const detail = `status ${answer.status}`;
+  if (response.status !== 200) {
+    const detail = `status ${response.status}`;
     return failure({kind: 'outcomeUnknown', detail});
   }
-  const parsed = schema.safeParse(parseJson(answer.body));
+  const parsed = schema.safeParse(parseJson(response.body));
   if (parsed.success) {
     return success(parsed.data);
   }
-  const place = parsed.error.issues[0]?.path.join('.') ?? '';
-  const detail = `the answer is malformed at $.${place}`;
+  const field = parsed.error.issues[0]?.path.join('.') ?? '';
+  const detail = `the answer is malformed at $.${field}`;
   return failure({kind: 'outcomeUnknown', detail});
 }
 
-/** Parses JSON; undefined for text that is none. */
+/** Parses JSON; returns undefined for invalid text. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/infrastructure/http/node/textServer.ts
+++ b/src/infrastructure/http/node/textServer.ts
@@ -4,58 +4,57 @@
 
 import {Disposable, toDisposable} from '../../../base/common/lifecycle.js';
 
-/** Small HTTP services that answer questions: readiness, addresses, metrics. */
+/** Minimal HTTP server for GET requests, such as for readiness, addresses and metrics. */
 
-/** An answer. */
 export interface TextAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** Answers a question with its query. */
+/** Handles the GET requests of one path. */
 export type TextHandler = (
   query: URLSearchParams,
 ) => TextAnswer | Promise<TextAnswer>;
 
-/** Connections at once; those who ask are few. */
-const CONNECTION_LIMIT = 512;
+/** Few clients are expected. */
+const MAX_CONNECTIONS = 512;
 
-const NOT_FOUND = 404;
-const FAILED = 500;
+const STATUS_NOT_FOUND = 404;
+const STATUS_INTERNAL_ERROR = 500;
 
-/** An answer in JSON. */
+/** Creates a JSON response. */
 export function jsonAnswer(body: unknown, status = 200): TextAnswer {
   return {status, contentType: 'application/json', body: JSON.stringify(body)};
 }
 
-/** Answers GET requests on an address by their path; resolves once it listens. */
+/** Serves GET requests on an address, by path; resolves once the server listens. */
 export async function serveText(
   address: string,
   handlers: Readonly<Record<string, TextHandler>>,
 ): Promise<Disposable> {
   const server = createServer();
-  server.maxConnections = CONNECTION_LIMIT;
+  server.maxConnections = MAX_CONNECTIONS;
   const routes = restana({
     server,
     defaultRoute: (_request, response) => {
-      response.statusCode = NOT_FOUND;
+      response.statusCode = STATUS_NOT_FOUND;
       response.end();
     },
     errorHandler: (_error, _request, response) => {
-      response.statusCode = FAILED;
+      response.statusCode = STATUS_INTERNAL_ERROR;
       response.end();
     },
   });
   for (const [path, handler] of Object.entries(handlers)) {
     routes.get(path, async (request, response) => {
       const query = new URL(request.url ?? '/', 'http://host').searchParams;
-      const answer = await handler(query);
-      response.writeHead(answer.status, {
-        'content-type': answer.contentType,
-        'content-length': Buffer.byteLength(answer.body),
+      const textResponse = await handler(query);
+      response.writeHead(textResponse.status, {
+        'content-type': textResponse.contentType,
+        'content-length': Buffer.byteLength(textResponse.body),
       });
-      response.end(answer.body);
+      response.end(textResponse.body);
     });
   }
   await listen(server, address);
@@ -65,7 +64,7 @@
   });
 }
 
-/** Listens on `IP:port`; fails when the address is taken. */
+/** Listens on `IP:port`; rejects if the address is in use. */
 export function listen(server: Server, address: string): Promise<void> {
   const separator = address.lastIndexOf(':');
   const host = address.slice(0, separator);
--- a/src/infrastructure/http/test/httpClient.test.ts
+++ b/src/infrastructure/http/test/httpClient.test.ts
@@ -8,24 +8,24 @@
 } from '../../../base/common/cancellation.js';
 import {HttpClient, HttpClientOptions} from '../node/httpClient.js';
 
-const CALL = {method: 'POST', path: '/', body: '{}'};
-const WHOLE = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
+const REQUEST = {method: 'POST', path: '/', body: '{}'};
+const COMPLETE_RESPONSE = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
 
 let server: Server;
 let sockets: Socket[];
-let received: number;
+let receivedCount: number;
 let onData: (socket: Socket) => void;
 let client: HttpClient;
 
 beforeEach(async () => {
   sockets = [];
-  received = 0;
+  receivedCount = 0;
   onData = () => undefined;
   server = createServer(socket => {
     sockets.push(socket);
     socket.on('error', () => undefined);
     socket.on('data', () => {
-      received++;
+      receivedCount++;
       onData(socket);
     });
   });
@@ -44,25 +44,37 @@
   client = new HttpClient(`127.0.0.1:${port}`, {connections: 1, ...options});
 }
 
-describe('answers', () => {
+describe('send', () => {
   const cases: ReadonlyArray<readonly [string, string, string]> = [
-    ['whole', WHOLE, 'answered'],
-    ['cut before any byte', '', 'lost'],
-    ['cut in the head', 'HTTP/1.1 200 OK\r\ncont', 'lost'],
+    ['returns a complete response', COMPLETE_RESPONSE, 'answered'],
     [
-      'cut in the body',
+      'returns lost for a response that is truncated before the first byte',
+      '',
+      'lost',
+    ],
+    [
+      'returns lost for a response that is truncated in the headers',
+      'HTTP/1.1 200 OK\r\ncont',
+      'lost',
+    ],
+    [
+      'returns lost for a response that is truncated in the body',
       'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok',
       'lost',
     ],
-    ['without a length', 'HTTP/1.1 200 OK\r\n\r\nok', 'lost'],
-    ['no HTTP', 'hello\r\n\r\n', 'lost'],
     [
-      'cut between chunks',
+      'returns lost for a response without a length',
+      'HTTP/1.1 200 OK\r\n\r\nok',
+      'lost',
+    ],
+    ['returns lost for a response that is not HTTP', 'hello\r\n\r\n', 'lost'],
+    [
+      'returns lost for a response that is truncated between chunks',
       'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n',
       'lost',
     ],
     [
-      'longer than allowed',
+      'returns lost for a response above the size limit',
       `HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n${'x'.repeat(99)}`,
       'lost',
     ],
@@ -70,57 +82,57 @@
   it.each(cases)('%s', async (name, text, kind) => {
     connect({answerLimitBytes: 50});
     onData = socket => socket.end(text);
-    const outcome = await client.send(CALL, neverCancelled);
+    const outcome = await client.send(REQUEST, neverCancelled);
     expect(outcome.kind).toBe(kind);
-    // It was never sent twice.
-    expect(received).toBe(1);
+    // The request was not sent again.
+    expect(receivedCount).toBe(1);
   });
 });
 
-describe('calls that end without an answer', () => {
-  it('a refused connection was not sent', async () => {
+describe('a request without a response', () => {
+  it('is not sent if the connection is refused', async () => {
     await new Promise(resolve => server.close(resolve));
-    const outcome = await client.send(CALL, neverCancelled);
+    const outcome = await client.send(REQUEST, neverCancelled);
     expect(outcome.kind).toBe('notSent');
   });
 
-  it('the time limit counts as lost once sent', async () => {
-    const call = {...CALL, milliseconds: 20};
-    expect((await client.send(call, neverCancelled)).kind).toBe('lost');
+  it('is lost if it times out after sending', async () => {
+    const request = {...REQUEST, milliseconds: 20};
+    expect((await client.send(request, neverCancelled)).kind).toBe('lost');
   });
 
-  it('a call that waited for a connection was not sent, nor is it later', async () => {
-    const first = client.send(CALL, neverCancelled);
-    await expect.poll(() => received).toBe(1);
-    const call = {...CALL, milliseconds: 20};
-    const limited = await client.send(call, neverCancelled);
+  it('is never sent if it ends while it waits for a connection', async () => {
+    const first = client.send(REQUEST, neverCancelled);
+    await expect.poll(() => receivedCount).toBe(1);
+    const request = {...REQUEST, milliseconds: 20};
+    const limited = await client.send(request, neverCancelled);
     expect(limited.kind).toBe('notSent');
     const source = new CancellationSource();
-    const waiting = client.send(CALL, source.token);
+    const waiting = client.send(REQUEST, source.token);
     source.cancel('not wanted');
     expect(await waiting).toEqual({kind: 'cancelled', sent: false});
-    sockets[0]?.write(WHOLE);
+    sockets[0]?.write(COMPLETE_RESPONSE);
     expect((await first).kind).toBe('answered');
-    onData = socket => socket.write(WHOLE);
-    expect((await client.send(CALL, neverCancelled)).kind).toBe('answered');
-    expect(received).toBe(2);
+    onData = socket => socket.write(COMPLETE_RESPONSE);
+    expect((await client.send(REQUEST, neverCancelled)).kind).toBe('answered');
+    expect(receivedCount).toBe(2);
   });
 
-  it('a call cancelled after sending may have run', async () => {
+  it('is marked as sent if it is cancelled after sending', async () => {
     const source = new CancellationSource();
-    const sending = client.send(CALL, source.token);
-    await expect.poll(() => received).toBe(1);
+    const sending = client.send(REQUEST, source.token);
+    await expect.poll(() => receivedCount).toBe(1);
     source.cancel('not wanted');
     expect(await sending).toEqual({kind: 'cancelled', sent: true});
   });
 
-  it('more calls than may wait are refused here', async () => {
-    connect({waitingLimit: 1});
-    const first = client.send(CALL, neverCancelled);
-    const outcome = await client.send(CALL, neverCancelled);
+  it('is rejected if too many requests are pending', async () => {
+    connect({maxPendingRequests: 1});
+    const first = client.send(REQUEST, neverCancelled);
+    const outcome = await client.send(REQUEST, neverCancelled);
     expect(outcome).toEqual({kind: 'tooMany', limit: 1});
     client.dispose();
     await first;
-    expect((await client.send(CALL, neverCancelled)).kind).toBe('notSent');
+    expect((await client.send(REQUEST, neverCancelled)).kind).toBe('notSent');
   });
 });
--- a/src/infrastructure/logging/common/logger.ts
+++ b/src/infrastructure/logging/common/logger.ts
@@ -1,23 +1,23 @@
-/** Structured logging, as a port. */
+/** Interface for structured logging. */
 
-/** The fields of a log line; never keys or bodies. */
+/** The fields of a log line. They must not contain keys or request bodies. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** The fields of a decision's line; `decision` holds its name. */
+/** The fields of a decision line. `decision` is reserved for the name of the decision. */
 export type DecisionFields = LogFields & {readonly decision?: never};
 
-/** Writes one JSON line a call. */
+/** Writes one JSON line per call. */
 export abstract class Logger {
-  /** One line for each routing or placement decision. */
+  /** Logs a routing or placement decision. */
   abstract decision(name: string, fields: DecisionFields): void;
   abstract info(message: string, fields?: LogFields): void;
   abstract warn(message: string, fields?: LogFields): void;
   abstract error(message: string, fields?: LogFields): void;
-  /** A logger that adds fields to every line. */
+  /** Creates a logger that adds fields to every line. */
   abstract child(fields: LogFields): Logger;
 }
 
-/** Drops everything; for tests and measures. */
+/** Discards all lines; for tests and measurements. */
 export class SilentLogger extends Logger {
   override decision(): void {}
   override info(): void {}
--- a/src/infrastructure/logging/node/boundedLogStream.ts
+++ b/src/infrastructure/logging/node/boundedLogStream.ts
@@ -1,18 +1,18 @@
 import {Writable} from 'node:stream';
 
-/** Lines a second that are written; more are counted and left out. */
-const LINES_PER_SECOND = 400;
+/** Lines above this rate are dropped and counted. */
+const MAX_LINES_PER_SECOND = 400;
 
-/** Bytes that may wait for a reader who does not keep up; beyond them lines are left out. */
-const WAITING_LIMIT_BYTES = 1024 * 1024;
+/** Lines are dropped while more than this is buffered for a slow reader. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 
-const SECOND_MILLISECONDS = 1000;
+const WINDOW_MILLISECONDS = 1000;
 
-/** Passes log lines on, never waits, and bounds their volume; what was left out is said in a line. */
+/** Forwards log lines without blocking and limits their volume. A log line reports the number of dropped lines. */
 export class BoundedLogStream extends Writable {
   private windowStart = 0;
-  private lines = 0;
-  private leftOut = 0;
+  private linesInWindow = 0;
+  private droppedLines = 0;
 
   constructor(
     private readonly target: Writable,
@@ -26,26 +26,26 @@
     _encoding: string,
     callback: () => void,
   ): void {
-    this.pass(line);
+    this.writeOrDrop(line);
     callback();
   }
 
-  private pass(line: string | Buffer): void {
+  private writeOrDrop(line: string | Buffer): void {
     const now = this.now();
-    if (now - this.windowStart >= SECOND_MILLISECONDS) {
+    if (now - this.windowStart >= WINDOW_MILLISECONDS) {
       this.windowStart = now;
-      this.lines = 0;
+      this.linesInWindow = 0;
     }
-    const isFull = this.target.writableLength > WAITING_LIMIT_BYTES;
-    if (isFull || this.lines >= LINES_PER_SECOND) {
-      this.leftOut++;
+    const isTargetFull = this.target.writableLength > MAX_BUFFERED_BYTES;
+    if (isTargetFull || this.linesInWindow >= MAX_LINES_PER_SECOND) {
+      this.droppedLines++;
       return;
     }
-    this.lines++;
-    if (this.leftOut > 0) {
-      const text = {msg: 'log lines left out', count: this.leftOut};
-      this.leftOut = 0;
-      this.target.write(`${JSON.stringify(text)}\n`);
+    this.linesInWindow++;
+    if (this.droppedLines > 0) {
+      const report = {msg: 'log lines left out', count: this.droppedLines};
+      this.droppedLines = 0;
+      this.target.write(`${JSON.stringify(report)}\n`);
     }
     this.target.write(line);
   }
--- a/src/infrastructure/logging/node/bunyanLogger.ts
+++ b/src/infrastructure/logging/node/bunyanLogger.ts
@@ -2,59 +2,59 @@
 
 import {DecisionFields, LogFields, Logger} from '../common/logger.js';
 
-/** Levels that settings may name. */
+/** Log levels that are valid in settings. */
 export type LogLevel = 'trace' | 'debug' | 'info' | 'warn' | 'error';
 
-/** Fields whose names look like secrets are replaced, as a second guard. */
+/** Fields with these names are redacted, in case a secret is logged by mistake. */
 const SECRET_FIELD =
   /^(authorization|password|secret|(peer|bearer|operator|api)-?key)$/i;
 
 const REDACTED = 'redacted';
 
-/** Writes JSON lines to standard output, or another stream, by bunyan. */
+/** Writes JSON lines with bunyan to a stream, by default standard output. */
 export class BunyanLogger extends Logger {
   private constructor(private readonly log: bunyan) {
     super();
   }
 
-  /** A logger for one program. */
+  /** Creates the logger of a program. */
   static create(
     program: string,
     level: LogLevel,
     fields: LogFields = {},
     stream: NodeJS.WritableStream = process.stdout,
   ): BunyanLogger {
-    const options = {...guard(fields), name: program, level, stream};
+    const options = {...redactSecrets(fields), name: program, level, stream};
     return new BunyanLogger(bunyan.createLogger(options));
   }
 
   override decision(name: string, fields: DecisionFields): void {
-    this.log.info({...guard(fields), decision: name}, name);
+    this.log.info({...redactSecrets(fields), decision: name}, name);
   }
 
   override info(message: string, fields: LogFields = {}): void {
-    this.log.info(guard(fields), message);
+    this.log.info(redactSecrets(fields), message);
   }
 
   override warn(message: string, fields: LogFields = {}): void {
-    this.log.warn(guard(fields), message);
+    this.log.warn(redactSecrets(fields), message);
   }
 
   override error(message: string, fields: LogFields = {}): void {
-    this.log.error(guard(fields), message);
+    this.log.error(redactSecrets(fields), message);
   }
 
   override child(fields: LogFields): Logger {
-    return new BunyanLogger(this.log.child(guard(fields)));
+    return new BunyanLogger(this.log.child(redactSecrets(fields)));
   }
 }
 
-function guard(fields: LogFields): Record<string, unknown> {
-  const guarded: Record<string, unknown> = {...fields};
-  for (const name of Object.keys(guarded)) {
+function redactSecrets(fields: LogFields): Record<string, unknown> {
+  const redactedFields: Record<string, unknown> = {...fields};
+  for (const name of Object.keys(redactedFields)) {
     if (SECRET_FIELD.test(name)) {
-      guarded[name] = REDACTED;
+      redactedFields[name] = REDACTED;
     }
   }
-  return guarded;
+  return redactedFields;
 }
--- a/src/infrastructure/logging/test/boundedLogStream.test.ts
+++ b/src/infrastructure/logging/test/boundedLogStream.test.ts
@@ -4,7 +4,7 @@
 
 import {BoundedLogStream} from '../node/boundedLogStream.js';
 
-it('passes a bounded number of lines a second and says what it left out', () => {
+it('limits the lines per second and reports the number of dropped lines', () => {
   let now = 0;
   const target = new PassThrough();
   const stream = new BoundedLogStream(target, () => now);
@@ -19,7 +19,7 @@
   );
 });
 
-it('leaves lines out instead of waiting for a reader who does not keep up', () => {
+it('drops lines instead of blocking when the reader is slow', () => {
   let now = 0;
   const target = new PassThrough({highWaterMark: 1});
   const stream = new BoundedLogStream(target, () => (now += 10));
--- a/src/infrastructure/logging/test/bunyanLogger.test.ts
+++ b/src/infrastructure/logging/test/bunyanLogger.test.ts
@@ -4,7 +4,7 @@
 
 import {BunyanLogger} from '../node/bunyanLogger.js';
 
-it('writes one JSON line a call, with its fields and without keys', () => {
+it('writes one JSON line per call, with its fields and with secrets redacted', () => {
   const stream = new PassThrough();
   const logger = BunyanLogger.create(
     'program',
--- a/src/infrastructure/membership/common/membershipList.ts
+++ b/src/infrastructure/membership/common/membershipList.ts
@@ -2,10 +2,10 @@
 import {Result} from '../../../base/common/result.js';
 import {StorageError} from '../../table/common/tableService.js';
 
-/** Whether the platform counts a member as live or as leaving. */
+/** The state of a member according to the platform. */
 export type MemberState = 'live' | 'leaving';
 
-/** An instance of this system, as the platform's list names it. */
+/** An instance of this system in the platform's membership list. */
 export interface InstanceMember {
   readonly role: 'instance';
   readonly id: string;
@@ -20,7 +20,7 @@
   readonly state: MemberState;
 }
 
-/** A back end: a model engine or a plain service. */
+/** An upstream in the membership list: a model engine or a plain service. */
 export interface UpstreamMember {
   readonly role: 'engine' | 'service';
   readonly id: string;
@@ -28,20 +28,20 @@
   readonly region: string;
   /** IP address and port. */
   readonly address: string;
-  /** The replica of a model that an engine belongs to, or the name of a plain service. */
+  /** The model replica that an engine belongs to, or the name of a plain service. */
   readonly group: string;
   readonly state: MemberState;
 }
 
-/** A member of the platform's list. */
+/** An entry of the platform's membership list. */
 export type Member = InstanceMember | UpstreamMember;
 
-/** The platform's list; it lags behind what it describes. */
+/** The membership list as returned by the platform. It lags behind the actual state of the members. */
 export interface MembershipSnapshot {
   readonly members: readonly Member[];
 }
 
-/** The platform's list of live and leaving members, as a port. */
+/** Interface of the platform's list of live and leaving members. */
 export abstract class MembershipList {
   abstract read(
     token: CancellationToken,
--- a/src/infrastructure/membership/node/httpMembershipList.ts
+++ b/src/infrastructure/membership/node/httpMembershipList.ts
@@ -8,30 +8,34 @@
 import {StorageError} from '../../table/common/tableService.js';
 import {MembershipList, MembershipSnapshot} from '../common/membershipList.js';
 
-const common = {
+const commonFields = {
   id: z.string(),
   dataCentre: z.string(),
   region: z.string(),
   state: z.enum(['live', 'leaving']),
 };
 
-const upstream = {...common, address: z.string(), group: z.string()};
+const upstreamFields = {
+  ...commonFields,
+  address: z.string(),
+  group: z.string(),
+};
 
 const memberSchema = z.discriminatedUnion('role', [
   z.object({
-    ...common,
+    ...commonFields,
     role: z.literal('instance'),
     callerAddress: z.string(),
     entryPeerAddress: z.string(),
     controlAddress: z.string(),
   }),
-  z.object({...upstream, role: z.literal('engine')}),
-  z.object({...upstream, role: z.literal('service')}),
+  z.object({...upstreamFields, role: z.literal('engine')}),
+  z.object({...upstreamFields, role: z.literal('service')}),
 ]);
 
 const listSchema = z.object({members: z.array(memberSchema)});
 
-/** The platform's list of members over HTTP; the protocol stands in docs/PROTOCOLS.md. */
+/** HTTP client of the platform's membership list; docs/PROTOCOLS.md specifies the protocol. */
 export class HttpMembershipList extends MembershipList implements Disposable {
   private readonly client: StorageClient;
 
@@ -47,8 +51,8 @@
   override read(
     token: CancellationToken,
   ): Promise<Result<MembershipSnapshot, StorageError>> {
-    const call = {method: 'GET', path: '/v1/members'};
-    return this.client.call(call, listSchema, token);
+    const request = {method: 'GET', path: '/v1/members'};
+    return this.client.call(request, listSchema, token);
   }
 
   dispose(): void {
--- a/src/infrastructure/metrics/common/metrics.ts
+++ b/src/infrastructure/metrics/common/metrics.ts
@@ -1,16 +1,16 @@
-/** Counters, gauges and times, as a port. */
+/** Interface for counters, gauges and timings. */
 
-/** Labels of a measurement. */
+/** Labels of a metric. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Sends measurements; names and units stand in docs/OPERATIONS.md. */
+/** Records metrics; docs/OPERATIONS.md lists their names and units. */
 export abstract class Metrics {
   abstract count(name: string, value: number, tags?: MetricTags): void;
   abstract gauge(name: string, value: number, tags?: MetricTags): void;
   abstract milliseconds(name: string, value: number, tags?: MetricTags): void;
 }
 
-/** Drops everything. */
+/** Discards all metrics. */
 export class SilentMetrics extends Metrics {
   override count(): void {}
   override gauge(): void {}
--- a/src/infrastructure/metrics/node/statsdMetrics.ts
+++ b/src/infrastructure/metrics/node/statsdMetrics.ts
@@ -3,10 +3,10 @@
 import {Disposable} from '../../../base/common/lifecycle.js';
 import {MetricTags, Metrics} from '../common/metrics.js';
 
-const BUFFER_BYTES = 1400;
-const FLUSH_MILLISECONDS = 1000;
+const MAX_DATAGRAM_BYTES = 1400;
+const FLUSH_INTERVAL_MILLISECONDS = 1000;
 
-/** Sends measurements to a StatsD server over UDP; a server that is gone loses them silently. */
+/** Sends metrics to a StatsD server over UDP. While the server is unavailable, metrics are lost without an error. */
 export class StatsdMetrics extends Metrics implements Disposable {
   private readonly client: StatsD;
 
@@ -18,8 +18,8 @@
       port: Number(address.slice(separator + 1)),
       prefix: 'redwing.',
       globalTags: {...globalTags},
-      maxBufferSize: BUFFER_BYTES,
-      bufferFlushInterval: FLUSH_MILLISECONDS,
+      maxBufferSize: MAX_DATAGRAM_BYTES,
+      bufferFlushInterval: FLUSH_INTERVAL_MILLISECONDS,
       errorHandler: () => undefined,
     });
   }
--- a/src/infrastructure/metrics/test/statsdMetrics.test.ts
+++ b/src/infrastructure/metrics/test/statsdMetrics.test.ts
@@ -6,7 +6,7 @@
 
 import {StatsdMetrics} from '../node/statsdMetrics.js';
 
-it('sends counters, gauges and times with their tags', async () => {
+it('sends counters, gauges and timings with their tags', async () => {
   const socket = createSocket('udp4');
   socket.bind(0, '127.0.0.1');
   await once(socket, 'listening');
--- a/src/infrastructure/objects/node/httpObjectStore.ts
+++ b/src/infrastructure/objects/node/httpObjectStore.ts
@@ -12,9 +12,9 @@
 
 const listSchema = z.object({names: z.array(z.string())});
 
-const doneSchema = z.object({});
+const emptySchema = z.object({});
 
-/** The platform's object store over HTTP; the protocol stands in docs/PROTOCOLS.md. */
+/** HTTP client of the platform's object store; docs/PROTOCOLS.md specifies the protocol. */
 export class HttpObjectStore extends ObjectStore implements Disposable {
   private readonly client: StorageClient;
 
@@ -31,12 +31,12 @@
     name: string,
     token: CancellationToken,
   ): Promise<Result<string | undefined, StorageError>> {
-    const answer = await this.client.find(
+    const response = await this.client.find(
       {method: 'GET', path: objectPath(name)},
       objectSchema,
       token,
     );
-    return answer.ok ? success(answer.value?.body) : answer;
+    return response.ok ? success(response.value?.body) : response;
   }
 
   override async put(
@@ -44,23 +44,23 @@
     body: string,
     token: CancellationToken,
   ): Promise<Result<void, StorageError>> {
-    const answer = await this.client.call(
+    const response = await this.client.call(
       {
         method: 'PUT',
         path: objectPath(name),
         body: JSON.stringify({body}),
       },
-      doneSchema,
+      emptySchema,
       token,
     );
-    return answer.ok ? success(undefined) : answer;
+    return response.ok ? success(undefined) : response;
   }
 
   override async list(
     prefix: string,
     token: CancellationToken,
   ): Promise<Result<readonly string[], StorageError>> {
-    const answer = await this.client.call(
+    const response = await this.client.call(
       {
         method: 'GET',
         path: `/v1/objects?prefix=${encodeURIComponent(prefix)}`,
@@ -68,19 +68,19 @@
       listSchema,
       token,
     );
-    return answer.ok ? success(answer.value.names) : answer;
+    return response.ok ? success(response.value.names) : response;
   }
 
   override async delete(
     name: string,
     token: CancellationToken,
   ): Promise<Result<void, StorageError>> {
-    const answer = await this.client.call(
+    const response = await this.client.call(
       {method: 'DELETE', path: objectPath(name)},
-      doneSchema,
+      emptySchema,
       token,
     );
-    return answer.ok ? success(undefined) : answer;
+    return response.ok ? success(undefined) : response;
   }
 
   dispose(): void {
--- a/src/infrastructure/rpc/node/poolLink.ts
+++ b/src/infrastructure/rpc/node/dispatcherLink.ts
@@ -8,16 +8,19 @@
 import {observable} from '@trpc/server/observable';
 import {Dispatcher} from 'undici';
 
-/** Carries tRPC calls by plain requests of an undici dispatcher, without the web's fetch. */
+/** A tRPC link that sends calls as requests of an undici dispatcher, without `fetch`. */
 
-/** The body of an answer, as the server writes it. */
-interface AnswerBody {
+/** The body of a response, as sent by the server. */
+interface ResponseBody {
   readonly result?: {readonly data?: unknown};
   readonly error?: unknown;
 }
 
-/** Makes a link that sends every call as a POST of JSON; calls end when their signal fires. All is JSON, so no header says so. */
-export function createPoolLink<Router extends AnyTRPCRouter>(
+/**
+ * Creates a link that sends each call as a POST request; its signal aborts the call. All bodies are JSON, so there is
+ * no content-type header.
+ */
+export function createDispatcherLink<Router extends AnyTRPCRouter>(
   dispatcher: Dispatcher,
   origin: string,
   headers: Readonly<Record<string, string>>,
@@ -29,32 +32,32 @@
         TRPCClientError<Router>
       >(observer => {
         const onAbort = (): void => exchange.abort();
-        const exchange = new Exchange((cause, answer) => {
+        const exchange = new RpcExchange((cause, response) => {
           op.signal?.removeEventListener('abort', onAbort);
-          if (answer === undefined || answer.error !== undefined) {
-            const source = answer ?? (cause as Error);
+          if (response === undefined || response.error !== undefined) {
+            const source = response ?? (cause as Error);
             observer.error(TRPCClientError.from<Router>(source as Error));
             return;
           }
-          observer.next({result: {type: 'data', data: answer.result?.data}});
+          observer.next({result: {type: 'data', data: response.result?.data}});
           observer.complete();
         });
         op.signal?.addEventListener('abort', onAbort, {once: true});
         if (op.signal?.aborted) {
           onAbort();
         } else {
-          send(dispatcher, origin, headers, op, exchange);
+          dispatchCall(dispatcher, origin, headers, op, exchange);
         }
         return onAbort;
       });
 }
 
-function send(
+function dispatchCall(
   dispatcher: Dispatcher,
   origin: string,
   headers: Readonly<Record<string, string>>,
   operation: Operation,
-  exchange: Exchange,
+  exchange: RpcExchange,
 ): void {
   const path = `/${operation.path}`;
   try {
@@ -68,19 +71,19 @@
   }
 }
 
-/** One request and its answer; it ends once, by the answer, a failure or an abort. */
-class Exchange implements Dispatcher.DispatchHandler {
+/** One request and its response. It ends once: with the response, a failure or an abort. */
+class RpcExchange implements Dispatcher.DispatchHandler {
   private readonly chunks: Buffer[] = [];
   private controller: Dispatcher.DispatchController | undefined;
-  private isDone = false;
+  private hasEnded = false;
 
   constructor(
-    private readonly onDone: (cause: unknown, answer?: AnswerBody) => void,
+    private readonly onEnd: (cause: unknown, response?: ResponseBody) => void,
   ) {}
 
-  /** Ends the request; one that still waits for a connection is never sent. */
+  /** Aborts the request. If it is still waiting for a connection, it is never sent. */
   abort(): void {
-    if (!this.isDone) {
+    if (!this.hasEnded) {
       const cause = new Error('the call was aborted');
       this.controller?.abort(cause);
       this.fail(cause);
@@ -93,7 +96,7 @@
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
-    if (this.isDone) {
+    if (this.hasEnded) {
       controller.abort(new Error('the call was aborted'));
     }
   }
@@ -106,26 +109,26 @@
 
   onResponseEnd(): void {
     const [first] = this.chunks;
-    const isWhole = first !== undefined && this.chunks.length === 1;
-    const body = isWhole ? first : Buffer.concat(this.chunks);
-    let answer: AnswerBody;
+    const isSingleChunk = first !== undefined && this.chunks.length === 1;
+    const body = isSingleChunk ? first : Buffer.concat(this.chunks);
+    let response: ResponseBody;
     try {
-      answer = JSON.parse(body.toString('utf8')) as AnswerBody;
+      response = JSON.parse(body.toString('utf8')) as ResponseBody;
     } catch (cause) {
       this.end(cause);
       return;
     }
-    this.end(undefined, answer);
+    this.end(undefined, response);
   }
 
   onResponseError(_: Dispatcher.DispatchController, cause: Error): void {
     this.end(cause);
   }
 
-  private end(cause: unknown, answer?: AnswerBody): void {
-    if (!this.isDone) {
-      this.isDone = true;
-      this.onDone(cause, answer);
+  private end(cause: unknown, response?: ResponseBody): void {
+    if (!this.hasEnded) {
+      this.hasEnded = true;
+      this.onEnd(cause, response);
     }
   }
 }
--- a/src/infrastructure/rpc/node/rpc.ts
+++ b/src/infrastructure/rpc/node/rpc.ts
@@ -5,36 +5,36 @@
 import {Agent} from 'undici';
 
 import {Disposable, toDisposable} from '../../../base/common/lifecycle.js';
-import {createPoolLink} from './poolLink.js';
+import {createDispatcherLink} from './dispatcherLink.js';
 import {
   createRpcHandler,
   createRpcServer,
   KEEP_ALIVE_MILLISECONDS,
-  KEY_HEADER,
+  PEER_KEY_HEADER,
   RpcContext,
 } from './rpcServer.js';
 
-/** Typed calls between this system's own processes, over tRPC on loopback or the private network. */
+/** Typed remote calls between processes of this system: tRPC over the loopback interface or the private network. */
 
 export {createRpcHandler};
 export type {RpcContext};
 
 const CONNECTIONS_PER_PEER = 4;
 const CONNECT_TIMEOUT_MILLISECONDS = 1000;
-/** Shorter than servers keep idle connections, for those that don't tell how long. */
-const IDLE_MILLISECONDS = KEEP_ALIVE_MILLISECONDS - 5000;
+/** Shorter than the keep-alive time-out of the servers, for servers that do not announce it. */
+const IDLE_TIMEOUT_MILLISECONDS = KEEP_ALIVE_MILLISECONDS - 5000;
 
 const trpc = initTRPC.context<RpcContext>().create();
 
-/** Builds routers from procedures. */
+/** Creates a router from procedures. */
 export const createRpcRouter = trpc.router;
 
-/** Joins routers under one root. */
+/** Merges routers into one. */
 export const mergeRpcRouters = trpc.mergeRouters;
 
-/** A procedure that only holders of the peer key may call. */
+/** Base procedure that rejects callers without the peer key. */
 export const peerProcedure = trpc.procedure.use(({ctx, next}) => {
-  if (!sameKey(ctx.presentedKey, ctx.expectedKey)) {
+  if (!isSameKey(ctx.presentedKey, ctx.expectedKey)) {
     throw new TRPCError({
       code: 'UNAUTHORIZED',
       message: 'peer key missing or wrong',
@@ -43,7 +43,7 @@
   return next();
 });
 
-function sameKey(presented: string | undefined, expected: string): boolean {
+function isSameKey(presented: string | undefined, expected: string): boolean {
   if (presented === undefined) {
     return false;
   }
@@ -52,7 +52,7 @@
   return left.length === right.length && timingSafeEqual(left, right);
 }
 
-/** Splits `host:port`. */
+/** Splits `host:port` at the last colon. */
 export function parseAddress(address: string): {
   readonly host: string;
   readonly port: number;
@@ -64,7 +64,7 @@
   };
 }
 
-/** Serves a router on an address; resolves once it listens. */
+/** Serves a router on an address; resolves once the server listens. */
 export async function serveRpc(
   router: AnyTRPCRouter,
   address: string,
@@ -82,12 +82,12 @@
   });
 }
 
-/** A client and the connections that it owns; pass an AbortSignal with each call to bound it. */
+/** A client that owns its connections. Pass an AbortSignal with a call to limit its duration. */
 export interface RpcClient<Router extends AnyTRPCRouter> extends Disposable {
   readonly call: TRPCClient<Router>;
 }
 
-/** Connects to a peer lazily; connections are kept open between calls. */
+/** Creates a client of a peer. Connections are opened on demand and kept open between calls. */
 export function createRpcClient<Router extends AnyTRPCRouter>(
   address: string,
   peerKey: string,
@@ -99,13 +99,13 @@
   };
 }
 
-/** Clients of one program for many addresses over one set of connections, one for each address. */
+/** Creates clients of many addresses that share one connection for each address. */
 export class RpcConnections implements Disposable {
   private readonly agent = createAgent(1);
 
   constructor(private readonly peerKey: string) {}
 
-  /** A client for an address; it holds no connection of its own. */
+  /** Creates a client of an address. It uses the shared connection, so it needs no disposal. */
   client<Router extends AnyTRPCRouter>(address: string): TRPCClient<Router> {
     return createClient<Router>(this.agent, address, this.peerKey);
   }
@@ -119,7 +119,7 @@
   return new Agent({
     connections,
     pipelining: 1,
-    keepAliveTimeout: IDLE_MILLISECONDS,
+    keepAliveTimeout: IDLE_TIMEOUT_MILLISECONDS,
     connect: {timeout: CONNECT_TIMEOUT_MILLISECONDS},
   });
 }
@@ -129,7 +129,11 @@
   address: string,
   peerKey: string,
 ): TRPCClient<Router> {
-  const headers = {[KEY_HEADER]: peerKey};
-  const link = createPoolLink<Router>(agent, `http://${address}`, headers);
+  const headers = {[PEER_KEY_HEADER]: peerKey};
+  const link = createDispatcherLink<Router>(
+    agent,
+    `http://${address}`,
+    headers,
+  );
   return createTRPCClient<Router>({links: [link]});
 }
--- a/src/infrastructure/rpc/node/rpcServer.ts
+++ b/src/infrastructure/rpc/node/rpcServer.ts
@@ -15,46 +15,45 @@
 } from '@trpc/server';
 import {getHTTPStatusCodeFromError} from '@trpc/server/http';
 
-/** Serves tRPC procedures straight from Node's HTTP server, without the web's Request and Response. */
+/** Serves tRPC procedures from Node's HTTP server, without the Fetch API's Request and Response. */
 
-/** What every call carries. */
+/** Context of a call. */
 export interface RpcContext {
-  /** The secret that the caller presented. */
+  /** The peer key sent by the caller. */
   readonly presentedKey: string | undefined;
   readonly expectedKey: string;
 }
 
-/** The header that carries the peer key. */
-export const KEY_HEADER = 'redwing-peer-key';
+export const PEER_KEY_HEADER = 'redwing-peer-key';
 
-const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
-/** Longer than peers pause between calls, so that connections are seldom made anew. */
+const MAX_BODY_BYTES = 4 * 1024 * 1024;
+/** Longer than the usual interval between the calls of a peer, so that connections are reused. */
 export const KEEP_ALIVE_MILLISECONDS = 60000;
 const SUCCESS_STATUS = 200;
 
-interface Answer {
+interface RpcResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Answers calls to a router; for programs that serve more than one protocol on an address. */
+/** Creates a request listener for a router, for programs that serve several protocols on one address. */
 export function createRpcHandler(
   router: AnyTRPCRouter,
   peerKey: string,
 ): RequestListener {
   return (request, response) => {
-    void serve(router, peerKey, request, response);
+    void handleRequest(router, peerKey, request, response);
   };
 }
 
-/** Makes a server for a router; the caller listens and closes. */
+/** Creates a server for a router. The caller makes it listen and closes it. */
 export function createRpcServer(
   router: AnyTRPCRouter,
   peerKey: string,
 ): Server {
   const handler = createRpcHandler(router, peerKey);
   const server = createServer((request, response) => {
-    // Clients know how long connections are kept, so no answer need tell it.
+    // Clients know the keep-alive time-out, so responses need no connection header.
     response.removeHeader('connection');
     handler(request, response);
   });
@@ -62,40 +61,45 @@
   return server;
 }
 
-async function serve(
+async function handleRequest(
   router: AnyTRPCRouter,
   peerKey: string,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const closed = new AbortController();
-  // Aborting costs an exception, so only where somebody still works.
+  const abortController = new AbortController();
+  // Aborting creates an exception, so it is avoided for complete responses.
   response.once('close', () => {
     if (!response.writableFinished) {
-      closed.abort();
+      abortController.abort();
     }
   });
-  const answer = await call(router, peerKey, request, closed.signal);
+  const rpcResponse = await callProcedure(
+    router,
+    peerKey,
+    request,
+    abortController.signal,
+  );
   if (response.destroyed) {
     return;
   }
-  const text = JSON.stringify(answer.body);
+  const text = JSON.stringify(rpcResponse.body);
   response.sendDate = false;
-  response.writeHead(answer.status, {
+  response.writeHead(rpcResponse.status, {
     'content-length': Buffer.byteLength(text),
   });
   response.end(text);
 }
 
-/** Calls the procedure that the path names; errors become answers. */
-async function call(
+/** Calls the procedure named by the path. An error gives an error response. */
+async function callProcedure(
   router: AnyTRPCRouter,
   peerKey: string,
   request: IncomingMessage,
   signal: AbortSignal,
-): Promise<Answer> {
+): Promise<RpcResponse> {
   const path = (request.url ?? '/').slice(1);
-  const ctx = contextOf(request, peerKey);
+  const ctx = createContext(request, peerKey);
   try {
     const body = await readBody(request);
     const data: unknown = await callTRPCProcedure({
@@ -103,7 +107,7 @@
       path,
       getRawInput: async () => parseInput(body),
       ctx,
-      // Queries come by POST too, since their input may be long.
+      // Queries are sent by POST too, since their input may be long.
       type: 'mutation',
       allowMethodOverride: true,
       signal,
@@ -121,8 +125,8 @@
   }
 }
 
-function contextOf(request: IncomingMessage, peerKey: string): RpcContext {
-  const header = request.headers[KEY_HEADER];
+function createContext(request: IncomingMessage, peerKey: string): RpcContext {
+  const header = request.headers[PEER_KEY_HEADER];
   const presentedKey = Array.isArray(header) ? header[0] : header;
   return {presentedKey, expectedKey: peerKey};
 }
@@ -148,7 +152,7 @@
     let length = 0;
     request.on('data', (chunk: Buffer) => {
       length += chunk.length;
-      if (length <= BODY_LIMIT_BYTES) {
+      if (length <= MAX_BODY_BYTES) {
         chunks.push(chunk);
         return;
       }
@@ -157,7 +161,7 @@
       reject(
         new TRPCError({
           code: 'PAYLOAD_TOO_LARGE',
-          message: `the body is larger than ${BODY_LIMIT_BYTES} bytes`,
+          message: `the body is larger than ${MAX_BODY_BYTES} bytes`,
         }),
       );
     });
--- a/src/infrastructure/rpc/test/rpc.test.ts
+++ b/src/infrastructure/rpc/test/rpc.test.ts
@@ -17,12 +17,12 @@
 const KEY = 'secret';
 const owned = new DisposableStore();
 let address: string;
-let started: Promise<void>;
+let hangStarted: Promise<void>;
 let markStarted: () => void;
-let ended: Promise<void>;
+let hangEnded: Promise<void>;
 let markEnded: () => void;
 
-function text(value: unknown): string {
+function parseString(value: unknown): string {
   if (typeof value !== 'string') {
     throw new Error('expected a string');
   }
@@ -31,8 +31,10 @@
 
 const words = createRpcRouter({
   words: createRpcRouter({
-    echo: peerProcedure.input(text).mutation(({input}) => ({said: input})),
-    find: peerProcedure.input(text).query(({input}) => `found ${input}`),
+    echo: peerProcedure
+      .input(parseString)
+      .mutation(({input}) => ({said: input})),
+    find: peerProcedure.input(parseString).query(({input}) => `found ${input}`),
     nothing: peerProcedure.mutation(() => undefined),
     fail: peerProcedure.mutation(() => {
       throw new Error('as told');
@@ -67,9 +69,9 @@
   return owned.add(createRpcClient<typeof router>(to, key));
 }
 
-function awaitHanging(): void {
-  started = new Promise(resolve => (markStarted = resolve));
-  ended = new Promise(resolve => (markEnded = resolve));
+function resetHangSignals(): void {
+  hangStarted = new Promise(resolve => (markStarted = resolve));
+  hangEnded = new Promise(resolve => (markEnded = resolve));
 }
 
 describe('calls', () => {
@@ -86,45 +88,46 @@
       answer: 'found it',
     },
     {
-      name: 'without input and answer',
+      name: 'a mutation without input and result',
       call: ({call}) => call.words.nothing.mutate(),
       answer: undefined,
     },
     {
-      name: 'a long input',
+      name: 'a query with a long input',
       call: ({call}) => call.words.find.query('x'.repeat(1_000_000)),
       answer: `found ${'x'.repeat(1_000_000)}`,
     },
   ];
-  test.each(good)('$name', async ({call, answer}) => {
+  test.each(good)('$name returns the result', async ({call, answer}) => {
     expect(await call(connect())).toEqual(answer);
   });
 
   const bad: Array<{name: string; call: Call; key?: string; message: RegExp}> =
     [
       {
-        name: 'a wrong key',
+        name: 'a call with a wrong key',
         call: ({call}) => call.words.echo.mutate('x'),
         key: 'wrong',
         message: /peer key missing or wrong/,
       },
       {
-        name: 'a failing procedure',
+        name: 'a call of a procedure that throws',
         call: ({call}) => call.words.fail.mutate(),
         message: /as told/,
       },
       {
-        name: 'an input that is refused',
+        name: 'a call with an invalid input',
         call: ({call}) => call.words.echo.mutate(7 as never),
         message: /expected a string/,
       },
       {
-        name: 'an unknown procedure',
-        call: ({call}) => (call.words as never as Echoing).missing.mutate('x'),
+        name: 'a call of an unknown procedure',
+        call: ({call}) =>
+          (call.words as never as MissingProcedure).missing.mutate('x'),
         message: /No "mutation"-procedure/,
       },
       {
-        name: 'a body that is too large',
+        name: 'a call with a body that is too large',
         call: ({call}) => call.words.echo.mutate('x'.repeat(5_000_000)),
         message: /larger than|socket|EPIPE|ECONNRESET/,
       },
@@ -138,46 +141,46 @@
     expect(error?.message).not.toContain(KEY);
   });
 
-  test('to nobody fail', async () => {
+  test('a call to an address without a server fails', async () => {
     const client = connect(KEY, `127.0.0.1:${await freePort()}`);
     await expect(client.call.words.echo.mutate('x')).rejects.toThrow();
   });
 });
 
-describe('calls end on their signal', () => {
-  test('before they began', async () => {
+describe('a pending call fails', () => {
+  test('when its signal was aborted before the call', async () => {
     const signal = AbortSignal.abort();
     const call = connect().call.words.echo.mutate('x', {signal});
     await expect(call).rejects.toThrow();
   });
 
-  test('while the peer works, which then learns of it', async () => {
-    awaitHanging();
+  test('when its signal is aborted, and the procedure on the peer is aborted too', async () => {
+    resetHangSignals();
     const controller = new AbortController();
     const {signal} = controller;
     const call = connect().call.words.hang.mutate(undefined, {signal});
     const failing = expect(call).rejects.toThrow();
-    await started;
+    await hangStarted;
     controller.abort();
     await failing;
-    await ended;
+    await hangEnded;
   });
 
-  test('when the client is disposed', async () => {
-    awaitHanging();
+  test('when the client is disposed, and the procedure on the peer is aborted too', async () => {
+    resetHangSignals();
     const client = connect();
     const failing = expect(client.call.words.hang.mutate()).rejects.toThrow();
-    await started;
+    await hangStarted;
     client.dispose();
     await failing;
-    await ended;
+    await hangEnded;
   });
 });
 
-test('addresses are split at the last colon', () => {
+test('parseAddress splits an address at the last colon', () => {
   expect(parseAddress('10.0.0.1:80')).toEqual({host: '10.0.0.1', port: 80});
 });
 
-interface Echoing {
+interface MissingProcedure {
   readonly missing: {mutate(input: string): Promise<unknown>};
 }
--- a/src/infrastructure/service/common/serviceConnection.ts
+++ b/src/infrastructure/service/common/serviceConnection.ts
@@ -1,9 +1,9 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Result} from '../../../base/common/result.js';
 
-/** A plain service behind the router, as a port. */
+/** Interface of a plain service behind the router. */
 
-/** A call to pass on; the path is the part after the service's name. */
+/** A request to forward; the path is the part after the service's name. */
 export interface ServiceRequest {
   readonly requestId: string;
   readonly method: string;
@@ -12,27 +12,27 @@
   readonly body: string;
 }
 
-/** The service's whole answer. */
+/** A complete response of the service. */
 export interface ServiceResponse {
   readonly status: number;
   readonly contentType: string | undefined;
   readonly body: string;
-  /** The request that the service says it answered, if it says so. */
+  /** The request id in the response, if the service sends one. */
   readonly requestId: string | undefined;
 }
 
 /** Why a call to a plain service failed. */
 export type ServiceError =
-  /** No connection was made: surely not run. */
+  /** No connection was established, so the request was not executed. */
   | {readonly kind: 'unreachable'; readonly detail: string}
-  /** Sent, then lost, cut off or timed out: may have run. */
+  /** The connection failed or timed out after sending, so the request may have been executed. */
   | {readonly kind: 'lost'; readonly detail: string}
-  /** Refused before running (status 429 or 503 that says so). */
+  /** Rejected before execution (status 429 or 503 that is marked as not executed). */
   | {readonly kind: 'refused'; readonly retryAfterMilliseconds: number}
-  /** The answer belongs to another request. */
+  /** The response belongs to another request. */
   | {readonly kind: 'mismatch'; readonly detail: string};
 
-/** One replica of a plain service. */
+/** Connection to one replica of a plain service. */
 export abstract class ServiceConnection {
   abstract call(
     request: ServiceRequest,
@@ -40,7 +40,7 @@
   ): Promise<Result<ServiceResponse, ServiceError>>;
 }
 
-/** Makes connections to plain services by address. */
+/** Creates connections to plain services. */
 export abstract class ServiceConnector {
   abstract connect(upstream: string, address: string): ServiceConnection;
 }
--- a/src/infrastructure/service/node/httpServiceConnector.ts
+++ b/src/infrastructure/service/node/httpServiceConnector.ts
@@ -6,10 +6,10 @@
   ConnectionCache,
 } from '../../http/node/connectionCache.js';
 import {HttpClient, HttpClientOptions} from '../../http/node/httpClient.js';
-import {HttpAnswer, HttpHeaders} from '../../http/node/httpExchange.js';
+import {HttpResponse, HttpHeaders} from '../../http/node/httpExchange.js';
 import {
-  retryMilliseconds,
-  saysNotExecuted,
+  parseRetryAfter,
+  isMarkedNotExecuted,
 } from '../../http/node/storageClient.js';
 import {
   ServiceConnection,
@@ -19,10 +19,10 @@
   ServiceResponse,
 } from '../common/serviceConnection.js';
 
-/** Names the request in calls and, from services that know it, in answers. */
+/** Carries the request id in requests and, if the service supports it, in responses. */
 const REQUEST_HEADER = 'redwing-request-id';
 
-/** Connects to plain services; owns their connections. */
+/** Creates connections to plain services over HTTP, and owns them. */
 export class HttpServiceConnector
   extends ServiceConnector
   implements Disposable
@@ -45,7 +45,7 @@
   }
 }
 
-/** One replica of a plain service over HTTP. */
+/** Connection to one replica of a plain service. */
 class HttpServiceConnection
   extends ServiceConnection
   implements CachedConnection
@@ -86,7 +86,7 @@
     );
     switch (outcome.kind) {
       case 'answered':
-        return classify(request, outcome);
+        return toServiceResult(request, outcome);
       case 'notSent':
         return failure({kind: 'unreachable', detail: outcome.detail});
       case 'tooMany':
@@ -102,30 +102,33 @@
   }
 }
 
-function classify(
+function toServiceResult(
   request: ServiceRequest,
-  answer: HttpAnswer,
+  response: HttpResponse,
 ): Result<ServiceResponse, ServiceError> {
-  const requestId = single(answer.headers, REQUEST_HEADER);
+  const requestId = firstHeaderValue(response.headers, REQUEST_HEADER);
   if (requestId !== undefined && requestId !== request.requestId) {
     const detail = 'the service answered another request';
     return failure({kind: 'mismatch', detail});
   }
-  if (isRefusal(answer)) {
-    const retryAfterMilliseconds = retryMilliseconds(answer.headers);
+  if (isRefusal(response)) {
+    const retryAfterMilliseconds = parseRetryAfter(response.headers);
     return failure({kind: 'refused', retryAfterMilliseconds});
   }
-  const contentType = single(answer.headers, 'content-type');
-  const {status, body} = answer;
+  const contentType = firstHeaderValue(response.headers, 'content-type');
+  const {status, body} = response;
   return success({status, contentType, body, requestId});
 }
 
-function isRefusal(answer: HttpAnswer): boolean {
-  const refusalStatus = answer.status === 429 || answer.status === 503;
-  return refusalStatus && saysNotExecuted(answer.headers);
+function isRefusal(response: HttpResponse): boolean {
+  const hasRefusalStatus = response.status === 429 || response.status === 503;
+  return hasRefusalStatus && isMarkedNotExecuted(response.headers);
 }
 
-function single(headers: HttpHeaders, name: string): string | undefined {
+function firstHeaderValue(
+  headers: HttpHeaders,
+  name: string,
+): string | undefined {
   const value = headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
--- a/src/infrastructure/settings/common/jsonText.ts
+++ b/src/infrastructure/settings/common/jsonText.ts
@@ -1,44 +1,44 @@
 import {Result, failure, success} from '../../../base/common/result.js';
 
-/** Parsing of JSON that tells where the text goes wrong. */
+/** JSON parsing that reports the position of a syntax error. */
 
-/** A place in a text; both count from 1. */
-export interface TextPlace {
+/** A position in a text; lines and columns are counted from 1. */
+export interface TextPosition {
   readonly line: number;
   readonly column: number;
 }
 
-/** Parses JSON, or tells the place of the first character that can't stand there. */
-export function parseJsonText(text: string): Result<unknown, TextPlace> {
+/** Parses JSON; fails with the position of the first invalid character. */
+export function parseJsonText(text: string): Result<unknown, TextPosition> {
   try {
     return success(JSON.parse(text));
   } catch {
-    return failure(toPlace(text, firstBadOffset(text)));
+    return failure(toPosition(text, findErrorOffset(text)));
   }
 }
 
 /**
- * The length of the longest beginning of the text that could still become JSON. The parser's own
- * messages name no offset for some errors, so the text is halved until the place is found.
+ * Returns the length of the longest prefix of the text that could be continued to valid JSON. Some messages of the
+ * parser contain no offset, so the prefix is found by binary search.
  */
-function firstBadOffset(text: string): number {
-  let good = 0;
-  let bad = text.length + 1;
-  while (bad - good > 1) {
-    const middle = Math.floor((good + bad) / 2);
-    if (couldContinue(text.slice(0, middle))) {
-      good = middle;
+function findErrorOffset(text: string): number {
+  let validLength = 0;
+  let invalidLength = text.length + 1;
+  while (invalidLength - validLength > 1) {
+    const middle = Math.floor((validLength + invalidLength) / 2);
+    if (isValidPrefix(text.slice(0, middle))) {
+      validLength = middle;
     } else {
-      bad = middle;
+      invalidLength = middle;
     }
   }
-  return good;
+  return validLength;
 }
 
-/** Whether the only thing wrong with a text is that it ends too early. */
-function couldContinue(beginning: string): boolean {
+/** Whether a text is valid JSON or could be continued to valid JSON. */
+function isValidPrefix(prefix: string): boolean {
   try {
-    JSON.parse(beginning);
+    JSON.parse(prefix);
     return true;
   } catch (error) {
     const message = (error as SyntaxError).message;
@@ -46,11 +46,11 @@
       return true;
     }
     const offset = /at position (\d+)/.exec(message)?.[1];
-    return offset !== undefined && Number(offset) >= beginning.length;
+    return offset !== undefined && Number(offset) >= prefix.length;
   }
 }
 
-function toPlace(text: string, offset: number): TextPlace {
+function toPosition(text: string, offset: number): TextPosition {
   const lines = text.slice(0, offset).split('\n');
   return {line: lines.length, column: lines[lines.length - 1].length + 1};
 }
--- a/src/infrastructure/settings/common/programSettings.ts
+++ b/src/infrastructure/settings/common/programSettings.ts
@@ -1,13 +1,13 @@
-/** Settings of the programs, as their JSON files hold them. Addresses are `IP:port`. */
+/** Settings of the programs, as stored in their JSON files. Addresses are `IP:port`. */
 
-/** Which instance a program belongs to. */
+/** The instance that a program belongs to. */
 export interface InstanceSettings {
   readonly id: string;
   readonly region: string;
   readonly dataCentre: string;
 }
 
-/** Where the platform's services are. */
+/** Addresses of the platform's services. */
 export interface PlatformSettings {
   readonly tableAddress: string;
   readonly objectsAddress: string;
@@ -15,10 +15,10 @@
   readonly membershipAddress: string;
 }
 
-/** Logging and metrics. */
+/** Settings of logging and metrics. */
 export interface ObservationSettings {
   readonly logLevel: 'trace' | 'debug' | 'info' | 'warn' | 'error';
-  /** StatsD `IP:port`; metrics are dropped when absent. */
+  /** Address of the StatsD server; without it, metrics are discarded. */
   readonly metricsAddress?: string;
 }
 
@@ -30,20 +30,20 @@
   /** The control program of the same instance. */
   readonly controlAddress: string;
   readonly platform: PlatformSettings;
-  /** File that holds the secret shared by this system's processes. */
+  /** File that contains the secret shared by this system's processes. */
   readonly peerKeyFile: string;
   readonly observation: ObservationSettings;
-  /** Largest request body in bytes. */
+  /** Maximum size of a request body. */
   readonly bodyLimitBytes: number;
-  /** Requests in progress at once; more are refused. */
+  /** Maximum number of requests in progress; further requests are rejected. */
   readonly concurrentRequestLimit: number;
-  /** Seconds that callers may keep an answer of `GET /v1/entrypoints`. */
+  /** Time for which callers may cache the response of `GET /v1/entrypoints`. */
   readonly entrypointsSeconds: number;
-  /** Seconds that a planned stop waits for requests in flight. */
+  /** Time for which a planned stop waits for requests in flight. */
   readonly drainSeconds: number;
-  /** Replicas in a cell at most. */
+  /** Maximum number of replicas in a cell. */
   readonly cellSize: number;
-  /** `redwing` or, for comparison only, `naive`: round robin, no admission, no records. */
+  /** `redwing` or, for comparison only, `naive`: round robin without admission control and without records. */
   readonly policy: 'redwing' | 'naive';
 }
 
@@ -53,29 +53,32 @@
   readonly controlAddress: string;
   readonly platform: PlatformSettings;
   readonly peerKeyFile: string;
-  /** File that holds the operators' bearer keys: JSON, name to hex SHA-256. */
+  /** JSON file that maps the operators' names to hex SHA-256 hashes of their bearer keys. */
   readonly operatorKeysFile: string;
   readonly observation: ObservationSettings;
-  /** Seconds between reads of the configuration's head row. */
+  /** Interval between reads of the configuration's head row. */
   readonly headReadSeconds: number;
-  /** Seconds between reads of the membership list by an instance that reaches no peer, and on average between any two reads by all instances. */
+  /**
+   * Interval between reads of the membership list by an instance that reaches no peer, and average interval between
+   * the reads of all instances together.
+   */
   readonly membershipReadSeconds: number;
-  /** Bytes a second that an instance spends on reading that list, as long as all instances together read often enough; 400 when absent. */
+  /** Rate at which an instance reads that list, if all instances together read often enough; 400 by default. */
   readonly membershipReadBytesPerSecond: number;
-  /** Seconds between exchanges with peers. */
+  /** Interval between exchanges with peers. */
   readonly peerExchangeSeconds: number;
-  /** Seconds without confirmation of the configuration after which no new work is taken. */
+  /** Time without confirmation of the configuration after which an instance accepts no new work. */
   readonly confirmationBoundSeconds: number;
-  /** Whether this instance may take placement leases. */
+  /** Whether this instance may acquire placement leases. */
   readonly placementEnabled: boolean;
 }
 
 /** Settings of `redwing`, the operators' command line. */
 export interface OperatorSettings {
-  /** Control programs, tried in order. */
+  /** Addresses of control programs, tried in order. */
   readonly controlAddresses: readonly string[];
-  /** File that holds the operator's bearer key. */
+  /** File that contains the operator's bearer key. */
   readonly operatorKeyFile: string;
-  /** Seconds that one call may take. */
+  /** Time limit of a call. */
   readonly timeoutSeconds: number;
 }
--- a/src/infrastructure/settings/common/schemaFindings.ts
+++ b/src/infrastructure/settings/common/schemaFindings.ts
@@ -2,15 +2,14 @@
 
 import {Finding} from '../../../base/common/finding.js';
 
-/** Turns what a zod schema objects to into findings. */
+/** Converts zod issues to findings. */
 
-/** The library's own messages, in contrast to those that a schema states. */
+/** Matches zod's default messages, as opposed to messages that a schema specifies. */
 const DEFAULT_MESSAGE = /^(Invalid|Too small|Too big)/;
 
-/** What is said of a field that the schema doesn't know. */
-const UNKNOWN_FIELD = 'no such field';
+const UNKNOWN_FIELD_TEXT = 'no such field';
 
-/** A JSON path such as `$.classes[0].name`. */
+/** Formats a JSON path such as `$.classes[0].name`. */
 function formatJsonPath(path: readonly PropertyKey[]): string {
   const steps = path.map(step =>
     typeof step === 'number' ? `[${step}]` : `.${String(step)}`,
@@ -18,11 +17,11 @@
   return `$${steps.join('')}`;
 }
 
-/** All findings of one issue; each unknown field is one of its own. */
+/** Converts an issue to findings, one for each unknown field. */
 export function toFindings(
   issue: zod.core.$ZodIssue,
   source: string,
-  unknownField = UNKNOWN_FIELD,
+  unknownField = UNKNOWN_FIELD_TEXT,
 ): readonly Finding[] {
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map(key => ({
--- a/src/infrastructure/settings/common/settingsSchemas.ts
+++ b/src/infrastructure/settings/common/settingsSchemas.ts
@@ -6,18 +6,18 @@
   OperatorSettings,
 } from './programSettings.js';
 
-/** What the programs' settings files must look like; unknown fields are refused. */
+/** Schemas of the programs' settings files. Unknown fields are rejected. */
 
-const NAME_LIMIT = 63;
-const PORT_LIMIT = 65_535;
+const MAX_NAME_LENGTH = 63;
+const MAX_PORT = 65_535;
 const KIBIBYTE = 1_024;
 const MEBIBYTE = 1_024 * KIBIBYTE;
 const HOUR_SECONDS = 3_600;
 const MINUTE_SECONDS = 60;
-const CONTROL_ADDRESS_LIMIT = 100;
-const MEMBERSHIP_READ_BYTES_PER_SECOND = 400;
+const MAX_CONTROL_ADDRESSES = 100;
+const DEFAULT_MEMBERSHIP_READ_BYTES_PER_SECOND = 400;
 
-const name = zod.string().min(1).max(NAME_LIMIT);
+const name = zod.string().min(1).max(MAX_NAME_LENGTH);
 const file = zod.string().min(1);
 const address = zod
   .string()
@@ -44,7 +44,7 @@
   metricsAddress: address.optional(),
 });
 
-/** The schema of `redwing-entry`'s settings. */
+/** Schema of the settings of `redwing-entry`. */
 export const entrySettingsSchema: zod.ZodType<EntrySettings> = zod.strictObject(
   {
     instance,
@@ -66,7 +66,7 @@
   },
 );
 
-/** The schema of `redwing-control`'s settings. */
+/** Schema of the settings of `redwing-control`. */
 export const controlSettingsSchema: zod.ZodType<ControlSettings> = zod
   .strictObject({
     instance,
@@ -81,7 +81,7 @@
       .number()
       .min(1)
       .max(MEBIBYTE)
-      .default(MEMBERSHIP_READ_BYTES_PER_SECOND),
+      .default(DEFAULT_MEMBERSHIP_READ_BYTES_PER_SECOND),
     peerExchangeSeconds: seconds(0.05, MINUTE_SECONDS),
     confirmationBoundSeconds: seconds(0.1, HOUR_SECONDS),
     placementEnabled: zod.boolean(),
@@ -94,16 +94,16 @@
     },
   );
 
-/** The schema of the settings of `redwing`, the operators' command line. */
+/** Schema of the settings of `redwing`, the operators' command line. */
 export const operatorSettingsSchema: zod.ZodType<OperatorSettings> =
   zod.strictObject({
-    controlAddresses: zod.array(address).min(1).max(CONTROL_ADDRESS_LIMIT),
+    controlAddresses: zod.array(address).min(1).max(MAX_CONTROL_ADDRESSES),
     operatorKeyFile: file,
     timeoutSeconds: seconds(0.1, MINUTE_SECONDS),
   });
 
-function seconds(least: number, most: number): zod.ZodNumber {
-  return zod.number().min(least).max(most);
+function seconds(minimum: number, maximum: number): zod.ZodNumber {
+  return zod.number().min(minimum).max(maximum);
 }
 
 function isAddress(text: string): boolean {
@@ -113,5 +113,5 @@
   }
   const numbers = match.slice(1).map(Number);
   const port = numbers.pop() ?? 0;
-  return numbers.every(part => part <= 255) && port >= 1 && port <= PORT_LIMIT;
+  return numbers.every(part => part <= 255) && port >= 1 && port <= MAX_PORT;
 }
--- a/src/infrastructure/settings/node/readSettings.ts
+++ b/src/infrastructure/settings/node/readSettings.ts
@@ -7,12 +7,12 @@
 import {parseJsonText} from '../common/jsonText.js';
 import {toFindings} from '../common/schemaFindings.js';
 
-/** Reading of settings files; every finding names the file and the place in it. */
+/** Reads settings files. Every finding contains the file and the place in it. */
 
-/** The path given to findings about a file as a whole. */
+/** The path of findings that concern the whole file. */
 const WHOLE_FILE = '$';
 
-/** Reads a JSON settings file; all findings are reported together. */
+/** Reads a JSON settings file and returns all findings together. */
 export function readSettings<T>(
   path: string,
   schema: zod.ZodType<T>,
@@ -27,7 +27,7 @@
     : failure(parsed.error.issues.flatMap(issue => toFindings(issue, path)));
 }
 
-/** Reads a file as JSON; malformed text is reported with its line and column. */
+/** Reads a JSON file; a syntax error is reported with its line and column. */
 export function readJsonFile(
   path: string,
 ): Result<unknown, readonly Finding[]> {
@@ -44,7 +44,7 @@
   return failure([{source: path, path: place, expected: 'well-formed JSON'}]);
 }
 
-/** Reads a secret from a file of one line; the secret is never part of a finding. */
+/** Reads a secret from a file with a single line. Findings never contain the secret. */
 export function readSecretFile(
   path: string,
 ): Result<string, readonly Finding[]> {
--- a/src/infrastructure/settings/test/readSettings.test.ts
+++ b/src/infrastructure/settings/test/readSettings.test.ts
@@ -12,7 +12,7 @@
 } from '../common/settingsSchemas.js';
 import {readSecretFile, readSettings} from '../node/readSettings.js';
 
-/** Settings files: what is accepted, and where and how each fault is reported. */
+/** Which settings files are accepted, and with which path and text errors are reported. */
 
 const instance = {id: 'entry-1', region: 'west', dataCentre: 'west-1'};
 const platform = {
@@ -70,19 +70,19 @@
 
 const cases: readonly Case[] = [
   {
-    name: 'entry settings in order',
+    name: 'valid entry settings',
     schema: entrySettingsSchema,
     content: entry,
     findings: [],
   },
   {
-    name: 'control settings in order',
+    name: 'valid control settings',
     schema: controlSettingsSchema,
     content: control,
     findings: [],
   },
   {
-    name: 'operator settings in order',
+    name: 'valid operator settings',
     schema: operatorSettingsSchema,
     content: operator,
     findings: [],
@@ -94,31 +94,31 @@
     findings: ['line 1, column 1: well-formed JSON'],
   },
   {
-    name: 'a file that ends early',
+    name: 'a truncated file',
     schema: entrySettingsSchema,
     content: '{"instance": {\n  "id": "a"',
     findings: ['line 2, column 12: well-formed JSON'],
   },
   {
-    name: 'a word that is no JSON',
+    name: 'an unquoted string',
     schema: entrySettingsSchema,
     content: '{\n  "cellSize": 8,\n  "policy": redwing\n}',
     findings: ['line 3, column 13: well-formed JSON'],
   },
   {
-    name: 'a comma too many',
+    name: 'a trailing comma',
     schema: entrySettingsSchema,
     content: '{"a": 1,}',
     findings: ['line 1, column 9: well-formed JSON'],
   },
   {
-    name: 'text after the end',
+    name: 'text after the JSON value',
     schema: entrySettingsSchema,
     content: '{"a": 1}\n}',
     findings: ['line 2, column 1: well-formed JSON'],
   },
   {
-    name: 'several faults together',
+    name: 'several errors',
     schema: entrySettingsSchema,
     content: {
       ...entry,
@@ -146,25 +146,25 @@
     ],
   },
   {
-    name: 'no addresses',
+    name: 'an empty list of addresses',
     schema: operatorSettingsSchema,
     content: {...operator, controlAddresses: []},
     findings: ['$.controlAddresses: at least 1 entries'],
   },
   {
-    name: 'an unknown field deep inside',
+    name: 'an unknown nested field',
     schema: controlSettingsSchema,
     content: {...control, platform: {...platform, user: 'x'}},
     findings: ['$.platform.user: no such field'],
   },
   {
-    name: 'a bound below the time between reads',
+    name: 'a confirmation bound below the read interval',
     schema: controlSettingsSchema,
     content: {...control, confirmationBoundSeconds: 1},
     findings: ['$.confirmationBoundSeconds: more than headReadSeconds'],
   },
   {
-    name: 'a bound that is excluded, a stated message',
+    name: 'an exclusive minimum with and without a custom message',
     schema: zod.object({
       plain: zod.number().positive(),
       stated: zod.number().positive('seconds above 0'),
@@ -173,7 +173,7 @@
     findings: ['$.plain: more than 0', '$.stated: seconds above 0'],
   },
   {
-    name: 'a list in place of an object',
+    name: 'an array in place of an object',
     schema: controlSettingsSchema,
     content: [],
     findings: ['$: object'],
@@ -189,16 +189,21 @@
 
   afterAll(() => rmSync(folder, {recursive: true}));
 
-  it.each(cases)('$name', ({schema, content, findings}) => {
-    const file = path.join(folder, 'settings.json');
-    const text =
-      typeof content === 'string' ? content : JSON.stringify(content);
-    writeFileSync(file, text);
-    const result = readSettings(file, schema);
-    const found = result.ok ? [] : result.error;
-    expect(found.map(one => `${one.path}: ${one.expected}`)).toEqual(findings);
-    expect(found.every(one => one.source === file)).toBe(true);
-  });
+  it.each(cases)(
+    'gives the expected findings for $name',
+    ({schema, content, findings}) => {
+      const file = path.join(folder, 'settings.json');
+      const text =
+        typeof content === 'string' ? content : JSON.stringify(content);
+      writeFileSync(file, text);
+      const result = readSettings(file, schema);
+      const actual = result.ok ? [] : result.error;
+      expect(
+        actual.map(finding => `${finding.path}: ${finding.expected}`),
+      ).toEqual(findings);
+      expect(actual.every(finding => finding.source === file)).toBe(true);
+    },
+  );
 
   it('reports a file that cannot be read', () => {
     const file = path.join(folder, 'absent.json');
@@ -212,7 +217,7 @@
     {text: 'secret\n', ok: true},
     {text: '', ok: false},
     {text: 'two\nlines', ok: false},
-  ])('reads a key from $text', ({text, ok}) => {
+  ])('accepts a key file with the text $text: $ok', ({text, ok}) => {
     const file = path.join(folder, 'key');
     writeFileSync(file, text);
     const result = readSecretFile(file);
--- a/src/infrastructure/stateChart/common/stateChart.ts
+++ b/src/infrastructure/stateChart/common/stateChart.ts
@@ -1,47 +1,46 @@
 import {createMachine, initialTransition, transition} from 'xstate';
 
-/** Interprets state charts that live in JSON files; pure: a transition returns the next state and its actions. */
+/** Interprets state charts from JSON files. Transitions are pure: they return the next state and the actions to run. */
 
-/** A chart as its JSON file holds it: the xstate format, flat states, named actions and guards left out. */
+/** A chart in its JSON format: a subset of the xstate format with flat states and named actions, without guards. */
 export interface ChartDefinition {
   readonly id: string;
   readonly initial: string;
   readonly states: Readonly<Record<string, ChartState>>;
 }
 
-/** One state: events to transitions; `final` ends the chart. */
+/** A state with its transitions by event; a state of type `final` ends the chart. */
 export interface ChartState {
   readonly type?: string;
   readonly on?: Readonly<Record<string, ChartTransition>>;
 }
 
-/** Where an event leads and the actions to carry out. An event that changes nothing is listed with no target. */
+/** The target state and the actions of an event. An event that does not change the state has no target. */
 export interface ChartTransition {
   readonly target?: string;
   readonly actions?: readonly string[];
 }
 
-/** The outcome of an event. */
+/** The result of an event. */
 export interface ChartStep<State extends string, Action extends string> {
   readonly state: State;
   readonly actions: readonly Action[];
-  /** Whether the chart lists the event in the state it was in. */
+  /** Whether the chart defines the event for the previous state. */
   readonly handled: boolean;
 }
 
 /**
- * A chart made ready; holds no current state of its own. A transition depends on the state and the event
- * alone, so each is interpreted once and kept; there are no more than the chart's states times its events.
+ * A compiled chart; it has no current state. A transition depends on the state and the event only, so each is
+ * interpreted once and cached. The size of the cache is limited by the number of states times the number of events.
  */
 export class StateChart<
   State extends string,
   EventName extends string,
   Action extends string,
 > {
-  /** The state to start in. */
   readonly initial: State;
   private readonly machine;
-  private readonly steps = new Map<
+  private readonly cachedSteps = new Map<
     State,
     Map<EventName, ChartStep<State, Action>>
   >();
@@ -54,13 +53,13 @@
 
   /** Applies an event to a state. */
   next(state: State, event: EventName): ChartStep<State, Action> {
-    const known = this.steps.get(state)?.get(event);
-    if (known !== undefined) {
-      return known;
+    const cached = this.cachedSteps.get(state)?.get(event);
+    if (cached !== undefined) {
+      return cached;
     }
     const step = this.interpret(state, event);
-    const ofState = this.steps.get(state) ?? new Map();
-    this.steps.set(state, ofState.set(event, step));
+    const stepsOfState = this.cachedSteps.get(state) ?? new Map();
+    this.cachedSteps.set(state, stepsOfState.set(event, step));
     return step;
   }
 
@@ -70,15 +69,19 @@
       value: state,
       context: {},
     } as never);
-    const [following, actions] = transition(this.machine, snapshot, {
+    const [nextSnapshot, actions] = transition(this.machine, snapshot, {
       type: event,
     } as never);
     const names = actions.map(action => action.type as Action);
-    return {state: String(following.value) as State, actions: names, handled};
+    return {
+      state: String(nextSnapshot.value) as State,
+      actions: names,
+      handled,
+    };
   }
 }
 
-/** Holds the current state of one thing that follows a chart. */
+/** Holds the current state of one object whose life cycle is defined by a chart. */
 export class ChartInstance<
   State extends string,
   EventName extends string,
@@ -94,7 +97,7 @@
     return this.current;
   }
 
-  /** Applies an event, keeps the new state and returns the step. */
+  /** Applies an event and updates the state. */
   send(event: EventName): ChartStep<State, Action> {
     const step = this.chart.next(this.current, event);
     this.current = step.state;
--- a/src/infrastructure/table/common/tableService.ts
+++ b/src/infrastructure/table/common/tableService.ts
@@ -1,9 +1,9 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Result} from '../../../base/common/result.js';
 
-/** The platform's transactional table, as a port. */
+/** Interface of the platform's transactional table. */
 
-/** A stored row; versions start at 1 and grow by 1 with each write to the key. */
+/** A stored row. Versions start at 1 and increase by 1 with each write to the key. */
 export interface TableRow {
   readonly key: string;
   readonly version: number;
@@ -11,7 +11,7 @@
   readonly value: string;
 }
 
-/** What must hold of a row for its write to take effect. */
+/** Precondition of a write, checked against the stored row. */
 export type RowCondition =
   | {readonly kind: 'any'}
   | {readonly kind: 'absent'}
@@ -24,32 +24,32 @@
   readonly condition: RowCondition;
 }
 
-/** What became of one row of a transaction. */
+/** The outcome of a transaction for one row. */
 export type WriteOutcome =
   | {readonly kind: 'written'; readonly version: number}
   | {readonly kind: 'conflict'; readonly current: TableRow | undefined};
 
-/** `all`: no row is written unless every condition holds; `each`: rows are decided one by one. */
+/** `all`: no row is written unless every condition holds; `each`: each row is written if its own condition holds. */
 export type TransactionMode = 'all' | 'each';
 
 /** Why a call to the platform's storage failed. */
 export type StorageError =
-  /** The call surely had no effect (never sent, or refused before it ran). */
+  /** The call had no effect: it was not sent, or was rejected before execution. */
   | {readonly kind: 'unavailable'; readonly detail: string}
-  /** The answer was lost: a write may have taken effect. */
+  /** No valid response was received, so a write may have taken effect. */
   | {readonly kind: 'outcomeUnknown'; readonly detail: string}
-  /** Refused by the platform's rate limit, without effect. */
+  /** Rejected by the platform's rate limit, without effect. */
   | {readonly kind: 'rateLimited'; readonly retryAfterMilliseconds: number};
 
-/** Reads and writes rows; a transaction counts as one write however many rows it has (at most 100). */
+/** Reads and writes rows. A transaction has at most 100 rows and counts as one write, whatever its number of rows. */
 export abstract class TableService {
-  /** Reads rows by key, in the order asked; a missing row is undefined. */
+  /** Reads rows by key, in the order of the keys; a missing row is undefined. */
   abstract read(
     keys: readonly string[],
     token: CancellationToken,
   ): Promise<Result<ReadonlyArray<TableRow | undefined>, StorageError>>;
 
-  /** Reads rows whose key starts with a prefix, sorted by key, starting after a key. */
+  /** Reads rows whose key starts with a prefix, sorted by key, beginning after a given key. */
   abstract scan(
     prefix: string,
     after: string | undefined,
--- a/src/infrastructure/table/common/transactionRules.ts
+++ b/src/infrastructure/table/common/transactionRules.ts
@@ -1,13 +1,12 @@
 import {RowWrite} from './tableService.js';
 
-/** Rows that a transaction may hold. */
-const TRANSACTION_ROW_LIMIT = 100;
+const MAX_TRANSACTION_ROWS = 100;
 
-/** Throws when a transaction breaks the table's limits: a mistake of the program, not a fault. */
+/** Throws if a transaction violates the table's limits, which is a programming error. */
 export function checkTransaction(writes: readonly RowWrite[]): void {
-  if (writes.length === 0 || writes.length > TRANSACTION_ROW_LIMIT) {
+  if (writes.length === 0 || writes.length > MAX_TRANSACTION_ROWS) {
     throw new RangeError(
-      `a transaction holds 1 to ${TRANSACTION_ROW_LIMIT} rows, not ${writes.length}`,
+      `a transaction holds 1 to ${MAX_TRANSACTION_ROWS} rows, not ${writes.length}`,
     );
   }
   const keys = new Set(writes.map(write => write.key));
--- a/src/infrastructure/table/node/httpTableService.ts
+++ b/src/infrastructure/table/node/httpTableService.ts
@@ -37,7 +37,7 @@
   ),
 });
 
-/** The platform's table over HTTP; the protocol stands in docs/PROTOCOLS.md. */
+/** HTTP client of the platform's table; docs/PROTOCOLS.md specifies the protocol. */
 export class HttpTableService extends TableService implements Disposable {
   private readonly client: StorageClient;
 
@@ -54,16 +54,16 @@
     keys: readonly string[],
     token: CancellationToken,
   ): Promise<Result<ReadonlyArray<TableRow | undefined>, StorageError>> {
-    const answer = await this.client.call(
-      post('/v1/table/read', {keys}),
+    const response = await this.client.call(
+      createPostRequest('/v1/table/read', {keys}),
       readSchema,
       token,
     );
-    if (!answer.ok) {
-      return answer;
+    if (!response.ok) {
+      return response;
     }
-    const rows = answer.value.rows.map(row => row ?? undefined);
-    return rowsBelongTo(keys, rows) ? success(rows) : otherRows();
+    const rows = response.value.rows.map(row => row ?? undefined);
+    return areRequestedRows(keys, rows) ? success(rows) : createRowMismatch();
   }
 
   override async scan(
@@ -72,18 +72,18 @@
     limit: number,
     token: CancellationToken,
   ): Promise<Result<readonly TableRow[], StorageError>> {
-    const answer = await this.client.call(
-      post('/v1/table/scan', {prefix, after, limit}),
+    const response = await this.client.call(
+      createPostRequest('/v1/table/scan', {prefix, after, limit}),
       scanSchema,
       token,
     );
-    if (!answer.ok) {
-      return answer;
+    if (!response.ok) {
+      return response;
     }
-    const {rows} = answer.value;
+    const {rows} = response.value;
     return rows.every(row => row.key.startsWith(prefix))
       ? success(rows)
-      : otherRows();
+      : createRowMismatch();
   }
 
   override async transact(
@@ -96,16 +96,18 @@
       mode,
       writes: writes.map(write => ({...write, value: write.value ?? null})),
     };
-    const answer = await this.client.call(
-      post('/v1/table/transact', body),
+    const response = await this.client.call(
+      createPostRequest('/v1/table/transact', body),
       transactSchema,
       token,
     );
-    if (!answer.ok) {
-      return answer;
+    if (!response.ok) {
+      return response;
     }
-    const outcomes = answer.value.outcomes.map(toOutcome);
-    return outcomesBelongTo(writes, outcomes) ? success(outcomes) : otherRows();
+    const outcomes = response.value.outcomes.map(toOutcome);
+    return areRequestedOutcomes(writes, outcomes)
+      ? success(outcomes)
+      : createRowMismatch();
   }
 
   dispose(): void {
@@ -113,15 +115,15 @@
   }
 }
 
-type WireOutcome = z.infer<typeof transactSchema>['outcomes'][number];
+type OutcomeBody = z.infer<typeof transactSchema>['outcomes'][number];
 
-function toOutcome(outcome: WireOutcome): WriteOutcome {
+function toOutcome(outcome: OutcomeBody): WriteOutcome {
   return outcome.kind === 'conflict'
     ? {kind: 'conflict', current: outcome.current ?? undefined}
     : outcome;
 }
 
-function rowsBelongTo(
+function areRequestedRows(
   keys: readonly string[],
   rows: ReadonlyArray<TableRow | undefined>,
 ): boolean {
@@ -131,7 +133,7 @@
   );
 }
 
-function outcomesBelongTo(
+function areRequestedOutcomes(
   writes: readonly RowWrite[],
   outcomes: readonly WriteOutcome[],
 ): boolean {
@@ -146,11 +148,11 @@
   );
 }
 
-function otherRows(): Result<never, StorageError> {
+function createRowMismatch(): Result<never, StorageError> {
   const detail = 'the answer names other rows than asked';
   return failure({kind: 'outcomeUnknown', detail});
 }
 
-function post(path: string, body: unknown) {
+function createPostRequest(path: string, body: unknown) {
   return {method: 'POST', path, body: JSON.stringify(body)};
 }
--- a/src/infrastructure/weights/common/weightStore.ts
+++ b/src/infrastructure/weights/common/weightStore.ts
@@ -2,18 +2,18 @@
 import {Result} from '../../../base/common/result.js';
 import {StorageError} from '../../table/common/tableService.js';
 
-/** What the weight store says of one version of a model. */
+/** Describes the weights of one version of a model. */
 export interface WeightManifest {
   readonly model: string;
   readonly version: string;
   readonly layerCount: number;
-  /** Bytes of one layer. */
+  /** Size of one layer. */
   readonly layerBytes: number;
-  /** Bytes a second that the store serves to all readers together. */
+  /** Total read bandwidth of the store, shared by all readers. */
   readonly bytesPerSecond: number;
 }
 
-/** The platform's rate-limited store of model weights, as a port; engines fetch from it themselves. */
+/** Interface of the platform's rate-limited store of model weights. Engines fetch the weights themselves. */
 export abstract class WeightStore {
   abstract manifest(
     model: string,
--- a/src/infrastructure/weights/node/httpWeightStore.ts
+++ b/src/infrastructure/weights/node/httpWeightStore.ts
@@ -16,7 +16,7 @@
   bytesPerSecond: z.number().positive(),
 });
 
-/** The platform's weight store over HTTP; the protocol stands in docs/PROTOCOLS.md. */
+/** HTTP client of the platform's weight store; docs/PROTOCOLS.md specifies the protocol. */
 export class HttpWeightStore extends WeightStore implements Disposable {
   private readonly client: StorageClient;
 
