--- a/src/programs/control/controlCore.ts
+++ b/src/programs/control/controlCore.ts
@@ -18,28 +18,32 @@
 import {MemberSpreader} from '../../features/peers/common/memberSpreader.js';
 import {PeerExchanger} from '../../features/peers/common/peerExchanger.js';
 import {PeerResponder} from '../../features/peers/common/peerResponder.js';
-import {ChangeDesk} from './changeDesk.js';
-import {ControlPorts, ControlTimes} from './controlPorts.js';
+import {ProposalCoordinator} from './proposalCoordinator.js';
+import {ControlDependencies, ControlTimings} from './controlDependencies.js';
 import {MemberTracker} from './memberTracker.js';
 
-const SECOND = 1_000;
-const EVALUATION_MILLISECONDS = 500;
-const PLATFORM_CALL_MILLISECONDS = 2_000;
-/** While the table fails and it isn't known whether it fails for a majority, peers are asked so many times as often, for a while. */
-const HURRY_FACTOR = 4;
-const HURRY_MILLISECONDS = 30_000;
-/** An instance that no peer answered for so many periods reads the list by itself. */
-const SILENT_EXCHANGES = 4;
+const MILLISECONDS_PER_SECOND = 1_000;
+const EVALUATION_PERIOD_MILLISECONDS = 500;
+const PLATFORM_CALL_TIMEOUT_MILLISECONDS = 2_000;
+/**
+ * While the table fails here and it is not known whether it fails for a majority of instances, the exchange period is
+ * divided by this factor.
+ */
+const FAST_EXCHANGE_FACTOR = 4;
+/** Time after the start of a table failure during which the shorter exchange period applies. */
+const FAST_EXCHANGE_MILLISECONDS = 30_000;
+/** After this number of exchange periods without a response from any peer, an instance reads the list on its own. */
+const UNANSWERED_EXCHANGE_LIMIT = 4;
 
-/** Everything the control program does apart from its servers. */
+/** The control program without its servers: follows the configuration, the membership list and the peers. */
 export class ControlCore extends DisposableOwner {
   readonly replica: ConfigurationReplica;
   readonly state: LocalState;
   readonly responder: PeerResponder;
   readonly publisher: ViewPublisher;
-  readonly changes: ChangeDesk;
+  readonly proposals: ProposalCoordinator;
   private readonly reader: ConfigurationReader;
-  private readonly keeper: StandingKeeper;
+  private readonly standingKeeper: StandingKeeper;
   private readonly exchanger: PeerExchanger;
   private readonly spreader: MemberSpreader;
   private readonly tasks: readonly RepeatingTask[];
@@ -48,144 +52,158 @@
 
   constructor(
     id: string,
-    private readonly times: ControlTimes,
-    private readonly ports: ControlPorts,
+    private readonly timings: ControlTimings,
+    private readonly dependencies: ControlDependencies,
   ) {
     super();
-    const {clock, random, logger} = ports;
+    const {clock, random, logger} = dependencies;
     this.replica = this.register(new ConfigurationReplica());
     this.state = new LocalState(
       id,
       this.replica,
       clock,
-      times.confirmationBoundSeconds * SECOND,
+      timings.confirmationBoundSeconds * MILLISECONDS_PER_SECOND,
     );
     this.responder = this.register(new PeerResponder(this.state));
     this.publisher = this.register(new ViewPublisher());
-    this.keeper = this.register(new StandingKeeper(clock));
+    this.standingKeeper = this.register(new StandingKeeper(clock));
     this.entry = new EntryPresence(clock);
-    const log = new ConfigurationStore(ports.table, ports.objects);
-    this.reader = new ConfigurationReader(log, this.replica, clock);
+    const store = new ConfigurationStore(
+      dependencies.table,
+      dependencies.objects,
+    );
+    this.reader = new ConfigurationReader(store, this.replica, clock);
     this.exchanger = new PeerExchanger(
       this.state,
-      ports.peers,
+      dependencies.peers,
       this.responder,
       random,
     );
     this.spreader = this.register(
       new MemberSpreader(this.state, this.exchanger, this.responder),
     );
-    const members = this.register(this.createTracker());
-    this.changes = this.register(this.createChangeDesk(log));
-    this.headTask = this.task(
-      () => times.headReadSeconds * SECOND,
+    const memberTracker = this.register(this.createMemberTracker());
+    this.proposals = this.register(this.createProposalCoordinator(store));
+    this.headTask = this.createTask(
+      () => timings.headReadSeconds * MILLISECONDS_PER_SECOND,
       token => this.readHead(token),
     );
-    this.tasks = this.createTasks(members);
+    this.tasks = this.createTasks(memberTracker);
     this.register(this.replica.onDidChange(() => this.evaluate()));
     this.register(this.responder.onDidLearn(() => this.learned()));
-    this.register(members.onDidChange(() => this.evaluate()));
+    this.register(memberTracker.onDidChange(() => this.evaluate()));
     this.register(
-      this.keeper.onDidChange(standing =>
+      this.standingKeeper.onDidChange(standing =>
         logger.decision('standing', {standing: standing.kind}),
       ),
     );
   }
 
-  /** Begins to read the table and the list and to ask peers. */
+  /** Starts to read the table and the membership list, and to exchange state with peers. */
   start(): void {
     for (const task of this.tasks) {
       task.runNow();
     }
   }
 
-  /** The newest view, decided from what is known at this moment. */
+  /** Re-evaluates the state and returns the current view. */
   view(): SystemView {
     this.evaluate();
     return this.publisher.current;
   }
 
-  /** The entry program of this instance introduced itself. */
+  /** Handles an announcement of this instance's entry program. */
   announce(announcement: EntryAnnouncement): void {
     this.entry.announce(announcement);
     this.evaluate();
   }
 
-  /** The entry program of this instance asked for something. */
+  /** Records a call of this instance's entry program, as a sign that it is alive. */
   noteEntry(): void {
     this.entry.noteHeard();
   }
 
-  /** Takes no new work, tells all peers, then stops. */
+  /** Stops accepting new work, notifies all peers, then stops. */
   async leave(): Promise<void> {
-    this.keeper.leave();
+    this.standingKeeper.leave();
     this.state.setRecord({leaving: true, ready: false});
     this.evaluate();
-    await this.changes.handOver([]);
-    this.keeper.stop();
+    await this.proposals.broadcast([]);
+    this.standingKeeper.stop();
     this.evaluate();
   }
 
-  private createChangeDesk(log: ConfigurationStore): ChangeDesk {
+  private createProposalCoordinator(
+    store: ConfigurationStore,
+  ): ProposalCoordinator {
     const {reader, replica, exchanger} = this;
-    const {clock, nonce, logger} = this.ports;
+    const {clock, nonce, logger} = this.dependencies;
     const proposer = new ConfigurationProposer(
-      log,
+      store,
       reader,
       replica,
       clock,
       nonce,
       logger,
     );
-    return new ChangeDesk(log, proposer, exchanger, clock, logger);
+    return new ProposalCoordinator(store, proposer, exchanger, clock, logger);
   }
 
-  private createTasks(members: MemberTracker): readonly RepeatingTask[] {
+  private createTasks(memberTracker: MemberTracker): readonly RepeatingTask[] {
     return [
-      this.task(
-        () => this.times.membershipReadSeconds * SECOND,
-        token => members.readIfDue(token),
+      this.createTask(
+        () => this.timings.membershipReadSeconds * MILLISECONDS_PER_SECOND,
+        token => memberTracker.readIfDue(token),
       ),
       this.headTask,
-      this.task(
-        () => this.exchangeMilliseconds(),
+      this.createTask(
+        () => this.exchangePeriodMilliseconds(),
         token => this.exchange(token),
       ),
-      this.task(
-        () => EVALUATION_MILLISECONDS,
+      this.createTask(
+        () => EVALUATION_PERIOD_MILLISECONDS,
         () => Promise.resolve(this.evaluate()),
       ),
     ];
   }
 
-  private createTracker(): MemberTracker {
-    const {times, state, spreader} = this;
-    const {membership: list, clock, random, logger, metrics} = this.ports;
+  private createMemberTracker(): MemberTracker {
+    const {timings, state, spreader} = this;
+    const {
+      membership: list,
+      clock,
+      random,
+      logger,
+      metrics,
+    } = this.dependencies;
     return new MemberTracker(
       {list, state, spreader, clock, random, logger, metrics},
       {
-        shortestMilliseconds: times.membershipReadSeconds * SECOND,
-        bytesPerSecond: times.membershipReadBytesPerSecond,
+        shortestMilliseconds:
+          timings.membershipReadSeconds * MILLISECONDS_PER_SECOND,
+        bytesPerSecond: timings.membershipReadBytesPerSecond,
       },
-      SILENT_EXCHANGES * times.peerExchangeSeconds * SECOND,
+      UNANSWERED_EXCHANGE_LIMIT *
+        timings.peerExchangeSeconds *
+        MILLISECONDS_PER_SECOND,
     );
   }
 
-  private task(
+  private createTask(
     period: () => number,
     run: (token: CancellationToken) => Promise<void>,
   ): RepeatingTask {
-    const {clock, random} = this.ports;
+    const {clock, random} = this.dependencies;
     return this.register(new RepeatingTask(clock, random, period, run));
   }
 
   private async readHead(token: CancellationToken): Promise<void> {
-    const reading = await this.bounded(
+    const reading = await this.withTimeout(
       token,
-      PLATFORM_CALL_MILLISECONDS,
+      PLATFORM_CALL_TIMEOUT_MILLISECONDS,
       call => this.reader.readHead(call),
     );
-    this.ports.metrics.count('control.head_reads', 1, {
+    this.dependencies.metrics.count('control.head_reads', 1, {
       outcome: reading.ok ? 'ok' : reading.error.kind,
     });
     if (reading.ok) {
@@ -202,15 +220,18 @@
     this.evaluate();
   }
 
-  private exchangeMilliseconds(): number {
-    const period = this.times.peerExchangeSeconds * SECOND;
-    const since = this.state.tableFailedSince;
-    const now = this.ports.clock.monotonicMilliseconds();
-    if (since === undefined || now - since > HURRY_MILLISECONDS) {
+  private exchangePeriodMilliseconds(): number {
+    const period = this.timings.peerExchangeSeconds * MILLISECONDS_PER_SECOND;
+    const failedSince = this.state.tableFailedSince;
+    const now = this.dependencies.clock.monotonicMilliseconds();
+    if (
+      failedSince === undefined ||
+      now - failedSince > FAST_EXCHANGE_MILLISECONDS
+    ) {
       return period;
     }
     const {failed, listed} = this.state.outageEvidence();
-    return failed * 2 > listed ? period : period / HURRY_FACTOR;
+    return failed * 2 > listed ? period : period / FAST_EXCHANGE_FACTOR;
   }
 
   private learned(): void {
@@ -222,25 +243,25 @@
 
   private evaluate(): void {
     this.state.noteSelf();
-    this.keeper.evaluate({
-      now: this.ports.clock.monotonicMilliseconds(),
+    this.standingKeeper.evaluate({
+      now: this.dependencies.clock.monotonicMilliseconds(),
       boundMilliseconds: this.state.boundMilliseconds,
       appliedRevision: this.replica.current.revision,
       knownRevision: this.replica.knownRevision,
       confirmedAt: this.state.confirmation.confirmedAt,
       outage: this.state.outageEvidence(),
     });
-    this.updateRecord();
+    this.updateOwnRecord();
     this.publisher.publish({
-      standing: this.keeper.standing,
+      standing: this.standingKeeper.standing,
       configuration: this.replica.current,
-      instances: this.state.directory.views(id => this.isHeard(id)),
+      instances: this.state.directory.views(id => this.isHeardRecently(id)),
       upstreams: this.state.directory.upstreams,
     });
   }
 
-  private updateRecord(): void {
-    const {standing} = this.keeper;
+  private updateOwnRecord(): void {
+    const {standing} = this.standingKeeper;
     if (standing.kind === 'leaving') {
       return;
     }
@@ -248,23 +269,24 @@
     const ready = standing.kind === 'serving' && isAlive && !leaving;
     if (this.state.setRecord({ready, leaving, incarnation})) {
       this.responder.noteChange(this.state.id);
-      void this.changes.handOver([]);
+      void this.proposals.broadcast([]);
     }
   }
 
-  private isHeard(id: string): boolean {
+  private isHeardRecently(id: string): boolean {
     const heardAt = this.state.statuses.get(id)?.heardAt;
-    const now = this.ports.clock.monotonicMilliseconds();
+    const now = this.dependencies.clock.monotonicMilliseconds();
     return (
-      heardAt !== undefined && now - heardAt < UNKNOWN_AGE_SECONDS * SECOND
+      heardAt !== undefined &&
+      now - heardAt < UNKNOWN_AGE_SECONDS * MILLISECONDS_PER_SECOND
     );
   }
 
-  private bounded<T>(
+  private withTimeout<T>(
     token: CancellationToken,
     milliseconds: number,
     call: (token: CancellationToken) => Promise<T>,
   ): Promise<T> {
-    return withDeadline(this.ports.clock, token, milliseconds, call);
+    return withDeadline(this.dependencies.clock, token, milliseconds, call);
   }
 }
--- a/src/programs/control/controlPorts.ts
+++ b/src/programs/control/controlDependencies.ts
@@ -8,19 +8,19 @@
 import {ObjectStore} from '../../infrastructure/objects/common/objectStore.js';
 import {TableService} from '../../infrastructure/table/common/tableService.js';
 
-/** Periods and bounds, in seconds. */
-export interface ControlTimes {
+/** Periods and time limits of the control program. */
+export interface ControlTimings {
   readonly headReadSeconds: number;
-  /** Between reads of the list by an instance alone, and between any two reads by all instances. */
+  /** Interval between reads of the list by an instance that reaches no peer, and average interval between all reads. */
   readonly membershipReadSeconds: number;
-  /** Spent on reading the list by each instance, as long as all together read often enough. */
+  /** Rate at which an instance reads the list, if all instances together read often enough. */
   readonly membershipReadBytesPerSecond: number;
   readonly peerExchangeSeconds: number;
   readonly confirmationBoundSeconds: number;
 }
 
-/** The outside of the core. */
-export interface ControlPorts {
+/** Dependencies of `ControlCore`. */
+export interface ControlDependencies {
   readonly table: TableService;
   readonly objects: ObjectStore;
   readonly membership: MembershipList;
--- a/src/programs/control/wiring.ts
+++ b/src/programs/control/controlProgram.ts
@@ -36,26 +36,26 @@
 import {HttpTableService} from '../../infrastructure/table/node/httpTableService.js';
 import {HttpWeightStore} from '../../infrastructure/weights/node/httpWeightStore.js';
 import {ControlCore} from './controlCore.js';
-import {describeStatus} from './statusReport.js';
+import {createStatusReport} from './statusReport.js';
 
 const PROGRAM = 'redwing-control';
 const SEED_BYTES = 4;
-/** Calls to the platform at once, for each of its services. */
+/** Connections to each of the platform's services. */
 const PLATFORM_CONNECTIONS = 2;
-/** Placement asks each engine for one thing at a time. */
+/** Placement sends one request at a time to each engine. */
 const ENGINE_CONNECTIONS = {
   steps: {connections: 1},
   control: {connections: 1},
 };
 
-/** What is read from files beside the settings. */
+/** Secrets from the files that the settings refer to. */
 export interface ControlSecrets {
   readonly peerKey: string;
-  /** Operators' names to hex SHA-256 hashes of their keys. */
+  /** Hex SHA-256 hashes of the operators' keys, by operator name. */
   readonly operatorKeys: Readonly<Record<string, string>>;
 }
 
-/** The running control program; the one place that joins its parts. */
+/** The control program; creates and connects its components. */
 export class ControlProgram extends DisposableOwner {
   private readonly logger: Logger;
   private readonly metrics: Metrics;
@@ -83,15 +83,15 @@
       createPeerRouter(this.core.responder),
       createViewRouter(this.core, watcher),
     );
-    const calls = createRpcHandler(router, secrets.peerKey);
+    const handleRpc = createRpcHandler(router, secrets.peerKey);
     const administration = this.createAdministration(secrets);
     this.listener = (request, response) =>
       request.url?.startsWith('/v1/') === true
         ? administration.listener(request, response)
-        : calls(request, response);
+        : handleRpc(request, response);
   }
 
-  /** Listens, then begins to read the table and the list. */
+  /** Starts to listen, then to read the table and the membership list. */
   async start(): Promise<void> {
     const server = createServer(this.listener);
     const {host, port} = parseAddress(this.settings.controlAddress);
@@ -110,7 +110,7 @@
     this.logger.info('listening', {address: this.settings.controlAddress});
   }
 
-  /** Tells peers and the entry program, then releases everything. */
+  /** Notifies the peers and the entry program, then disposes everything. */
   async stop(): Promise<void> {
     this.logger.info('leaving');
     await Promise.all([this.core.leave(), this.placement?.stop()]);
@@ -182,11 +182,11 @@
     return new AdministrationApi(
       {
         configuration: () => core.replica.current,
-        status: () => describeStatus(core),
+        status: () => createStatusReport(core),
         isServing: () => core.view().standing.kind === 'serving',
-        readLog: (after, token) => core.changes.readLog(after, token),
+        readLog: (after, token) => core.proposals.readLog(after, token),
         propose: (proposal, operator, token) =>
-          core.changes.propose(proposal, operator, token),
+          core.proposals.propose(proposal, operator, token),
       },
       new OperatorKeys(secrets.operatorKeys),
       this.logger,
--- a/src/programs/control/main.ts
+++ b/src/programs/control/main.ts
@@ -14,16 +14,18 @@
   readSecretFile,
   readSettings,
 } from '../../infrastructure/settings/node/readSettings.js';
-import {ControlProgram, ControlSecrets} from './wiring.js';
+import {ControlProgram, ControlSecrets} from './controlProgram.js';
 
-/** The program `redwing-control`. */
+/** Command line of the program `redwing-control`. */
 
-interface Loaded {
+interface LoadedSettings {
   readonly settings: ControlSettings;
   readonly secrets: ControlSecrets;
 }
 
-function load(path: string): Result<Loaded, readonly Finding[]> {
+function loadSettings(
+  path: string,
+): Result<LoadedSettings, readonly Finding[]> {
   const settings = readSettings(path, controlSettingsSchema);
   if (!settings.ok) {
     return settings;
@@ -61,7 +63,7 @@
   readonly settingsFile = Option.String({name: 'settings'});
 
   override async execute(): Promise<number> {
-    const loaded = load(this.settingsFile);
+    const loaded = loadSettings(this.settingsFile);
     if (!loaded.ok) {
       this.context.stderr.write(formatFindings(loaded.error));
       return USAGE_EXIT_CODE;
@@ -69,13 +71,13 @@
     const {settings, secrets} = loaded.value;
     const program = new ControlProgram(settings, secrets);
     await program.start();
-    await stopSignal();
+    await waitForStopSignal();
     await program.stop();
     return 0;
   }
 }
 
-/** Checks a settings file and the files that it names. */
+/** Checks a settings file and the files that it refers to. */
 class CheckSettingsCommand extends Command {
   static override paths = [['check-settings']];
   static override usage = Command.Usage({
@@ -85,7 +87,7 @@
   readonly settingsFile = Option.String({name: 'settings'});
 
   override async execute(): Promise<number> {
-    const loaded = load(this.settingsFile);
+    const loaded = loadSettings(this.settingsFile);
     if (!loaded.ok) {
       this.context.stderr.write(formatFindings(loaded.error));
       return USAGE_EXIT_CODE;
@@ -95,7 +97,7 @@
   }
 }
 
-function stopSignal(): Promise<void> {
+function waitForStopSignal(): Promise<void> {
   return new Promise(resolve => {
     process.once('SIGTERM', () => resolve());
     process.once('SIGINT', () => resolve());
@@ -111,5 +113,5 @@
   process.argv.slice(2),
   process,
 );
-// Connections that peers keep open must not delay the end.
+// Connections kept open by peers must not delay the exit.
 process.exit(exitCode);
--- a/src/programs/control/memberTracker.ts
+++ b/src/programs/control/memberTracker.ts
@@ -15,10 +15,9 @@
 import {MembershipList} from '../../infrastructure/membership/common/membershipList.js';
 import {Metrics} from '../../infrastructure/metrics/common/metrics.js';
 
-const CALL_MILLISECONDS = 2_000;
+const READ_TIMEOUT_MILLISECONDS = 2_000;
 
-/** What the tracker works with. */
-export interface MemberTrackerParts {
+export interface MemberTrackerDependencies {
   readonly list: MembershipList;
   readonly state: LocalState;
   readonly spreader: MemberSpreader;
@@ -28,23 +27,23 @@
   readonly metrics: Metrics;
 }
 
-/** Keeps the list of members: shares the reading with the other instances and spreads what it finds. */
+/** Keeps the membership list up to date. The instances take turns to read it and notify each other of changes. */
 export class MemberTracker extends DisposableOwner {
-  private readonly changed = this.register(new Emitter<void>());
+  private readonly changeEmitter = this.register(new Emitter<void>());
   private readonly plan: ListReadPlan;
   private readonly reader: ListReader;
 
   /** Fires after the list of members changed. */
-  readonly onDidChange = this.changed.event;
+  readonly onDidChange = this.changeEmitter.event;
 
-  /** @param silenceMilliseconds an instance that no peer answered for so long reads by itself. */
+  /** @param silenceMilliseconds after this time without a response from any peer, the instance reads on its own. */
   constructor(
-    private readonly parts: MemberTrackerParts,
+    private readonly dependencies: MemberTrackerDependencies,
     limits: ListReadLimits,
     private readonly silenceMilliseconds: number,
   ) {
     super();
-    const {list, state, spreader, clock, random, logger} = parts;
+    const {list, state, spreader, clock, random, logger} = dependencies;
     this.plan = new ListReadPlan(clock, random, limits);
     this.reader = new ListReader(
       list,
@@ -54,18 +53,21 @@
       logger,
       id => state.isHeardLately(id),
     );
-    this.register(spreader.onDidLearn(() => this.changed.fire()));
+    this.register(spreader.onDidLearn(() => this.changeEmitter.fire()));
     this.register(spreader.onDidStayDifferent(() => this.plan.wantRepair()));
   }
 
-  /** Reads the list if it is this instance's turn; called once in each shortest period. */
+  /** Reads the list if a read is due; called once in each shortest period. */
   async readIfDue(token: CancellationToken): Promise<void> {
-    const {state, spreader, clock, metrics} = this.parts;
+    const {state, spreader, clock, metrics} = this.dependencies;
     if (!this.plan.isDue(state.sharers(this.silenceMilliseconds))) {
       return;
     }
-    const reading = await withDeadline(clock, token, CALL_MILLISECONDS, call =>
-      this.reader.read(call),
+    const reading = await withDeadline(
+      clock,
+      token,
+      READ_TIMEOUT_MILLISECONDS,
+      call => this.reader.read(call),
     );
     metrics.count('control.list_reads', 1, {
       outcome: reading.ok ? 'ok' : reading.error.kind,
@@ -74,7 +76,7 @@
       return;
     }
     state.membersChanged();
-    this.changed.fire();
+    this.changeEmitter.fire();
     if (reading.value.isNews) {
       spreader.announce();
     }
--- a/src/programs/control/changeDesk.ts
+++ b/src/programs/control/proposalCoordinator.ts
@@ -19,19 +19,19 @@
 } from '../../features/peers/common/peerExchanger.js';
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 
-const HANDOVER_MILLISECONDS = 2_000;
-const SNAPSHOT_MILLISECONDS = 5_000;
-const NO_MAJORITY =
+const BROADCAST_TIMEOUT_MILLISECONDS = 2_000;
+const SNAPSHOT_TIMEOUT_MILLISECONDS = 5_000;
+const NO_MAJORITY_DETAIL =
   'this instance reaches no majority of the listed instances; a change could not be made known';
 
-/** The outcome of a proposal and how far it was handed on. */
+/** The outcome of a proposal and, if it was accepted, of its broadcast to the peers. */
 export interface ProposalReport {
   readonly result: ProposalResult;
   readonly handover: Handover | undefined;
 }
 
-/** Takes proposals: makes sure that a majority can be told, commits, and tells all peers. */
-export class ChangeDesk implements Disposable {
+/** Handles proposals: checks that a majority of instances is reachable, commits, and notifies all peers. */
+export class ProposalCoordinator implements Disposable {
   private readonly lifetime = new CancellationSource();
 
   constructor(
@@ -42,26 +42,26 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Proposes a change and hands an accepted one to all peers. */
+  /** Proposes a change and, if it is accepted, broadcasts it to all peers. */
   async propose(
     proposal: Proposal,
     operator: string,
     token: CancellationToken,
   ): Promise<ProposalReport> {
-    if (!(await this.canInformMajority())) {
-      const error = {kind: 'unavailable', detail: NO_MAJORITY} as const;
+    if (!(await this.canReachMajority())) {
+      const error = {kind: 'unavailable', detail: NO_MAJORITY_DETAIL} as const;
       return {result: failure(error), handover: undefined};
     }
     const result = await this.proposer.propose(proposal, operator, token);
     if (!result.ok) {
       return {result, handover: undefined};
     }
-    const handover = await this.handOver([result.value]);
+    const handover = await this.broadcast([result.value]);
     void this.writeSnapshot(result.value.revision);
     return {result, handover};
   }
 
-  /** Reads up to 100 revisions after one from the log; undefined when the table can't be read. */
+  /** Reads up to 100 revisions after a given one from the log; undefined if the table cannot be read. */
   async readLog(
     after: number,
     token: CancellationToken,
@@ -70,12 +70,12 @@
     return rows.ok ? rows.value : undefined;
   }
 
-  /** Tells all peers of this instance's record and of new revisions. */
-  handOver(revisions: readonly ConfigurationRevision[]): Promise<Handover> {
+  /** Sends this instance's record and new revisions to all peers. */
+  broadcast(revisions: readonly ConfigurationRevision[]): Promise<Handover> {
     return withDeadline(
       this.clock,
       this.lifetime.token,
-      HANDOVER_MILLISECONDS,
+      BROADCAST_TIMEOUT_MILLISECONDS,
       token => this.exchanger.broadcast(revisions, token),
     );
   }
@@ -85,11 +85,11 @@
   }
 
   /**
-   * A majority that can't reach the table goes on with the revision that it holds, so a change
-   * that no majority can be told of must not be accepted.
+   * A majority without access to the table keeps serving its current revision, so a change is accepted only if a
+   * majority can be notified of it.
    */
-  private async canInformMajority(): Promise<boolean> {
-    const {acknowledged, listed} = await this.handOver([]);
+  private async canReachMajority(): Promise<boolean> {
+    const {acknowledged, listed} = await this.broadcast([]);
     return acknowledged * 2 > listed;
   }
 
@@ -97,7 +97,7 @@
     const written = await withDeadline(
       this.clock,
       this.lifetime.token,
-      SNAPSHOT_MILLISECONDS,
+      SNAPSHOT_TIMEOUT_MILLISECONDS,
       token => this.proposer.snapshotIfDue(revision, token),
     );
     if (!written.ok) {
--- a/src/programs/control/statusReport.ts
+++ b/src/programs/control/statusReport.ts
@@ -1,7 +1,7 @@
 import {ControlCore} from './controlCore.js';
 
-/** What `GET /v1/status` shows. */
-export function describeStatus(core: ControlCore): unknown {
+/** Creates the response body of `GET /v1/status`. */
+export function createStatusReport(core: ControlCore): unknown {
   const view = core.view();
   const {state} = core;
   const now = state.clock.monotonicMilliseconds();
--- a/src/programs/control/test/controlCluster.ts
+++ b/src/programs/control/test/controlCluster.ts
@@ -10,14 +10,14 @@
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {InMemoryPlatform} from '../../../../test/support/inMemoryPlatform.js';
 import {instanceMember} from '../../../../test/support/members.js';
-import {ProposalReport} from '../changeDesk.js';
+import {ProposalReport} from '../proposalCoordinator.js';
 import {ControlCore} from '../controlCore.js';
-import {ControlTimes} from '../controlPorts.js';
+import {ControlTimings} from '../controlDependencies.js';
 import {PeerNetwork} from './peerNetwork.js';
 
-/** Several control cores over one in-memory platform and one fake clock. */
+/** Test cluster of control cores with a shared in-memory platform and a fake clock. */
 
-export const times: ControlTimes = {
+export const defaultTimings: ControlTimings = {
   headReadSeconds: 2,
   membershipReadSeconds: 2,
   membershipReadBytesPerSecond: 400,
@@ -25,7 +25,7 @@
   confirmationBoundSeconds: 10,
 };
 
-/** A class of work of a name. */
+/** Creates the operation that sets a class of work. */
 export function setClass(
   name: string,
   deadlineMilliseconds = 9_000,
@@ -43,38 +43,38 @@
   };
 }
 
-/** The cores and the faults between them. */
+/** The control cores and the faults between them. */
 export class ControlCluster extends PeerNetwork {
   readonly clock = new FakeClock();
   readonly platform = new InMemoryPlatform(this.clock);
   readonly cores = new Map<string, ControlCore>();
-  private nonces = 0;
+  private nonceCount = 0;
 
   constructor(
     readonly ids: readonly string[],
     private readonly seed = 1,
-    private readonly clusterTimes = times,
+    private readonly timings = defaultTimings,
   ) {
     super();
     this.platform.members = ids.map(id => instanceMember(id));
   }
 
-  /** Starts all instances and waits until they had time to meet. */
+  /** Starts all instances and runs long enough for the first exchanges. */
   async startAll(): Promise<void> {
     this.ids.forEach(id => this.start(id));
     await this.run(5);
   }
 
-  /** Starts an instance, or a new process in its place. */
+  /** Starts an instance; replaces a running one, like a restart of the process. */
   start(id: string): ControlCore {
     this.cores.get(id)?.dispose();
     const ports = this.platform.portsOf(id);
-    const core = new ControlCore(id, this.clusterTimes, {
+    const core = new ControlCore(id, this.timings, {
       ...ports,
       peers: this.connectionOf(id),
       clock: this.clock,
       random: new SeededRandomSource(this.seed * 1_000 + this.ids.indexOf(id)),
-      nonce: () => `nonce-${++this.nonces}`,
+      nonce: () => `nonce-${++this.nonceCount}`,
       logger: new SilentLogger(),
       metrics: new SilentMetrics(),
     });
@@ -95,7 +95,7 @@
     await this.clock.advanceAsync(seconds * 1_000);
   }
 
-  /** Proposes and moves time on until the answer is there. */
+  /** Proposes a change and advances the clock until the result is available. */
   async propose(
     id: string,
     operations: readonly ConfigurationOperation[],
@@ -104,7 +104,7 @@
   ): Promise<ProposalReport> {
     let report: ProposalReport | undefined;
     const proposing = this.core(id)
-      .changes.propose({operations}, operator, token)
+      .proposals.propose({operations}, operator, token)
       .then(answer => {
         report = answer;
       });
@@ -115,8 +115,8 @@
     return report as unknown as ProposalReport;
   }
 
-  /** Cuts an instance off from the table. */
-  cutTable(id?: string): void {
+  /** Makes the table unavailable to one instance, or to all. */
+  disconnectTable(id?: string): void {
     const scope = {
       part: 'table' as const,
       ...(id === undefined ? {} : {instance: id}),
@@ -124,12 +124,12 @@
     this.platform.addFault({kind: 'down'}, scope);
   }
 
-  /** Cuts an instance off from all peers. */
+  /** Disconnects an instance from all peers. */
   isolate(id: string): void {
     this.groups.set(id, 1 + this.ids.indexOf(id));
   }
 
-  override travel(): Promise<void> {
+  override delay(): Promise<void> {
     return Promise.resolve();
   }
 
--- a/src/programs/control/test/controlCore.test.ts
+++ b/src/programs/control/test/controlCore.test.ts
@@ -2,29 +2,29 @@
 
 import {ControlCluster, setClass} from './controlCluster.js';
 
-const FIVE = ['a', 'b', 'c', 'd', 'e'];
+const INSTANCE_IDS = ['a', 'b', 'c', 'd', 'e'];
 
 let cluster: ControlCluster;
 
-async function started(): Promise<ControlCluster> {
-  cluster = new ControlCluster(FIVE);
+async function startCluster(): Promise<ControlCluster> {
+  cluster = new ControlCluster(INSTANCE_IDS);
   await cluster.startAll();
   return cluster;
 }
 
 function standings(): readonly string[] {
-  return FIVE.map(id => cluster.standing(id));
+  return INSTANCE_IDS.map(id => cluster.standing(id));
 }
 
 function revisions(): readonly number[] {
-  return FIVE.map(id => cluster.revision(id));
+  return INSTANCE_IDS.map(id => cluster.revision(id));
 }
 
 afterEach(() => cluster.dispose());
 
-describe('a change of the configuration', () => {
-  it('is in force on all instances at once', async () => {
-    await started();
+describe('a configuration change', () => {
+  it('is applied on all instances immediately', async () => {
+    await startCluster();
     const report = await cluster.propose('a', [setClass('orders')]);
     expect(report.result.ok).toBe(true);
     expect(report.handover).toEqual({acknowledged: 5, listed: 5});
@@ -33,9 +33,9 @@
     expect(standings()).toEqual(Array(5).fill('serving'));
   });
 
-  it('reaches an instance that is cut off from the table', async () => {
-    await started();
-    cluster.cutTable('e');
+  it('reaches an instance that cannot access the table', async () => {
+    await startCluster();
+    cluster.disconnectTable('e');
     await cluster.run(30);
     expect(cluster.standing('e')).toBe('serving');
     await cluster.propose('a', [setClass('orders')]);
@@ -43,8 +43,8 @@
     expect(cluster.revision('e')).toBe(1);
   });
 
-  it('reaches an instance that is cut off from its peers', async () => {
-    await started();
+  it('reaches an instance that cannot reach its peers', async () => {
+    await startCluster();
     cluster.isolate('e');
     await cluster.propose('a', [setClass('orders')]);
     await cluster.run(3);
@@ -55,9 +55,9 @@
 });
 
 describe('a proposal', () => {
-  it('is refused where no majority can be told of it', async () => {
-    await started();
-    ['b', 'c', 'd', 'e'].forEach(id => cluster.cutTable(id));
+  it('is refused if a majority of instances cannot be notified', async () => {
+    await startCluster();
+    ['b', 'c', 'd', 'e'].forEach(id => cluster.disconnectTable(id));
     await cluster.run(20);
     cluster.isolate('a');
     await cluster.run(40);
@@ -68,18 +68,18 @@
     expect(revisions()).toEqual([0, 0, 0, 0, 0]);
   });
 
-  it('by a minority just before the majority loses the table changes nothing', async () => {
-    await started();
+  it('changes nothing if made by a minority just before the majority loses the table', async () => {
+    await startCluster();
     ['c', 'd', 'e'].forEach(id => cluster.groups.set(id, 1));
     const report = await cluster.propose('a', [setClass('orders')]);
     expect(report.result).toMatchObject({error: {kind: 'unavailable'}});
-    ['a', 'c', 'd', 'e'].forEach(id => cluster.cutTable(id));
+    ['a', 'c', 'd', 'e'].forEach(id => cluster.disconnectTable(id));
     await cluster.run(40);
     expect(revisions()).toEqual([0, 0, 0, 0, 0]);
   });
 
-  it('is refused by an instance that has no list of instances yet', async () => {
-    cluster = new ControlCluster(FIVE);
+  it('is refused by an instance that has not read the membership list yet', async () => {
+    cluster = new ControlCluster(INSTANCE_IDS);
     cluster.platform.addFault({kind: 'down'}, {part: 'membership'});
     cluster.start('a');
     await cluster.run(5);
@@ -87,8 +87,8 @@
     expect(report.result).toMatchObject({error: {kind: 'unavailable'}});
   });
 
-  it('is refused by a minority and taken by the majority of a cut', async () => {
-    await started();
+  it('is refused by the minority and accepted by the majority of a network partition', async () => {
+    await startCluster();
     ['d', 'e'].forEach(id => cluster.groups.set(id, 1));
     const minority = await cluster.propose('e', [setClass('orders')]);
     expect(minority.result).toMatchObject({error: {kind: 'unavailable'}});
@@ -100,9 +100,9 @@
 });
 
 describe('an instance', () => {
-  it('stops serving when it is cut off from both, and resumes', async () => {
-    await started();
-    cluster.cutTable('e');
+  it('stops serving without access to the table and the peers, and resumes with access to the peers', async () => {
+    await startCluster();
+    cluster.disconnectTable('e');
     cluster.isolate('e');
     await cluster.propose('a', [setClass('orders')]);
     await cluster.run(11);
@@ -114,9 +114,9 @@
     expect(cluster.revision('e')).toBe(1);
   });
 
-  it('serves on through a long outage of the table with a majority of peers', async () => {
-    await started();
-    cluster.cutTable();
+  it('keeps serving during a long table outage while it reaches a majority of peers', async () => {
+    await startCluster();
+    cluster.disconnectTable();
     for (let second = 0; second < 120; second++) {
       await cluster.run(1);
       expect(standings()).toEqual(Array(5).fill('serving'));
@@ -125,7 +125,7 @@
     expect(report.result).toMatchObject({error: {kind: 'unavailable'}});
   });
 
-  it('serves on through an outage among 40 that meet rarely', async () => {
+  it('keeps serving during a table outage in a cluster of 40 with infrequent exchanges', async () => {
     const ids = Array.from({length: 40}, (_, index) => `n${index}`);
     cluster = new ControlCluster(ids, 1, {
       headReadSeconds: 3,
@@ -136,7 +136,7 @@
     });
     await cluster.startAll();
     await cluster.run(10);
-    cluster.cutTable();
+    cluster.disconnectTable();
     for (let second = 0; second < 30; second++) {
       await cluster.run(1);
       const stopped = ids.filter(id => cluster.standing(id) !== 'serving');
@@ -147,20 +147,23 @@
   it.each([
     {lost: ['d', 'e'], minority: 'cutOff', majority: 'serving'},
     {lost: ['c', 'd', 'e'], minority: 'cutOff', majority: 'cutOff'},
-  ])('without table and with $lost alone', async row => {
-    await started();
-    row.lost.forEach(id => cluster.isolate(id));
-    cluster.cutTable();
-    await cluster.run(60);
-    expect(cluster.standing('e')).toBe(row.minority);
-    expect(cluster.standing('a')).toBe(row.majority);
-  });
-
-  it('starts during an outage of the table once a majority confirms', async () => {
-    await started();
+  ])(
+    'without the table and with $lost isolated, is $minority in the minority and $majority in the majority',
+    async row => {
+      await startCluster();
+      row.lost.forEach(id => cluster.isolate(id));
+      cluster.disconnectTable();
+      await cluster.run(60);
+      expect(cluster.standing('e')).toBe(row.minority);
+      expect(cluster.standing('a')).toBe(row.majority);
+    },
+  );
+
+  it('starts during a table outage once a majority confirms the configuration', async () => {
+    await startCluster();
     await cluster.propose('a', [setClass('orders')]);
     await cluster.run(2);
-    cluster.cutTable();
+    cluster.disconnectTable();
     await cluster.run(20);
     cluster.start('e');
     expect(cluster.standing('e')).toBe('starting');
@@ -169,53 +172,55 @@
     expect(cluster.revision('e')).toBe(1);
   });
 
-  it('stays starting when neither table nor peers answer', async () => {
-    cluster = new ControlCluster(FIVE);
-    cluster.cutTable();
+  it('remains in state starting if neither the table nor the peers respond', async () => {
+    cluster = new ControlCluster(INSTANCE_IDS);
+    cluster.disconnectTable();
     cluster.start('a');
     await cluster.run(60);
     expect(cluster.standing('a')).toBe('starting');
   });
 
-  it('that wakes from a long pause does not serve before it has read', async () => {
-    await started();
+  it('does not serve after a long suspension until it has read the table', async () => {
+    await startCluster();
     cluster.clock.pause(60_000);
     expect(standings()).toEqual(Array(5).fill('cutOff'));
     await cluster.run(1);
     expect(standings()).toEqual(Array(5).fill('serving'));
   });
 
-  it('keeps the last list when the list can not be read', async () => {
-    await started();
+  it('keeps the last membership list if the list cannot be read', async () => {
+    await startCluster();
     cluster.platform.addFault({kind: 'down'}, {part: 'membership'});
     cluster.platform.members = [];
     await cluster.run(30);
     expect(cluster.core('a').view().instances).toHaveLength(5);
   });
 
-  it('takes a list that lacks many only when nobody hears of them any more', async () => {
-    await started();
+  it('applies a list without many known members only when no instance receives status of them any more', async () => {
+    await startCluster();
     const [a] = cluster.platform.members;
     cluster.platform.members = a === undefined ? [] : [a];
     await cluster.run(70);
     expect(cluster.core('a').view().instances).toHaveLength(5);
-    FIVE.slice(1).forEach(id => cluster.core(id).dispose());
-    FIVE.slice(1).forEach(id => cluster.isolate(id));
+    INSTANCE_IDS.slice(1).forEach(id => cluster.core(id).dispose());
+    INSTANCE_IDS.slice(1).forEach(id => cluster.isolate(id));
     await cluster.run(90);
     expect(cluster.core('a').view().instances).toHaveLength(1);
   });
 
-  it('takes a list that lacks one at once', async () => {
-    await started();
+  it('immediately applies a list without one known member', async () => {
+    await startCluster();
     cluster.platform.members = cluster.platform.members.slice(1);
     await cluster.run(3);
-    const counts = FIVE.map(id => cluster.core(id).view().instances.length);
+    const counts = INSTANCE_IDS.map(
+      id => cluster.core(id).view().instances.length,
+    );
     expect(counts).toEqual([4, 4, 4, 4, 4]);
   });
 
-  it('that leaves is not ready elsewhere at once', async () => {
-    await started();
-    FIVE.forEach(id =>
+  it('is immediately shown as not ready by others when it leaves', async () => {
+    await startCluster();
+    INSTANCE_IDS.forEach(id =>
       cluster.core(id).announce({incarnation: `${id}-1`, leaving: false}),
     );
     await cluster.run(1);
--- a/src/programs/control/test/controlProperties.test.ts
+++ b/src/programs/control/test/controlProperties.test.ts
@@ -2,14 +2,18 @@
 import {expect, it} from 'vitest';
 
 import {OUTAGE_EVIDENCE_FACTOR} from '../../../features/membership/common/confirmation.js';
-import {ControlCluster, setClass, times} from './controlCluster.js';
+import {ControlCluster, setClass, defaultTimings} from './controlCluster.js';
 
-/** Random cuts, outages, restarts and changes; what instances serve is checked each second. */
+/**
+ * Random network partitions, table outages, restarts and configuration changes. What the instances serve is checked
+ * every second.
+ */
 
-const IDS = ['a', 'b', 'c', 'd', 'e'];
+const INSTANCE_IDS = ['a', 'b', 'c', 'd', 'e'];
 const SLACK_SECONDS = 2;
-const LIMIT_SECONDS =
-  times.confirmationBoundSeconds * OUTAGE_EVIDENCE_FACTOR + SLACK_SECONDS;
+const STALENESS_LIMIT_SECONDS =
+  defaultTimings.confirmationBoundSeconds * OUTAGE_EVIDENCE_FACTOR +
+  SLACK_SECONDS;
 
 type Step =
   | {readonly kind: 'cutTable'; readonly who: readonly number[]}
@@ -19,7 +23,7 @@
   | {readonly kind: 'propose'; readonly who: number; readonly lose: boolean}
   | {readonly kind: 'wait'; readonly seconds: number};
 
-const index = fastCheck.integer({min: 0, max: IDS.length - 1});
+const index = fastCheck.integer({min: 0, max: INSTANCE_IDS.length - 1});
 const steps = fastCheck.array(
   fastCheck.oneof(
     fastCheck.record({
@@ -30,8 +34,8 @@
     fastCheck.record({
       kind: fastCheck.constant('group' as const),
       groups: fastCheck.array(fastCheck.integer({min: 0, max: 1}), {
-        minLength: IDS.length,
-        maxLength: IDS.length,
+        minLength: INSTANCE_IDS.length,
+        maxLength: INSTANCE_IDS.length,
       }),
     }),
     fastCheck.record({
@@ -56,34 +60,34 @@
   readonly at: number;
 }
 
-class Run {
+class ScenarioRun {
   readonly violations: string[] = [];
   private readonly accepted: Accepted[] = [];
   private readonly highest = new Map<string, number>();
-  private changes = 0;
+  private changeCount = 0;
 
   constructor(private readonly cluster: ControlCluster) {}
 
-  async take(step: Step): Promise<void> {
+  async apply(step: Step): Promise<void> {
     const {cluster} = this;
     switch (step.kind) {
       case 'cutTable':
-        step.who.forEach(who => cluster.cutTable(IDS[who]));
+        step.who.forEach(who => cluster.disconnectTable(INSTANCE_IDS[who]));
         return;
       case 'healTable':
         cluster.platform.clearFaults();
         return;
       case 'group':
         step.groups.forEach((group, who) =>
-          cluster.groups.set(IDS[who] ?? '', group),
+          cluster.groups.set(INSTANCE_IDS[who] ?? '', group),
         );
         return;
       case 'restart':
-        this.highest.delete(IDS[step.who] ?? '');
-        cluster.start(IDS[step.who] ?? '');
+        this.highest.delete(INSTANCE_IDS[step.who] ?? '');
+        cluster.start(INSTANCE_IDS[step.who] ?? '');
         return;
       case 'propose':
-        return this.propose(IDS[step.who] ?? '', step.lose);
+        return this.propose(INSTANCE_IDS[step.who] ?? '', step.lose);
       case 'wait':
         return this.wait(step.seconds);
     }
@@ -92,19 +96,19 @@
   async wait(seconds: number): Promise<void> {
     for (let second = 0; second < seconds; second++) {
       await this.cluster.run(1);
-      this.check();
+      this.checkInstances();
     }
   }
 
-  private async propose(id: string, lose: boolean): Promise<void> {
-    if (lose) {
+  private async propose(id: string, losesResponse: boolean): Promise<void> {
+    if (losesResponse) {
       const scope = {part: 'table', access: 'write', times: 1} as const;
       this.cluster.platform.addFault({kind: 'answerLost'}, scope);
     }
-    const name = `class-${++this.changes}`;
+    const name = `class-${++this.changeCount}`;
     const {result, handover} = await this.cluster.propose(id, [setClass(name)]);
-    const informed = handover?.acknowledged ?? 0;
-    if (result.ok && informed * 2 > IDS.length) {
+    const acknowledged = handover?.acknowledged ?? 0;
+    if (result.ok && acknowledged * 2 > INSTANCE_IDS.length) {
       const at = this.cluster.clock.monotonicMilliseconds();
       this.accepted.push({revision: result.value.revision, at});
     } else if (!result.ok && result.error.kind === 'unavailable') {
@@ -112,7 +116,7 @@
     }
   }
 
-  /** What was told not to be accepted must not be in the table. */
+  /** A change that was reported as not accepted must not be in the table. */
   private checkAbsent(name: string): void {
     const rows = this.cluster.platform.rows.scan(
       'configuration/revision/',
@@ -124,39 +128,47 @@
     }
   }
 
-  private check(): void {
+  private checkInstances(): void {
     const now = this.cluster.clock.monotonicMilliseconds();
-    for (const id of IDS) {
+    for (const id of INSTANCE_IDS) {
       const revision = this.cluster.revision(id);
       if (revision < (this.highest.get(id) ?? 0)) {
         this.violations.push(`${id} went back to ${revision}`);
       }
       this.highest.set(id, revision);
-      const late = this.accepted.find(
+      const supersededBy = this.accepted.find(
         change =>
-          change.revision > revision && now - change.at > LIMIT_SECONDS * 1_000,
+          change.revision > revision &&
+          now - change.at > STALENESS_LIMIT_SECONDS * 1_000,
       );
-      if (late !== undefined && this.cluster.standing(id) === 'serving') {
-        this.violations.push(`${id} serves ${revision}, not ${late.revision}`);
+      if (
+        supersededBy !== undefined &&
+        this.cluster.standing(id) === 'serving'
+      ) {
+        this.violations.push(
+          `${id} serves ${revision}, not ${supersededBy.revision}`,
+        );
       }
     }
   }
 }
 
-it('no instance serves a superseded revision beyond the bound, goes back, or is lied to', async () => {
+it('no instance serves a superseded or older revision beyond the limit, and no refused change is stored', async () => {
   await fastCheck.assert(
     fastCheck.asyncProperty(steps, async sequence => {
-      const cluster = new ControlCluster(IDS, 7);
+      const cluster = new ControlCluster(INSTANCE_IDS, 7);
       await cluster.startAll();
-      const run = new Run(cluster);
+      const run = new ScenarioRun(cluster);
       for (const step of sequence) {
-        await run.take(step);
+        await run.apply(step);
       }
-      await run.wait(LIMIT_SECONDS + 5);
+      await run.wait(STALENESS_LIMIT_SECONDS + 5);
       cluster.platform.clearFaults();
       cluster.groups.clear();
       await run.wait(15);
-      const serving = IDS.every(id => cluster.standing(id) === 'serving');
+      const serving = INSTANCE_IDS.every(
+        id => cluster.standing(id) === 'serving',
+      );
       cluster.dispose();
       expect(run.violations).toEqual([]);
       expect(serving).toBe(true);
--- a/src/programs/control/test/memberFleet.ts
+++ b/src/programs/control/test/memberFleet.ts
@@ -18,31 +18,31 @@
 import {MemberTracker} from '../memberTracker.js';
 import {PeerNetwork} from './peerNetwork.js';
 
-/** The reading of the list by many instances, without the rest of their control programs. */
+/** Simulates how many instances read the membership list, without the other parts of their control programs. */
 
 const BOUND_MILLISECONDS = 12_000;
 
-/** Periods of the instances, in milliseconds. */
-interface FleetTimes {
+/** Periods in milliseconds, and the read rate of an instance. */
+interface FleetTimings {
   readonly read: number;
   readonly exchange: number;
   readonly bytesPerSecond: number;
 }
 
-/** Instances `i0` and up; each call takes up to 200 ms each way. */
+/** A number of instances; each call takes up to 200 ms in each direction. */
 export class MemberFleet extends PeerNetwork {
   readonly clock = new FakeClock();
   readonly platform = new InMemoryPlatform(this.clock);
   readonly states = new Map<string, LocalState>();
-  /** Share of calls that are lost. */
-  lossShare = 0;
+  /** Probability that a call is lost. */
+  lossProbability = 0;
   private readonly responders = new Map<string, PeerResponder>();
   private readonly random: SeededRandomSource;
 
   constructor(
     readonly ids: readonly string[],
     upstreams: readonly UpstreamMember[],
-    private readonly times: FleetTimes,
+    private readonly timings: FleetTimings,
     private readonly seed: number,
   ) {
     super();
@@ -58,7 +58,7 @@
     return this.clock.advanceAsync(milliseconds);
   }
 
-  /** Sets the state of members in the platform's list; undefined takes them off it. */
+  /** Sets the state of members in the platform's list; undefined removes them. */
   list(ids: readonly string[], state: MemberState | undefined): void {
     this.platform.members = this.platform.members.flatMap(
       (member): Member[] => {
@@ -70,8 +70,8 @@
     );
   }
 
-  /** What an instance shows of a member. */
-  shown(at: string, id: string): MemberState | undefined {
+  /** The state of a member in an instance's copy of the list. */
+  shownState(at: string, id: string): MemberState | undefined {
     return this.states.get(at)?.book.get(id)?.state;
   }
 
@@ -83,14 +83,14 @@
     return new Set([...this.states.values()].map(({book}) => book.fingerprint));
   }
 
-  override travel(): Promise<void> {
+  override delay(): Promise<void> {
     return new Promise(resolve => {
       this.clock.setTimer(200 * this.random.next(), resolve);
     });
   }
 
-  override loses(): boolean {
-    return this.random.next() < this.lossShare;
+  override losesCall(): boolean {
+    return this.random.next() < this.lossProbability;
   }
 
   override responderOf(id: string): PeerResponder | undefined {
@@ -98,7 +98,7 @@
   }
 
   private start(id: string, index: number): void {
-    const {clock, times} = this;
+    const {clock, timings} = this;
     const random = new SeededRandomSource(this.seed * 1_000 + index);
     const replica = new ConfigurationReplica();
     const state = new LocalState(id, replica, clock, BOUND_MILLISECONDS);
@@ -111,8 +111,11 @@
     const list = this.platform.portsOf(id).membership;
     const tracker = new MemberTracker(
       {list, state, spreader, clock, random, logger, metrics},
-      {shortestMilliseconds: times.read, bytesPerSecond: times.bytesPerSecond},
-      4 * times.exchange,
+      {
+        shortestMilliseconds: timings.read,
+        bytesPerSecond: timings.bytesPerSecond,
+      },
+      4 * timings.exchange,
     );
     this.states.set(id, state);
     this.responders.set(id, responder);
@@ -120,7 +123,7 @@
       new RepeatingTask(
         clock,
         random,
-        () => times.read,
+        () => timings.read,
         token => {
           state.noteSelf();
           return tracker.readIfDue(token);
@@ -129,7 +132,7 @@
       new RepeatingTask(
         clock,
         random,
-        () => times.exchange,
+        () => timings.exchange,
         token => spreader.exchange(token),
       ),
     ];
@@ -137,7 +140,7 @@
   }
 }
 
-/** Engines `e0` and up. */
+/** Creates engines with the ids `e0`, `e1` and so on. */
 export function engineMembers(count: number): readonly UpstreamMember[] {
   return Array.from({length: count}, (_, index) => ({
     role: 'engine' as const,
--- a/src/programs/control/test/memberReading.test.ts
+++ b/src/programs/control/test/memberTracker.test.ts
@@ -3,7 +3,7 @@
 
 import {engineMembers, MemberFleet} from './memberFleet.js';
 
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 const STEP_MILLISECONDS = 250;
 
 function instanceIds(count: number): readonly string[] {
@@ -12,13 +12,13 @@
 
 describe('370 instances and 2,430 upstreams', () => {
   const ids = instanceIds(370);
-  const times = {read: 3_000, exchange: 3_000, bytesPerSecond: 400};
+  const timings = {read: 3_000, exchange: 3_000, bytesPerSecond: 400};
   const engines = engineMembers(2_430);
   const engineIds = engines.map(({id}) => id);
 
-  it('share the reading, and a change is known to all within seconds of its first reading', async () => {
-    const fleet = new MemberFleet(ids, engines, times, 7);
-    await fleet.run(10 * SECOND);
+  it('share the reads of the list, and all know a change within seconds of its first read', async () => {
+    const fleet = new MemberFleet(ids, engines, timings, 7);
+    await fleet.run(10 * MILLISECONDS_PER_SECOND);
     expect(fleet.fingerprints().size).toBe(1);
     const before = {...fleet.platform.counts, at: now(fleet)};
     const changes = [
@@ -30,29 +30,29 @@
     for (const {lost, state} of changes) {
       fleet.list(lost, state);
       const last = lost.at(-1) ?? '';
-      const shows = (id: string) => fleet.shown(id, last) === state;
+      const shows = (id: string) => fleet.shownState(id, last) === state;
       const read = await runUntil(fleet, () => ids.some(shows));
       const all = await runUntil(fleet, () => ids.every(shows));
       seconds.push({read, all});
     }
     console.log(
-      `370: seconds to the first read, then to all: ${text(seconds)}`,
+      `370: seconds to the first read, then to all: ${formatJson(seconds)}`,
     );
-    // Those that no notice reaches ask a random peer within 3.6 s, a few of them twice.
+    // Instances that receive no notice ask a random peer within 3.6 s; a few of them ask twice.
     expect(Math.max(...seconds.map(({all}) => all))).toBeLessThan(8);
     const reads = fleet.platform.counts.reads - before.reads;
-    const elapsed = (now(fleet) - before.at) / SECOND;
-    // About one read in 3 s by all together; 123 in a second when each reads by itself.
+    const elapsed = (now(fleet) - before.at) / MILLISECONDS_PER_SECOND;
+    // All instances together make about one read in 3 s. Without sharing they would make 123 per second.
     expect(reads).toBeLessThan(elapsed + 10);
   }, 60_000);
 });
 
-describe('nine instances through losses, cuts and outages of the list', () => {
+describe('nine instances with lost calls, network partitions and list outages', () => {
   const ids = instanceIds(9);
   const engines = engineMembers(12);
-  const times = {read: 1_000, exchange: 1_000, bytesPerSecond: 400};
-  /** From the first in reach that shows a member leaving to the last. */
-  const limit = 10 * SECOND;
+  const timings = {read: 1_000, exchange: 1_000, bytesPerSecond: 400};
+  /** Time limit from the first instance of a group that shows a member as leaving to the last. */
+  const limit = 10 * MILLISECONDS_PER_SECOND;
 
   const engine = fastCheck.nat(engines.length - 1);
   const some = fastCheck.subarray([...ids]);
@@ -67,14 +67,14 @@
     }),
   );
 
-  it('come to the newest list, and none shows a member live for long that another showed leaving', async () => {
+  it('converge on the newest list, and none shows a member as live for long after another has shown it as leaving', async () => {
     await fastCheck.assert(
       fastCheck.asyncProperty(
         fastCheck.array(step, {minLength: 5, maxLength: 15}),
         fastCheck.nat(),
         async (steps, seed) => {
-          const fleet = new MemberFleet(ids, engines, times, seed);
-          fleet.lossShare = 0.1;
+          const fleet = new MemberFleet(ids, engines, timings, seed);
+          fleet.lossProbability = 0.1;
           let splitAt = 0;
           const leftAt = new Map<string, number>();
           const check = () => checkGroups(fleet, splitAt, leftAt);
@@ -122,9 +122,14 @@
   }, 120_000);
 
   it.each([
-    {name: 'one alone reads by itself', alone: ['i0'], blind: [], seconds: 8},
     {
-      name: 'what peers can not tell any more is read',
+      name: 'an isolated instance reads the list on its own',
+      alone: ['i0'],
+      blind: [],
+      seconds: 8,
+    },
+    {
+      name: 'a change that peers no longer report is read from the list',
       alone: ['i0', 'i1', 'i2'],
       blind: ['i0', 'i1', 'i2'],
       seconds: 1_300,
@@ -132,38 +137,38 @@
   ])(
     '$name',
     async ({alone, blind, seconds}) => {
-      const fleet = new MemberFleet(ids, engines, times, 3);
-      await fleet.run(60 * SECOND);
+      const fleet = new MemberFleet(ids, engines, timings, 3);
+      await fleet.run(60 * MILLISECONDS_PER_SECOND);
       alone.forEach(id => fleet.groups.set(id, 1));
       blind.forEach(instance =>
         fleet.platform.addFault({kind: 'down'}, {instance}),
       );
       fleet.list(['e0'], 'leaving');
-      await fleet.run(seconds * SECOND);
-      expect(fleet.shown('i0', 'e0')).toBe(
+      await fleet.run(seconds * MILLISECONDS_PER_SECOND);
+      expect(fleet.shownState('i0', 'e0')).toBe(
         blind.length > 0 ? 'live' : 'leaving',
       );
       fleet.groups.clear();
       fleet.platform.clearFaults();
-      await fleet.run(30 * SECOND);
-      expect(alone.map(id => fleet.shown(id, 'e0'))).toEqual(
+      await fleet.run(30 * MILLISECONDS_PER_SECOND);
+      expect(alone.map(id => fleet.shownState(id, 'e0'))).toEqual(
         alone.map(() => 'leaving'),
       );
     },
     60_000,
   );
 
-  it('an instance that differs from all its peers reads', async () => {
+  it('an instance whose list differs from all its peers reads the list', async () => {
     const slow = {read: 5_000, exchange: 1_000, bytesPerSecond: 1};
     const fleet = new MemberFleet(ids, engines, slow, 4);
-    await fleet.run(60 * SECOND);
+    await fleet.run(60 * MILLISECONDS_PER_SECOND);
     const [e0] = engines;
     const told = {id: 'e0', member: e0, ageMilliseconds: 0} as const;
-    // As if dated wrongly: what the others read next looks older here.
-    const later = now(fleet) + 15 * SECOND;
+    // Simulates a wrong timestamp: the next read of the others appears older than this change.
+    const later = now(fleet) + 15 * MILLISECONDS_PER_SECOND;
     fleet.states.get('i0')?.book.takeChanges([told], later, now(fleet));
     fleet.list(['e0'], 'leaving');
-    await fleet.run(30 * SECOND);
+    await fleet.run(30 * MILLISECONDS_PER_SECOND);
     expect(fleet.fingerprints().size).toBe(1);
   });
 
@@ -176,14 +181,15 @@
       for (const at of ids) {
         const group = fleet.groups.get(at) ?? 0;
         const key = `${splitAt}/${group}/${member}`;
-        if (fleet.shown(at, member) !== 'live' && fleet.isRead(at)) {
+        if (fleet.shownState(at, member) !== 'live' && fleet.isRead(at)) {
           leftAt.set(key, leftAt.get(key) ?? now(fleet));
         }
       }
       for (const at of ids) {
         const key = `${splitAt}/${fleet.groups.get(at) ?? 0}/${member}`;
         const waited = now(fleet) - (leftAt.get(key) ?? Infinity);
-        const isLate = fleet.shown(at, member) === 'live' && waited > limit;
+        const isLate =
+          fleet.shownState(at, member) === 'live' && waited > limit;
         expect(isLate ? {at, member, waited} : undefined).toBeUndefined();
       }
     }
@@ -196,12 +202,12 @@
   check: () => void,
 ): Promise<void> {
   for (let second = 0; second < seconds; second++) {
-    await fleet.run(SECOND);
+    await fleet.run(MILLISECONDS_PER_SECOND);
     check();
   }
 }
 
-/** Answers the seconds that it took. */
+/** Returns the elapsed time in seconds. */
 async function runUntil(
   fleet: MemberFleet,
   condition: () => boolean,
@@ -210,13 +216,13 @@
   while (!condition()) {
     await fleet.run(STEP_MILLISECONDS);
   }
-  return (now(fleet) - begin) / SECOND;
+  return (now(fleet) - begin) / MILLISECONDS_PER_SECOND;
 }
 
 function now(fleet: MemberFleet): number {
   return fleet.clock.monotonicMilliseconds();
 }
 
-function text(value: unknown): string {
+function formatJson(value: unknown): string {
   return JSON.stringify(value);
 }
--- a/src/programs/control/test/peerNetwork.ts
+++ b/src/programs/control/test/peerNetwork.ts
@@ -5,25 +5,25 @@
 } from '../../../features/peers/common/peerConnection.js';
 import {PeerResponder} from '../../../features/peers/common/peerResponder.js';
 
-/** The network between instances of one test; an instance `a` has the control address `a:3`. */
+/** Simulated network between instances. The control address of an instance `a` is `a:3`. */
 export abstract class PeerNetwork {
-  /** Instances reach each other only inside a group; all start in group 0. */
+  /** Network partitions by instance: only instances of the same group reach each other. The default is group 0. */
   readonly groups = new Map<string, number>();
 
-  /** The peer port of an instance. */
+  /** Creates the peer connection of an instance. */
   connectionOf(id: string): PeerConnection {
     return new NetworkConnection(this, id);
   }
 
-  joins(from: string, to: string): boolean {
+  canReach(from: string, to: string): boolean {
     return this.groupOf(from) === this.groupOf(to);
   }
 
-  /** Passes when a call or its answer has gone one way. */
-  abstract travel(): Promise<void>;
+  /** Resolves after the network delay of one direction. */
+  abstract delay(): Promise<void>;
 
-  /** Whether a call that could arrive is lost. */
-  loses(): boolean {
+  /** Whether the next call is lost although its target is reachable. */
+  losesCall(): boolean {
     return false;
   }
 
@@ -34,7 +34,7 @@
   }
 }
 
-/** Carries an instance's calls straight to the responders, by way of JSON. */
+/** Passes the calls of an instance directly to the responders, serialized as JSON. */
 class NetworkConnection extends PeerConnection {
   constructor(
     private readonly network: PeerNetwork,
@@ -73,15 +73,15 @@
     address: string,
     run: (peer: PeerResponder) => T,
   ): Promise<Result<T, PeerError>> {
-    await this.network.travel();
+    await this.network.delay();
     const to = address.split(':')[0] ?? '';
-    const isJoined = this.network.joins(this.from, to);
+    const isJoined = this.network.canReach(this.from, to);
     const responder = isJoined ? this.network.responderOf(to) : undefined;
-    if (responder === undefined || this.network.loses()) {
+    if (responder === undefined || this.network.losesCall()) {
       return failure({kind: 'unreachable', detail: `${address} is cut off`});
     }
     const answer = JSON.parse(JSON.stringify(run(responder))) as T;
-    await this.network.travel();
+    await this.network.delay();
     return success(answer);
   }
 }
