--- a/src/infrastructure/settings/common/programSettings.ts
+++ b/src/infrastructure/settings/common/programSettings.ts
@@ -16,7 +16,7 @@
 }
 
 /** Settings of logging and metrics. */
-export interface ObservationSettings {
+export interface TelemetrySettings {
   readonly logLevel: 'trace' | 'debug' | 'info' | 'warn' | 'error';
   /** Address of the StatsD server; without it, metrics are discarded. */
   readonly metricsAddress?: string;
@@ -32,7 +32,7 @@
   readonly platform: PlatformSettings;
   /** File that contains the secret shared by this system's processes. */
   readonly peerKeyFile: string;
-  readonly observation: ObservationSettings;
+  readonly observation: TelemetrySettings;
   /** Maximum size of a request body. */
   readonly bodyLimitBytes: number;
   /** Maximum number of requests in progress; further requests are rejected. */
@@ -55,7 +55,7 @@
   readonly peerKeyFile: string;
   /** JSON file that maps the operators' names to hex SHA-256 hashes of their bearer keys. */
   readonly operatorKeysFile: string;
-  readonly observation: ObservationSettings;
+  readonly observation: TelemetrySettings;
   /** Interval between reads of the configuration's head row. */
   readonly headReadSeconds: number;
   /**
--- a/src/programs/control/memberTracker.ts
+++ b/src/programs/control/memberTracker.ts
@@ -27,7 +27,7 @@
   readonly metrics: Metrics;
 }
 
-/** Keeps the membership list up to date. The instances take turns to read it and notify each other of changes. */
+/** Keeps the membership list up to date. The instances share the reads and notify each other of changes. */
 export class MemberTracker extends DisposableOwner {
   private readonly changeEmitter = this.register(new Emitter<void>());
   private readonly plan: ListReadPlan;
--- a/src/programs/control/test/controlCore.test.ts
+++ b/src/programs/control/test/controlCore.test.ts
@@ -196,7 +196,7 @@
     expect(cluster.core('a').view().instances).toHaveLength(5);
   });
 
-  it('applies a list without many known members only when no instance receives status of them any more', async () => {
+  it('applies a list that lacks many known members only when no instance has recent status of them', async () => {
     await startCluster();
     const [a] = cluster.platform.members;
     cluster.platform.members = a === undefined ? [] : [a];
@@ -208,7 +208,7 @@
     expect(cluster.core('a').view().instances).toHaveLength(1);
   });
 
-  it('immediately applies a list without one known member', async () => {
+  it('immediately applies a list that lacks one known member', async () => {
     await startCluster();
     cluster.platform.members = cluster.platform.members.slice(1);
     await cluster.run(3);
--- a/src/programs/control/test/controlProperties.test.ts
+++ b/src/programs/control/test/controlProperties.test.ts
@@ -16,9 +16,9 @@
   SLACK_SECONDS;
 
 type Step =
-  | {readonly kind: 'cutTable'; readonly who: readonly number[]}
-  | {readonly kind: 'healTable'}
-  | {readonly kind: 'group'; readonly groups: readonly number[]}
+  | {readonly kind: 'disconnectTable'; readonly who: readonly number[]}
+  | {readonly kind: 'restoreTable'}
+  | {readonly kind: 'partition'; readonly groups: readonly number[]}
   | {readonly kind: 'restart'; readonly who: number}
   | {readonly kind: 'propose'; readonly who: number; readonly lose: boolean}
   | {readonly kind: 'wait'; readonly seconds: number};
@@ -27,12 +27,12 @@
 const steps = fastCheck.array(
   fastCheck.oneof(
     fastCheck.record({
-      kind: fastCheck.constant('cutTable' as const),
+      kind: fastCheck.constant('disconnectTable' as const),
       who: fastCheck.uniqueArray(index, {minLength: 1}),
     }),
-    fastCheck.record({kind: fastCheck.constant('healTable' as const)}),
+    fastCheck.record({kind: fastCheck.constant('restoreTable' as const)}),
     fastCheck.record({
-      kind: fastCheck.constant('group' as const),
+      kind: fastCheck.constant('partition' as const),
       groups: fastCheck.array(fastCheck.integer({min: 0, max: 1}), {
         minLength: INSTANCE_IDS.length,
         maxLength: INSTANCE_IDS.length,
@@ -55,14 +55,14 @@
   {minLength: 4, maxLength: 14},
 );
 
-interface Accepted {
+interface AcceptedChange {
   readonly revision: number;
   readonly at: number;
 }
 
 class ScenarioRun {
   readonly violations: string[] = [];
-  private readonly accepted: Accepted[] = [];
+  private readonly accepted: AcceptedChange[] = [];
   private readonly highest = new Map<string, number>();
   private changeCount = 0;
 
@@ -71,13 +71,13 @@
   async apply(step: Step): Promise<void> {
     const {cluster} = this;
     switch (step.kind) {
-      case 'cutTable':
+      case 'disconnectTable':
         step.who.forEach(who => cluster.disconnectTable(INSTANCE_IDS[who]));
         return;
-      case 'healTable':
+      case 'restoreTable':
         cluster.platform.clearFaults();
         return;
-      case 'group':
+      case 'partition':
         step.groups.forEach((group, who) =>
           cluster.groups.set(INSTANCE_IDS[who] ?? '', group),
         );
@@ -153,7 +153,7 @@
   }
 }
 
-it('no instance serves a superseded or older revision beyond the limit, and no refused change is stored', async () => {
+it('no instance serves a superseded revision beyond the limit or goes back to an older one, and no refused change is stored', async () => {
   await fastCheck.assert(
     fastCheck.asyncProperty(steps, async sequence => {
       const cluster = new ControlCluster(INSTANCE_IDS, 7);
--- a/src/programs/control/test/memberFleet.ts
+++ b/src/programs/control/test/memberFleet.ts
@@ -29,7 +29,7 @@
   readonly bytesPerSecond: number;
 }
 
-/** A number of instances; each call takes up to 200 ms in each direction. */
+/** Simulated instances; each call takes up to 200 ms in each direction. */
 export class MemberFleet extends PeerNetwork {
   readonly clock = new FakeClock();
   readonly platform = new InMemoryPlatform(this.clock);
--- a/src/programs/control/test/memberTracker.test.ts
+++ b/src/programs/control/test/memberTracker.test.ts
@@ -55,12 +55,18 @@
   const limit = 10 * MILLISECONDS_PER_SECOND;
 
   const engine = fastCheck.nat(engines.length - 1);
-  const some = fastCheck.subarray([...ids]);
+  const someIds = fastCheck.subarray([...ids]);
   const step = fastCheck.oneof(
     fastCheck.record({kind: fastCheck.constant('leave' as const), engine}),
     fastCheck.record({kind: fastCheck.constant('remove' as const), engine}),
-    fastCheck.record({kind: fastCheck.constant('split' as const), who: some}),
-    fastCheck.record({kind: fastCheck.constant('outage' as const), who: some}),
+    fastCheck.record({
+      kind: fastCheck.constant('split' as const),
+      who: someIds,
+    }),
+    fastCheck.record({
+      kind: fastCheck.constant('outage' as const),
+      who: someIds,
+    }),
     fastCheck.record({
       kind: fastCheck.constant('wait' as const),
       seconds: fastCheck.integer({min: 1, max: 30}),
