--- a/src/base/common/moment.ts
+++ b/src/base/common/moment.ts
@@ -14,7 +14,7 @@
 const SUSPENSION_THRESHOLD_MILLISECONDS = 300;
 
 /** The current time on both clocks. */
-export function momentOf(clock: Clock): Moment {
+export function currentMoment(clock: Clock): Moment {
   return {
     monotonic: clock.monotonicMilliseconds(),
     wall: clock.wallMilliseconds(),
@@ -34,7 +34,7 @@
  * wall clock is used.
  */
 export function elapsedSince(clock: Clock, moment: Moment): number {
-  const now = momentOf(clock);
+  const now = currentMoment(clock);
   const monotonic = now.monotonic - moment.monotonic;
   const wall = now.wall - moment.wall;
   return wall - monotonic > SUSPENSION_THRESHOLD_MILLISECONDS
--- a/src/features/administration/common/proposalResponse.ts
+++ b/src/features/administration/common/proposalResponse.ts
@@ -3,7 +3,7 @@
   ProposalError,
   ProposalResult,
 } from '../../configuration/common/configuration.js';
-import {Handover} from '../../peers/common/peerExchanger.js';
+import {NoticeCoverage} from '../../peers/common/peerExchanger.js';
 
 /** Conversion of proposal results to HTTP responses. */
 
@@ -20,7 +20,7 @@
  */
 export function toProposalResponse(
   result: ProposalResult,
-  handover: Handover | undefined,
+  handover: NoticeCoverage | undefined,
 ): ApiResponse {
   if (!result.ok) {
     return toErrorResponse(result.error);
--- a/src/features/administration/node/administrationApi.ts
+++ b/src/features/administration/node/administrationApi.ts
@@ -18,7 +18,7 @@
   Proposal,
   parseProposal,
 } from '../../configuration/common/operationSchemas.js';
-import {Handover} from '../../peers/common/peerExchanger.js';
+import {NoticeCoverage} from '../../peers/common/peerExchanger.js';
 import {ApiResponse, toProposalResponse} from '../common/proposalResponse.js';
 import {
   toValueFindings,
@@ -46,7 +46,7 @@
     token: CancellationToken,
   ): Promise<{
     readonly result: ProposalResult;
-    readonly handover: Handover | undefined;
+    readonly handover: NoticeCoverage | undefined;
   }>;
 }
 
--- a/src/features/administration/test/administrationApi.test.ts
+++ b/src/features/administration/test/administrationApi.test.ts
@@ -15,7 +15,7 @@
   ProposalError,
 } from '../../configuration/common/configuration.js';
 import {Proposal} from '../../configuration/common/operationSchemas.js';
-import {Handover} from '../../peers/common/peerExchanger.js';
+import {NoticeCoverage} from '../../peers/common/peerExchanger.js';
 import {
   AdministrationApi,
   AdministrationBackend,
@@ -35,7 +35,7 @@
 
 class FakeBackend implements AdministrationBackend {
   error: ProposalError | undefined;
-  handover: Handover = {acknowledged: 3, listed: 3};
+  handover: NoticeCoverage = {acknowledged: 3, listed: 3};
   isLogReadable = true;
   readonly proposals: Array<{proposal: Proposal; operator: string}> = [];
 
--- a/src/features/callers/common/claimAnswers.ts
+++ b/src/features/callers/common/claimActions.ts
@@ -1,5 +1,5 @@
 import {assertNever} from '../../../base/common/result.js';
-import {ClaimDecision} from '../../claims/common/claims.js';
+import {ClaimDecision} from '../../claims/common/claimService.js';
 import {RequestFailure} from '../../requests/common/failure.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 import {expiredGrantFinding} from './callerHeaders.js';
@@ -24,12 +24,14 @@
 const RUNNING_RETRY_MILLISECONDS = 1000;
 
 /** Returns the caller address of the instance that runs an incarnation; undefined when none is known. */
-export type IncarnationAddress = (incarnation: string) => string | undefined;
+export type IncarnationAddressResolver = (
+  incarnation: string,
+) => string | undefined;
 
 /** Maps a claim decision to the action on the request. */
-export function answerForClaim(
+export function actionForClaim(
   decision: ClaimDecision,
-  addressOf: IncarnationAddress,
+  addressOf: IncarnationAddressResolver,
 ): ClaimAction {
   switch (decision.kind) {
     case 'granted':
@@ -89,7 +91,7 @@
 
 function actionForKeyHeldElsewhere(
   decision: Extract<ClaimDecision, {readonly kind: 'heldElsewhere'}>,
-  addressOf: IncarnationAddress,
+  addressOf: IncarnationAddressResolver,
 ): ClaimAction {
   const address = addressOf(decision.incarnation);
   const addresses = address === undefined ? [] : [address];
--- a/src/features/callers/common/failureBody.ts
+++ b/src/features/callers/common/failureBody.ts
@@ -1,7 +1,7 @@
 import {Finding} from '../../../base/common/finding.js';
 import {assertNever} from '../../../base/common/result.js';
 import {
-  Executed,
+  ExecutionStatus,
   RequestError,
   RequestFailure,
 } from '../../requests/common/failure.js';
@@ -32,7 +32,7 @@
   readonly error: {
     readonly kind: RequestError['kind'];
     readonly message: string;
-    readonly executed: Executed;
+    readonly executed: ExecutionStatus;
     readonly retryAfterMilliseconds: number | null;
     readonly addresses: readonly string[];
     readonly findings: readonly Finding[];
--- a/src/features/callers/common/replyFormat.ts
+++ b/src/features/callers/common/replyFormat.ts
@@ -6,7 +6,7 @@
   ReplyIdentity,
   textEvent,
 } from './chatReply.js';
-import {ResponseContent} from './claimAnswers.js';
+import {ResponseContent} from './claimActions.js';
 import {tokenText} from './tokenText.js';
 
 /** Formats of a response: one body, or events that are streamed while the reply is generated. */
--- a/src/features/callers/common/requestGate.ts
+++ b/src/features/callers/common/requestGate.ts
@@ -120,7 +120,7 @@
   }
 
   private isViewFresh(): boolean {
-    const heardAt = this.views.heardAt;
+    const heardAt = this.views.lastResponseAt;
     const now = this.clock.monotonicMilliseconds();
     return heardAt !== undefined && now - heardAt < MAX_VIEW_AGE_MILLISECONDS;
   }
--- a/src/features/callers/node/callerResponse.ts
+++ b/src/features/callers/node/callerResponse.ts
@@ -2,7 +2,7 @@
 
 import {Clock} from '../../../base/common/clock.js';
 import {RequestFailure} from '../../requests/common/failure.js';
-import {ResponseContent} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimActions.js';
 import {
   failureStatus,
   retryAfterSeconds,
--- a/src/features/callers/node/chatHandler.ts
+++ b/src/features/callers/node/chatHandler.ts
@@ -6,7 +6,7 @@
 import {missingKeyFinding} from '../common/callerHeaders.js';
 import {ReplyIdentity, toChatCompletion} from '../common/chatReply.js';
 import {ChatRequest, readChatRequest} from '../common/chatRequest.js';
-import {ResponseContent} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimActions.js';
 import {invalidRequest} from '../common/failureBody.js';
 import {promptTokens} from '../common/tokenText.js';
 import {
--- a/src/features/callers/node/keyClaim.ts
+++ b/src/features/callers/node/keyClaim.ts
@@ -1,11 +1,11 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
-import {ClaimDecision, ClaimService} from '../../claims/common/claims.js';
+import {ClaimDecision, ClaimService} from '../../claims/common/claimService.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 import {
-  answerForClaim,
+  actionForClaim,
   ClaimAction,
-  IncarnationAddress,
-} from '../common/claimAnswers.js';
+  IncarnationAddressResolver,
+} from '../common/claimActions.js';
 
 /** An idempotency key to claim before the request is dispatched. */
 export interface ClaimedKey {
@@ -18,7 +18,7 @@
 /** Dependencies of {@link KeyClaim}. */
 export interface KeyClaimDependencies {
   readonly claims: ClaimService;
-  readonly addressOf: IncarnationAddress;
+  readonly addressOf: IncarnationAddressResolver;
   /** Reports internal errors; errors of callers are never reported here. */
   readonly onUnexpectedError: (error: unknown) => void;
 }
@@ -38,7 +38,7 @@
   async decide(token: CancellationToken): Promise<ClaimAction> {
     const decision = await this.ask(token);
     this.isOutcomePending = decision.kind === 'granted';
-    return answerForClaim(decision, this.services.addressOf);
+    return actionForClaim(decision, this.services.addressOf);
   }
 
   /** Records the outcome of a granted key; later calls have no effect. */
--- a/src/features/callers/node/preClaimRefusals.ts
+++ b/src/features/callers/node/preClaimRefusals.ts
@@ -30,6 +30,6 @@
       return false;
     }
     const account = this.authenticator.authenticate(headers, configuration);
-    return account.ok && claims.isSurelyNotRun(account.value.name, key);
+    return account.ok && claims.isProvenNotRun(account.value.name, key);
   }
 }
--- a/src/features/callers/node/queryHandlers.ts
+++ b/src/features/callers/node/queryHandlers.ts
@@ -139,7 +139,7 @@
     source.cancelAfter(LOOK_UP_TIMEOUT_MILLISECONDS, 'lookup timed out');
     response.once('close', () => source.cancel('callerGone'));
     try {
-      return await this.services.claims.lookUp(
+      return await this.services.claims.findOutcome(
         clientAccount,
         key,
         source.token,
--- a/src/features/callers/node/requestExchange.ts
+++ b/src/features/callers/node/requestExchange.ts
@@ -8,7 +8,7 @@
 import {RequestError, RequestFailure} from '../../requests/common/failure.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 import {errorEvent} from '../common/chatReply.js';
-import {ResponseContent} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimActions.js';
 import {
   maybeExecuted,
   notExecuted,
--- a/src/features/callers/node/requestFingerprint.ts
+++ b/src/features/callers/node/requestFingerprint.ts
@@ -1,6 +1,6 @@
 import {createHash} from 'node:crypto';
 
-import {formFingerprint} from '../../claims/common/fingerprints.js';
+import {createFingerprint} from '../../claims/common/fingerprints.js';
 
 /** The fields that distinguish requests with the same key; the class is the only header among them. */
 export interface RequestIdentity {
@@ -18,5 +18,5 @@
   const digest = createHash('sha256')
     .update(JSON.stringify([kind, method, path, body]))
     .digest('base64url');
-  return formFingerprint(digest, classOfWork);
+  return createFingerprint(digest, classOfWork);
 }
--- a/src/features/callers/node/sendReply.ts
+++ b/src/features/callers/node/sendReply.ts
@@ -1,4 +1,4 @@
-import {ResponseContent} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimActions.js';
 import {ReplyFormat} from '../common/replyFormat.js';
 import {CallerResponse} from './callerResponse.js';
 
--- a/src/features/callers/node/serviceHandler.ts
+++ b/src/features/callers/node/serviceHandler.ts
@@ -6,9 +6,9 @@
   PlainService,
 } from '../../configuration/common/configuration.js';
 import {RequestFailure} from '../../requests/common/failure.js';
-import {mayRepeat} from '../../services/common/repeatability.js';
+import {isCallRepeatable} from '../../services/common/repeatability.js';
 import {missingKeyFinding} from '../common/callerHeaders.js';
-import {ResponseContent} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimActions.js';
 import {invalidRequest, notExecuted} from '../common/failureBody.js';
 import {BufferedFormat} from '../common/replyFormat.js';
 import {readServiceTarget} from '../common/serviceTarget.js';
@@ -48,7 +48,7 @@
     const {classOfWork, idempotencyKey} = input.headers;
     const repeatable =
       (classOfWork?.repeatable ?? true) &&
-      mayRepeat(service, input.method, path);
+      isCallRepeatable(service, input.method, path);
     const findings: Finding[] = [...input.headers.findings];
     if (!repeatable && !input.headers.hasKey) {
       findings.push(missingKeyFinding());
--- a/src/features/callers/node/settleWork.ts
+++ b/src/features/callers/node/settleWork.ts
@@ -3,7 +3,7 @@
 import {Disposable} from '../../../base/common/lifecycle.js';
 import {failure, Result} from '../../../base/common/result.js';
 import {RequestFailure} from '../../requests/common/failure.js';
-import {ResponseContent} from '../common/claimAnswers.js';
+import {ResponseContent} from '../common/claimActions.js';
 import {maybeExecuted} from '../common/failureBody.js';
 
 /** Milliseconds for cancelled work to end, before its outcome is reported as unknown. */
--- a/src/features/callers/test/callerFakes.ts
+++ b/src/features/callers/test/callerFakes.ts
@@ -13,7 +13,7 @@
 } from '../../../infrastructure/logging/common/logger.js';
 import {SilentMetrics} from '../../../infrastructure/metrics/common/metrics.js';
 import {ServiceResponse} from '../../../infrastructure/service/common/serviceConnection.js';
-import {ClaimDecision, ClaimService} from '../../claims/common/claims.js';
+import {ClaimDecision, ClaimService} from '../../claims/common/claimService.js';
 import {Configuration} from '../../configuration/common/configuration.js';
 import {
   EntryAnnouncement,
@@ -103,7 +103,7 @@
 
 export class FakeViews extends SystemViewSource {
   private readonly emitter = new Emitter<SystemView>();
-  override heardAt: number | undefined = performance.now();
+  override lastResponseAt: number | undefined = performance.now();
   override current: SystemView | undefined = {
     sequence: 1,
     standing: {kind: 'serving'},
@@ -146,13 +146,13 @@
     this.completed.push(outcome);
   }
 
-  override async lookUp(): Promise<RequestOutcome | undefined> {
+  override async findOutcome(): Promise<RequestOutcome | undefined> {
     this.lookUps += 1;
     await this.pendingLookUp;
     return this.outcome;
   }
 
-  override isSurelyNotRun(): boolean {
+  override isProvenNotRun(): boolean {
     return this.surelyNotRun;
   }
 
--- a/src/features/callers/test/callerServer.test.ts
+++ b/src/features/callers/test/callerServer.test.ts
@@ -4,7 +4,7 @@
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
 
 import {failure, success} from '../../../base/common/result.js';
-import {ClaimDecision} from '../../claims/common/claims.js';
+import {ClaimDecision} from '../../claims/common/claimService.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 import {maybeExecuted, notExecuted} from '../common/failureBody.js';
 import {
@@ -558,7 +558,7 @@
     ['without a view', () => (fixture.views.current = undefined)],
     [
       'without a recent response of the control program',
-      () => (fixture.views.heardAt = -40_000),
+      () => (fixture.views.lastResponseAt = -40_000),
     ],
     [
       'without a confirmed configuration',
--- a/src/features/callers/test/requestExchange.test.ts
+++ b/src/features/callers/test/requestExchange.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 
 import {failure, success} from '../../../base/common/result.js';
-import {ClaimDecision} from '../../claims/common/claims.js';
+import {ClaimDecision} from '../../claims/common/claimService.js';
 import {maybeExecuted} from '../common/failureBody.js';
 import {requestChart} from '../common/requestLifecycle.js';
 import {
--- a/src/features/claims/common/boundKeyClaimer.ts
+++ b/src/features/claims/common/boundKeyClaimer.ts
@@ -1,10 +1,10 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Clock} from '../../../base/common/clock.js';
 import {RequestOutcome} from '../../requests/common/request.js';
-import {BoundKeyRegistry} from './boundKeys.js';
+import {BoundKeyRegistry} from './boundKeyRegistry.js';
 import {AskResponse} from './claimPeers.js';
 import {isNotRun, limitBodySize} from './claimRecord.js';
-import {ClaimDecision} from './claims.js';
+import {ClaimDecision} from './claimService.js';
 import {checkKeyReuse} from './fingerprints.js';
 import {ClaimSettings} from './claimSettings.js';
 import {
@@ -96,7 +96,7 @@
   }
 
   /** Whether the key is bound to this incarnation and nothing ran or is running under it. */
-  isSurelyNotRun(keyHash: string, binding: BoundKeyBinding): boolean {
+  isProvenNotRun(keyHash: string, binding: BoundKeyBinding): boolean {
     if (binding.incarnation !== this.incarnation) {
       return false;
     }
--- a/src/features/claims/common/claims.ts
+++ b/src/features/claims/common/claimService.ts
@@ -69,7 +69,7 @@
   ): void;
 
   /** Finds the outcome of a key in memory, at its incarnation or in the table; undefined if it was never claimed. */
-  abstract lookUp(
+  abstract findOutcome(
     clientAccount: string,
     key: string,
     token: CancellationToken,
@@ -79,7 +79,7 @@
    * Whether this process knows from memory that nothing was dispatched or is being dispatched under the key.
    * This is known only for keys bound to this incarnation and for keys with an invalid grant.
    */
-  abstract isSurelyNotRun(clientAccount: string, key: string): boolean;
+  abstract isProvenNotRun(clientAccount: string, key: string): boolean;
 
   /** Issues a grant for keys bound to this incarnation. */
   abstract issueGrant(clientAccount: string): string;
--- a/src/features/claims/common/fingerprints.ts
+++ b/src/features/claims/common/fingerprints.ts
@@ -1,5 +1,5 @@
 import {KeyState} from './claimRecord.js';
-import {ClaimDecision} from './claims.js';
+import {ClaimDecision} from './claimService.js';
 
 /** Identification of requests under a key. A fingerprint is a digest of the work, a dot and the class of work. */
 
@@ -9,7 +9,7 @@
 const SEPARATOR = '.';
 
 /** The digest must not contain a dot. */
-export function formFingerprint(
+export function createFingerprint(
   workDigest: string,
   classOfWork: string,
 ): string {
--- a/src/features/claims/common/outcomeFinder.ts
+++ b/src/features/claims/common/outcomeFinder.ts
@@ -13,7 +13,7 @@
   KeyState,
   parseClaimRecord,
 } from './claimRecord.js';
-import {KeyBinding} from './claims.js';
+import {KeyBinding} from './claimService.js';
 import {PeerDirectory} from './peerDirectory.js';
 
 /** A key that starts with a grant. */
--- a/src/features/claims/common/peerDirectory.ts
+++ b/src/features/claims/common/peerDirectory.ts
@@ -20,7 +20,7 @@
 }
 
 /** Takes its entries from the system view. */
-export class ViewPeerDirectory extends PeerDirectory {
+export class SystemViewPeerDirectory extends PeerDirectory {
   private byIncarnation: ReadonlyMap<string, PeerInstance> = new Map();
   private ready: readonly PeerInstance[] = [];
 
--- a/src/features/claims/common/plainKeyResolver.ts
+++ b/src/features/claims/common/plainKeyResolver.ts
@@ -2,7 +2,7 @@
 import {TableService} from '../../../infrastructure/table/common/tableService.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 import {claimRowKey, parseClaimRecord} from './claimRecord.js';
-import {ClaimDecision} from './claims.js';
+import {ClaimDecision} from './claimService.js';
 import {decideDuplicate} from './fingerprints.js';
 import {OutcomeFinder} from './outcomeFinder.js';
 import {PlainKeyClaimer} from './plainKeyClaimer.js';
--- a/src/features/claims/node/defaultClaimService.ts
+++ b/src/features/claims/node/defaultClaimService.ts
@@ -13,7 +13,7 @@
 import {BoundKeyClaimer} from '../common/boundKeyClaimer.js';
 import {ClaimRowSweeper} from '../common/claimRowSweeper.js';
 import {AskRequest, AskResponse, ClaimPeers} from '../common/claimPeers.js';
-import {ClaimDecision, ClaimService} from '../common/claims.js';
+import {ClaimDecision, ClaimService} from '../common/claimService.js';
 import {ClaimSettings, defaultClaimSettings} from '../common/claimSettings.js';
 import {countCommitters, GatheringWriter} from '../common/gatheringWriter.js';
 import {GroupCommitter} from '../common/groupCommitter.js';
@@ -153,7 +153,7 @@
     }
   }
 
-  override async lookUp(
+  override async findOutcome(
     clientAccount: string,
     key: string,
     token: CancellationToken,
@@ -170,7 +170,7 @@
     }
   }
 
-  override isSurelyNotRun(clientAccount: string, key: string): boolean {
+  override isProvenNotRun(clientAccount: string, key: string): boolean {
     const binding = this.signer.parseKey(clientAccount, key);
     switch (binding.kind) {
       case 'invalid':
@@ -178,7 +178,7 @@
       case 'plain':
         return false;
       case 'bound':
-        return this.bound.isSurelyNotRun(hashKey(clientAccount, key), binding);
+        return this.bound.isProvenNotRun(hashKey(clientAccount, key), binding);
     }
   }
 
--- a/src/features/claims/node/grantSigner.ts
+++ b/src/features/claims/node/grantSigner.ts
@@ -1,6 +1,6 @@
 import {createHash, createHmac, timingSafeEqual} from 'node:crypto';
 
-import {KeyBinding} from '../common/claims.js';
+import {KeyBinding} from '../common/claimService.js';
 
 /** Grants have the form `g1.<incarnation>.<expiry>.<mac>`; a bound key is a grant, a dot and the caller's suffix. */
 
--- a/src/features/claims/test/claimService.test.ts
+++ b/src/features/claims/test/claimService.test.ts
@@ -16,7 +16,7 @@
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {InMemoryPlatform} from '../../../../test/support/inMemoryPlatform.js';
 import {RequestOutcome} from '../../requests/common/request.js';
-import {BoundKeyRegistry} from '../common/boundKeys.js';
+import {BoundKeyRegistry} from '../common/boundKeyRegistry.js';
 import {ClaimRowSweeper} from '../common/claimRowSweeper.js';
 import {claimRowKey, formatClaimRecord} from '../common/claimRecord.js';
 import {ClaimSettings, defaultClaimSettings} from '../common/claimSettings.js';
@@ -301,7 +301,7 @@
     const grant = first!.issueGrant(ACCOUNT);
     const key = each.key === 'bound' ? `${grant}.a` : 'order';
     const lookUp = async () => {
-      const found = second!.lookUp(ACCOUNT, key, neverCancelled);
+      const found = second!.findOutcome(ACCOUNT, key, neverCancelled);
       await simulation.advance(100);
       return found;
     };
--- a/src/features/claims/test/claimSimulation.ts
+++ b/src/features/claims/test/claimSimulation.ts
@@ -13,10 +13,10 @@
   RowWrite,
   TableService,
 } from '../../../infrastructure/table/common/tableService.js';
-import {Executed} from '../../requests/common/failure.js';
+import {ExecutionStatus} from '../../requests/common/failure.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 import {AskRequest, AskResponse, ClaimPeers} from '../common/claimPeers.js';
-import {ClaimDecision} from '../common/claims.js';
+import {ClaimDecision} from '../common/claimService.js';
 import {ClaimSettings, defaultClaimSettings} from '../common/claimSettings.js';
 import {compareFingerprints} from '../common/fingerprints.js';
 import {PeerDirectory, PeerInstance} from '../common/peerDirectory.js';
@@ -27,7 +27,7 @@
 
 /** Faults injected into the services, to verify that the properties detect them. */
 export interface Mutation {
-  readonly executedOf?: (decision: ClaimDecision) => Executed;
+  readonly executedOf?: (decision: ClaimDecision) => ExecutionStatus;
   readonly table?: (table: TableService) => TableService;
   readonly createNonce?: () => string;
   readonly ask?: (request: AskRequest, slot: ProcessSlot) => AskResponse;
@@ -78,7 +78,7 @@
   readonly platform = new InMemoryPlatform(this.platformClock);
   readonly slots: ProcessSlot[] = [];
   readonly violations: string[] = [];
-  readonly answers: Executed[] = [];
+  readonly answers: ExecutionStatus[] = [];
   private readonly grants = new Map<string, Grant[]>();
   private incarnationCount = 0;
   private nonceCount = 0;
@@ -105,7 +105,7 @@
     deadlineMilliseconds: number,
     finalOutcome: RequestOutcome,
     fingerprint?: string,
-  ): Promise<Executed> {
+  ): Promise<ExecutionStatus> {
     const {incarnation, service, clock} = slot;
     const source = new CancellationSource();
     const deadlineAt = clock.monotonicMilliseconds() + deadlineMilliseconds;
@@ -210,7 +210,7 @@
     return slot;
   }
 
-  private executedOf(decision: ClaimDecision): Executed {
+  private executedOf(decision: ClaimDecision): ExecutionStatus {
     return (this.mutation.executedOf ?? executedOf)(decision);
   }
 
@@ -242,9 +242,9 @@
 
   private answer(
     key: string,
-    executed: Executed,
+    executed: ExecutionStatus,
     fingerprint: string | undefined,
-  ): Executed {
+  ): ExecutionStatus {
     this.answers.push(executed);
     const mayHaveRun = (this.grants.get(key) ?? []).some(
       grant =>
@@ -259,7 +259,7 @@
 }
 
 /** The execution status that callers get for a decision other than `granted`. */
-export function executedOf(decision: ClaimDecision): Executed {
+export function executedOf(decision: ClaimDecision): ExecutionStatus {
   switch (decision.kind) {
     case 'duplicate':
       return executedOfOutcome(decision.outcome);
@@ -275,7 +275,7 @@
   }
 }
 
-function executedOfOutcome(outcome: RequestOutcome): Executed {
+function executedOfOutcome(outcome: RequestOutcome): ExecutionStatus {
   switch (outcome.kind) {
     case 'completed':
       return 'yes';
--- a/src/features/configuration/common/configurationProposer.ts
+++ b/src/features/configuration/common/configurationProposer.ts
@@ -24,7 +24,7 @@
 const RESOLVE_DELAY_MILLISECONDS = 200;
 
 /** Generates a unique nonce for a proposal. */
-export type NonceSource = () => string;
+export type NonceGenerator = () => string;
 
 /** Commits proposals by compare-and-set on the head row and resolves uncertain outcomes. */
 export class ConfigurationProposer {
@@ -33,7 +33,7 @@
     private readonly reader: ConfigurationReader,
     private readonly replica: ConfigurationReplica,
     private readonly clock: Clock,
-    private readonly nonce: NonceSource,
+    private readonly nonce: NonceGenerator,
     private readonly logger: Logger,
   ) {}
 
--- a/src/features/fleet/common/upstreamDirectory.ts
+++ b/src/features/fleet/common/upstreamDirectory.ts
@@ -1,7 +1,11 @@
 import {Clock} from '../../../base/common/clock.js';
 import {Emitter} from '../../../base/common/event.js';
 import {Disposable, DisposableOwner} from '../../../base/common/lifecycle.js';
-import {elapsedSince, Moment, momentOf} from '../../../base/common/moment.js';
+import {
+  elapsedSince,
+  Moment,
+  currentMoment,
+} from '../../../base/common/moment.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 import {Upstream} from './upstream.js';
 import {describeUpstream, digestUpstreams} from './upstreamDigest.js';
@@ -82,7 +86,7 @@
    * Replaces the list with one that was read at a moment, by default now. A list older than the current one is
    * ignored.
    */
-  replace(list: readonly Upstream[], readAt = momentOf(this.clock)): void {
+  replace(list: readonly Upstream[], readAt = currentMoment(this.clock)): void {
     const lastRead = this.lastReadAt?.monotonic ?? -Infinity;
     if (readAt.monotonic < lastRead) {
       return;
--- a/src/features/fleet/common/upstreamListRefresher.ts
+++ b/src/features/fleet/common/upstreamListRefresher.ts
@@ -1,7 +1,7 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Clock} from '../../../base/common/clock.js';
 import {DisposableOwner} from '../../../base/common/lifecycle.js';
-import {momentOf} from '../../../base/common/moment.js';
+import {currentMoment} from '../../../base/common/moment.js';
 import {RandomSource} from '../../../base/common/randomSource.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 import {RepeatingTask} from '../../membership/common/repeatingTask.js';
@@ -67,7 +67,7 @@
   }
 
   private async refresh(token: CancellationToken): Promise<void> {
-    const askedAt = momentOf(this.clock);
+    const askedAt = currentMoment(this.clock);
     const listing = await this.source.list(token);
     if (token.isCancelled) {
       return;
--- a/src/features/instances/node/peerGossip.ts
+++ b/src/features/instances/node/peerGossip.ts
@@ -1,10 +1,10 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Clock} from '../../../base/common/clock.js';
 import {DisposableOwner} from '../../../base/common/lifecycle.js';
-import {momentOf} from '../../../base/common/moment.js';
+import {currentMoment} from '../../../base/common/moment.js';
 import {RandomSource} from '../../../base/common/randomSource.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
-import {RpcConnections} from '../../../infrastructure/rpc/node/rpc.js';
+import {RpcClientFactory} from '../../../infrastructure/rpc/node/rpc.js';
 import {SlownessTracker} from '../../fleet/common/slownessTracker.js';
 import {SuspicionTracker} from '../../fleet/common/suspicionTracker.js';
 import {UpstreamDirectory} from '../../fleet/common/upstreamDirectory.js';
@@ -58,7 +58,7 @@
 /** Exchanges state with peers by gossip. */
 export class PeerGossip extends DisposableOwner {
   private readonly task: RepeatingTask;
-  private readonly connections: RpcConnections;
+  private readonly connections: RpcClientFactory;
   private readonly listExchange: UpstreamListExchange;
   private round = 0;
   private holderReportedAt = -Infinity;
@@ -76,7 +76,7 @@
   ) {
     super();
     this.listExchange = new UpstreamListExchange(dependencies.directory);
-    this.connections = this.register(new RpcConnections(peerKey));
+    this.connections = this.register(new RpcClientFactory(peerKey));
     this.task = this.register(
       new RepeatingTask(
         clock,
@@ -163,9 +163,9 @@
     const cancellationListener = token.onDidCancel(() =>
       abortController.abort(),
     );
-    const requestedAt = momentOf(this.clock);
+    const requestedAt = currentMoment(this.clock);
     try {
-      const client = this.connections.client<GossipRouter>(peer.peerAddress);
+      const client = this.connections.clientFor<GossipRouter>(peer.peerAddress);
       const body = await client.news.exchange.mutate(this.composeMessage(), {
         signal: abortController.signal,
       });
--- a/src/features/instances/test/upstreamListExchange.test.ts
+++ b/src/features/instances/test/upstreamListExchange.test.ts
@@ -2,7 +2,7 @@
 
 import {FakeClock} from '../../../../test/support/fakeClock.js';
 import {CancellationToken} from '../../../base/common/cancellation.js';
-import {momentBefore, momentOf} from '../../../base/common/moment.js';
+import {momentBefore, currentMoment} from '../../../base/common/moment.js';
 import {SeededRandomSource} from '../../../base/common/randomSource.js';
 import {failure, Result, success} from '../../../base/common/result.js';
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
@@ -72,14 +72,20 @@
     clock.advance(10_000);
     const requester = new UpstreamDirectory(clock, new SilentLogger());
     const peer = new UpstreamDirectory(clock, new SilentLogger());
-    requester.replace(row.known, momentBefore(momentOf(clock), row.knownAge));
-    peer.replace(row.peerList, momentBefore(momentOf(clock), row.peerListAge));
+    requester.replace(
+      row.known,
+      momentBefore(currentMoment(clock), row.knownAge),
+    );
+    peer.replace(
+      row.peerList,
+      momentBefore(currentMoment(clock), row.peerListAge),
+    );
     const exchange = new UpstreamListExchange(requester);
     const response = new UpstreamListExchange(peer).createResponse(
       exchange.own,
     );
     expect(response?.upstreams !== undefined).toBe(row.hasEntries);
-    exchange.applyResponse(response, momentOf(clock));
+    exchange.applyResponse(response, currentMoment(clock));
     expect(requester.list).toEqual(row.expectedList);
     expect(requester.age).toBe(row.age);
   });
@@ -90,7 +96,7 @@
     const requester = new UpstreamDirectory(clock, new SilentLogger());
     peer.replace([one]);
     const exchange = new UpstreamListExchange(requester);
-    const requestedAt = momentOf(clock);
+    const requestedAt = currentMoment(clock);
     const response = new UpstreamListExchange(peer).createResponse(
       exchange.own,
     );
@@ -108,12 +114,12 @@
     // The peer's monotonic clock stops during the suspension.
     peerClock.shiftWall(4000);
     clock.advance(4000);
-    requester.replace([leaving], momentBefore(momentOf(clock), 600));
+    requester.replace([leaving], momentBefore(currentMoment(clock), 600));
     const exchange = new UpstreamListExchange(requester);
     const response = new UpstreamListExchange(peer).createResponse(
       exchange.own,
     );
-    exchange.applyResponse(response, momentOf(clock));
+    exchange.applyResponse(response, currentMoment(clock));
     expect(requester.list).toEqual([leaving]);
     expect(requester.age).toBe(600);
   });
@@ -230,7 +236,7 @@
     }
 
     private runRound(index: number): void {
-      const moment = momentOf(this.clock);
+      const moment = currentMoment(this.clock);
       const now = moment.monotonic;
       const phase = (index * ROUND_MILLISECONDS) / INSTANCE_COUNT;
       const isDue = (now - phase) % ROUND_MILLISECONDS < STEP_MILLISECONDS;
--- a/src/features/membership/common/confirmation.ts
+++ b/src/features/membership/common/confirmation.ts
@@ -6,7 +6,7 @@
  * Maximum age of a status in outage counts, as a multiple of the confirmation bound. It may exceed the bound because
  * statuses count only while a majority can't reach the table.
  */
-export const OUTAGE_EVIDENCE_FACTOR = 2.5;
+export const OUTAGE_STATUS_AGE_FACTOR = 2.5;
 
 /** A read of the head row by any instance, timestamped on this instance's monotonic clock. */
 export interface HeadObservation {
@@ -32,7 +32,7 @@
   readonly knownRevision: number;
   /** Monotonic milliseconds at which the applied revision was last known to be the head; undefined if it never was. */
   readonly confirmedAt: number | undefined;
-  readonly outage: OutageCounts;
+  readonly outageCounts: OutageCounts;
 }
 
 /** The decision, as an event of the instance's life cycle. */
@@ -47,7 +47,9 @@
     return 'confirmed';
   }
   const isNewest = input.appliedRevision >= input.knownRevision;
-  return isNewest && isMajority(input.outage) ? 'confirmed' : 'unconfirmed';
+  return isNewest && isMajority(input.outageCounts)
+    ? 'confirmed'
+    : 'unconfirmed';
 }
 
 function isMajority(outage: OutageCounts): boolean {
--- a/src/features/membership/common/entryPresence.ts
+++ b/src/features/membership/common/entryPresence.ts
@@ -33,11 +33,11 @@
   /** Handles an announcement, which also counts as contact. */
   announce(announcement: EntryAnnouncement): void {
     this.announcement = announcement;
-    this.noteHeard();
+    this.recordContact();
   }
 
   /** Records a call by the entry program. */
-  noteHeard(): void {
+  recordContact(): void {
     this.lastContactAt = this.clock.monotonicMilliseconds();
   }
 }
--- a/src/features/membership/common/statusTable.ts
+++ b/src/features/membership/common/instanceStatusTable.ts
@@ -10,7 +10,7 @@
 /** The table access of one instance at one moment. */
 export interface InstanceStatus {
   /** Monotonic milliseconds of this instance's clock; never later than the moment described. */
-  readonly heardAt: number;
+  readonly observedAt: number;
   /** Whether its configuration was ever confirmed; only failures of such instances count towards an outage majority. */
   readonly isVoter: boolean;
   /** Whether its last read of the table failed. */
@@ -28,7 +28,7 @@
   /** Stores a status if it is newer than the known one. */
   update(id: string, status: InstanceStatus): void {
     const known = this.statuses.get(id);
-    if (known === undefined || status.heardAt > known.heardAt) {
+    if (known === undefined || status.observedAt > known.observedAt) {
       this.statuses.set(id, status);
     }
   }
@@ -71,7 +71,7 @@
     return ids.flatMap(id => {
       const status = this.statuses.get(id);
       const isRecent =
-        status !== undefined && now - status.heardAt <= limitMilliseconds;
+        status !== undefined && now - status.observedAt <= limitMilliseconds;
       return isRecent ? [status] : [];
     });
   }
@@ -104,7 +104,9 @@
   if (status === undefined) {
     return UNKNOWN_AGE_SECONDS;
   }
-  const seconds = Math.ceil((now - status.heardAt) / MILLISECONDS_PER_SECOND);
+  const seconds = Math.ceil(
+    (now - status.observedAt) / MILLISECONDS_PER_SECOND,
+  );
   const age = Math.min(Math.max(seconds, 0), UNKNOWN_AGE_SECONDS);
   return (
     age |
@@ -122,7 +124,7 @@
     return undefined;
   }
   return {
-    heardAt: requestedAt - age * MILLISECONDS_PER_SECOND,
+    observedAt: requestedAt - age * MILLISECONDS_PER_SECOND,
     isVoter: (byte & VOTER_BIT) !== 0,
     hasFailedRead: (byte & FAILED_BIT) !== 0,
   };
--- a/src/features/membership/common/listReadPlan.ts
+++ b/src/features/membership/common/listReadScheduler.ts
@@ -12,7 +12,7 @@
 /** Limits on the frequency of list reads. */
 export interface ListReadLimits {
   /** Interval between the reads of a single instance, and mean interval between the reads of all instances together. */
-  readonly shortestMilliseconds: number;
+  readonly minIntervalMilliseconds: number;
   /** Read budget of one instance; exceeded only if the instances together would read too rarely. */
   readonly bytesPerSecond: number;
 }
@@ -21,7 +21,7 @@
  * Polled once per minimum interval. Due reads are drawn at random, so that instances that started together don't read
  * together and a change of the interval takes effect at once.
  */
-export class ListReadPlan {
+export class ListReadScheduler {
   private listBytes = 0;
   private lastReadAt: number | undefined;
   private notBefore = -Infinity;
@@ -40,7 +40,8 @@
    * read less than once per minimum interval.
    */
   intervalMilliseconds(readerCount: number): number {
-    const {shortestMilliseconds, bytesPerSecond} = this.limits;
+    const {minIntervalMilliseconds: shortestMilliseconds, bytesPerSecond} =
+      this.limits;
     const budgetMilliseconds =
       (this.listBytes / bytesPerSecond) * MILLISECONDS_PER_SECOND;
     const sharedMilliseconds = readerCount * shortestMilliseconds;
@@ -67,7 +68,8 @@
       return true;
     }
     const factor = this.failed ? RETRY_RATE_FACTOR : 1;
-    const probability = (factor * this.limits.shortestMilliseconds) / interval;
+    const probability =
+      (factor * this.limits.minIntervalMilliseconds) / interval;
     return this.random.next() < probability;
   }
 
@@ -87,7 +89,7 @@
   }
 
   /** Requests a read because the lists of peers differ in a way that gossip can't resolve. */
-  wantRepair(): void {
+  requestRepairRead(): void {
     this.needsRepairRead = true;
   }
 }
--- a/src/features/membership/common/listReader.ts
+++ b/src/features/membership/common/listReader.ts
@@ -7,7 +7,7 @@
   MembershipList,
 } from '../../../infrastructure/membership/common/membershipList.js';
 import {StorageError} from '../../../infrastructure/table/common/tableService.js';
-import {ListReadPlan} from './listReadPlan.js';
+import {ListReadScheduler} from './listReadScheduler.js';
 import {MergedMemberList} from './mergedMemberList.js';
 
 /** The removals of a read are doubted if it lacks more than this share of the known members. */
@@ -20,7 +20,7 @@
   /** Whether the merged list changed. */
   readonly changed: boolean;
   /** Whether the change should be announced; false for the first read, which peers are likely to know. */
-  readonly isNews: boolean;
+  readonly isNewToPeers: boolean;
 }
 
 /** Reads the whole list into the merged list; the removal of many members at once needs confirmation. */
@@ -30,7 +30,7 @@
   constructor(
     private readonly list: MembershipList,
     private readonly memberList: MergedMemberList,
-    private readonly scheduler: ListReadPlan,
+    private readonly scheduler: ListReadScheduler,
     private readonly clock: Clock,
     private readonly logger: Logger,
     private readonly isRecentlySeen: (id: string) => boolean,
@@ -56,7 +56,7 @@
     members: readonly Member[],
     readAt: number,
   ): ListReadResult {
-    const isFirst = !this.memberList.isRead;
+    const isFirst = !this.memberList.hasReadList;
     this.doubted = this.findDoubtedRemovals(members);
     const now = this.clock.monotonicMilliseconds();
     const changed = this.memberList.applyList(
@@ -67,7 +67,7 @@
     );
     const isDoubtful = this.doubted.size > 0;
     this.scheduler.recordRead(JSON.stringify(members).length, isDoubtful);
-    return {changed, isNews: changed && !isFirst};
+    return {changed, isNewToPeers: changed && !isFirst};
   }
 
   /**
--- a/src/features/membership/common/mergedMemberList.ts
+++ b/src/features/membership/common/mergedMemberList.ts
@@ -1,4 +1,4 @@
-import {textHash} from '../../../base/common/textHash.js';
+import {hashText} from '../../../base/common/hashText.js';
 import {Member} from '../../../infrastructure/membership/common/membershipList.js';
 
 /** Merges reads of the platform's list by any instance; for each member the newest read wins. */
@@ -42,7 +42,7 @@
   }
 
   /** Whether this instance has read the whole list. */
-  get isRead(): boolean {
+  get hasReadList(): boolean {
     return this.lastListReadAt !== undefined;
   }
 
@@ -81,7 +81,7 @@
     now: number,
     doubted: ReadonlySet<string>,
   ): boolean {
-    const changedAt = this.isRead ? now : undefined;
+    const changedAt = this.hasReadList ? now : undefined;
     let changed = false;
     for (const member of list) {
       changed =
@@ -102,7 +102,7 @@
    * Applies changes from a peer. Ages are subtracted from the time of the request, so that no observation looks newer
    * than it is.
    */
-  takeChanges(
+  applyChanges(
     changes: readonly MemberChange[],
     requestedAt: number,
     now: number,
@@ -235,5 +235,5 @@
 /** Never returns 0, which represents absence. */
 function memberHash(member: Member): number {
   const fields = Object.entries(member).map(([name, value]) => name + value);
-  return textHash(fields.sort().join('\n')) || 1;
+  return hashText(fields.sort().join('\n')) || 1;
 }
--- a/src/features/membership/common/standingKeeper.ts
+++ b/src/features/membership/common/standingStateMachine.ts
@@ -29,7 +29,7 @@
 >(chartDefinition as ChartDefinition);
 
 /** Derives this instance's standing from the state of its life cycle. */
-export class StandingKeeper extends DisposableOwner {
+export class StandingStateMachine extends DisposableOwner {
   private readonly chart = new ChartInstance(instanceLifecycle);
   private readonly changed = this.register(new Emitter<Standing>());
   private since: number;
@@ -48,7 +48,7 @@
   }
 
   /** Decides confirmation from the current inputs and applies it. */
-  evaluate(input: ConfirmationInput): void {
+  updateConfirmation(input: ConfirmationInput): void {
     this.send(decideConfirmation(input));
   }
 
--- a/src/features/membership/common/systemViewSource.ts
+++ b/src/features/membership/common/systemViewSource.ts
@@ -8,7 +8,7 @@
   abstract readonly current: SystemView | undefined;
 
   /** Monotonic milliseconds of the last response; undefined before the first one. */
-  abstract readonly heardAt: number | undefined;
+  abstract readonly lastResponseAt: number | undefined;
 
   /** Fires with each new view. */
   abstract readonly onDidChange: Event<SystemView>;
--- a/src/features/membership/node/controlViewSource.ts
+++ b/src/features/membership/node/controlViewSource.ts
@@ -43,7 +43,7 @@
     return this.merger.current;
   }
 
-  override get heardAt(): number | undefined {
+  override get lastResponseAt(): number | undefined {
     return this.respondedAt;
   }
 
--- a/src/features/membership/node/viewRouter.ts
+++ b/src/features/membership/node/viewRouter.ts
@@ -21,7 +21,7 @@
   readonly publisher: ViewPublisher;
   view(): SystemView;
   announce(announcement: EntryAnnouncement): void;
-  noteEntry(): void;
+  recordEntryContact(): void;
 }
 
 /** Serves watches. `source` identifies this process, since sequences of different processes are not comparable. */
@@ -49,7 +49,7 @@
   }
 
   private refresh(): void {
-    this.provider.noteEntry();
+    this.provider.recordEntryContact();
     this.history.update(this.provider.view());
   }
 
--- a/src/features/membership/test/listReading.test.ts
+++ b/src/features/membership/test/listReading.test.ts
@@ -7,13 +7,13 @@
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {UpstreamMember} from '../../../infrastructure/membership/common/membershipList.js';
 import {ListReader} from '../common/listReader.js';
-import {ListReadPlan} from '../common/listReadPlan.js';
+import {ListReadScheduler} from '../common/listReadScheduler.js';
 import {
   SHARING_MILLISECONDS,
   MergedMemberList,
 } from '../common/mergedMemberList.js';
 
-const limits = {shortestMilliseconds: 3_000, bytesPerSecond: 500};
+const limits = {minIntervalMilliseconds: 3_000, bytesPerSecond: 500};
 
 function engine(id: string, state: 'live' | 'leaving' = 'live') {
   const place = {dataCentre: 'd', region: 'r', address: '10.0.0.1:1'};
@@ -52,7 +52,7 @@
     },
   ])('schedules reads $name', ({bytes, readerCount, seconds}) => {
     const clock = new FakeClock();
-    const scheduler = new ListReadPlan(
+    const scheduler = new ListReadScheduler(
       clock,
       new SeededRandomSource(1),
       limits,
@@ -69,7 +69,7 @@
 
   it('waits for the requested retry delay, then repeats doubtful reads', () => {
     const clock = new FakeClock();
-    const scheduler = new ListReadPlan(
+    const scheduler = new ListReadScheduler(
       clock,
       new SeededRandomSource(1),
       limits,
@@ -135,7 +135,7 @@
     const clock = new FakeClock();
     const platform = new InMemoryPlatform(clock);
     const memberList = new MergedMemberList();
-    const scheduler = new ListReadPlan(
+    const scheduler = new ListReadScheduler(
       clock,
       new SeededRandomSource(1),
       limits,
@@ -226,7 +226,7 @@
     memberList.applyList([], 0, 0, new Set());
     for (const [change, seconds] of changes) {
       const ageMilliseconds = seconds * 1_000;
-      memberList.takeChanges([{...change, ageMilliseconds}], now, now);
+      memberList.applyChanges([{...change, ageMilliseconds}], now, now);
     }
     expect(memberList.get('a')?.state).toBe(state);
   });
@@ -235,8 +235,8 @@
     const memberList = new MergedMemberList();
     memberList.applyList([], 100, 100, new Set());
     const changes = [{...live, ageMilliseconds: 0}];
-    expect(memberList.takeChanges(changes, 100, 100)).toBe(false);
-    expect(memberList.takeChanges(changes, 101, 101)).toBe(true);
+    expect(memberList.applyChanges(changes, 100, 100)).toBe(false);
+    expect(memberList.applyChanges(changes, 101, 101)).toBe(true);
   });
 
   it('removes old tombstones and bounds their number', () => {
--- a/src/features/membership/test/membership.test.ts
+++ b/src/features/membership/test/membership.test.ts
@@ -14,9 +14,9 @@
 import {
   instanceLifecycle,
   LifecycleEvent,
-  StandingKeeper,
-} from '../common/standingKeeper.js';
-import {InstanceStatusTable} from '../common/statusTable.js';
+  StandingStateMachine,
+} from '../common/standingStateMachine.js';
+import {InstanceStatusTable} from '../common/instanceStatusTable.js';
 import {SystemView} from '../common/systemView.js';
 import {ViewHistory} from '../common/viewHistory.js';
 import {STANDING_HOLD_MILLISECONDS, ViewMerger} from '../common/viewMerger.js';
@@ -27,7 +27,7 @@
   appliedRevision: 3,
   knownRevision: 3,
   confirmedAt: undefined,
-  outage: {listed: 5, failed: 0},
+  outageCounts: {listed: 5, failed: 0},
 };
 
 describe('decideConfirmation', () => {
@@ -48,22 +48,22 @@
     ],
     [
       'accepts when a majority lacks the table',
-      {outage: {listed: 5, failed: 3}},
+      {outageCounts: {listed: 5, failed: 3}},
       'confirmed',
     ],
     [
       'rejects when only half lacks the table',
-      {outage: {listed: 4, failed: 2}},
+      {outageCounts: {listed: 4, failed: 2}},
       'unconfirmed',
     ],
     [
       'rejects when a majority lacks the table but a newer revision is known',
-      {outage: {listed: 5, failed: 5}, knownRevision: 4},
+      {outageCounts: {listed: 5, failed: 5}, knownRevision: 4},
       'unconfirmed',
     ],
     [
       'rejects when the list is empty',
-      {outage: {listed: 0, failed: 0}},
+      {outageCounts: {listed: 0, failed: 0}},
       'unconfirmed',
     ],
   ];
@@ -100,7 +100,7 @@
           let now = 1_000_000;
           const heardAt = now;
           let table = new InstanceStatusTable();
-          table.update('a', {heardAt, isVoter, hasFailedRead});
+          table.update('a', {observedAt: heardAt, isVoter, hasFailedRead});
           for (const delay of delays) {
             const requestedAt = now + delay / 2;
             now += delay;
@@ -109,7 +109,7 @@
             table = next;
           }
           const status = table.get('a');
-          expect(status?.heardAt ?? 0).toBeLessThanOrEqual(heardAt);
+          expect(status?.observedAt ?? 0).toBeLessThanOrEqual(heardAt);
           if (status !== undefined) {
             expect(status).toMatchObject({isVoter, hasFailedRead});
           }
@@ -122,11 +122,11 @@
   it('counts only recent voters, keeps the newest status and removes unlisted instances', () => {
     const table = new InstanceStatusTable();
     const ids = ['a', 'b', 'c', 'd'];
-    table.update('a', {heardAt: 50, isVoter: true, hasFailedRead: true});
-    table.update('a', {heardAt: 40, isVoter: true, hasFailedRead: false});
-    table.update('b', {heardAt: 50, isVoter: false, hasFailedRead: true});
-    table.update('c', {heardAt: 9, isVoter: true, hasFailedRead: true});
-    table.update('d', {heardAt: 50, isVoter: true, hasFailedRead: false});
+    table.update('a', {observedAt: 50, isVoter: true, hasFailedRead: true});
+    table.update('a', {observedAt: 40, isVoter: true, hasFailedRead: false});
+    table.update('b', {observedAt: 50, isVoter: false, hasFailedRead: true});
+    table.update('c', {observedAt: 9, isVoter: true, hasFailedRead: true});
+    table.update('d', {observedAt: 50, isVoter: true, hasFailedRead: false});
     expect(table.countTableFailures(ids, 60, 50)).toBe(1);
     table.merge(btoa('x'), ids, 70);
     table.keepOnly(['d']);
@@ -158,16 +158,16 @@
 
   it('determines the standing and never returns from leaving to serving', () => {
     const clock = new FakeClock();
-    const stateMachine = new StandingKeeper(clock);
+    const stateMachine = new StandingStateMachine(clock);
     const confirmed = {...base, confirmedAt: base.now};
     const standings = [stateMachine.standing];
-    stateMachine.evaluate(confirmed);
+    stateMachine.updateConfirmation(confirmed);
     standings.push(stateMachine.standing);
-    stateMachine.evaluate(base);
+    stateMachine.updateConfirmation(base);
     clock.advance(3_000);
     standings.push(stateMachine.standing);
     stateMachine.leave();
-    stateMachine.evaluate(confirmed);
+    stateMachine.updateConfirmation(confirmed);
     standings.push(stateMachine.standing);
     expect(standings).toEqual([
       {kind: 'starting'},
--- a/src/features/naive/common/naiveClaimService.ts
+++ b/src/features/naive/common/naiveClaimService.ts
@@ -1,4 +1,4 @@
-import {ClaimDecision, ClaimService} from '../../claims/common/claims.js';
+import {ClaimDecision, ClaimService} from '../../claims/common/claimService.js';
 import {RequestOutcome} from '../../requests/common/request.js';
 
 /** Baseline for comparison: grants every key and stores no outcomes. */
@@ -9,11 +9,11 @@
 
   override complete(): void {}
 
-  override lookUp(): Promise<RequestOutcome | undefined> {
+  override findOutcome(): Promise<RequestOutcome | undefined> {
     return Promise.resolve(undefined);
   }
 
-  override isSurelyNotRun(): boolean {
+  override isProvenNotRun(): boolean {
     return true;
   }
 
--- a/src/features/peers/common/localState.ts
+++ b/src/features/peers/common/localState.ts
@@ -2,7 +2,7 @@
 import {ConfigurationReplica} from '../../configuration/common/configurationReplica.js';
 import {
   ConfirmationTracker,
-  OUTAGE_EVIDENCE_FACTOR,
+  OUTAGE_STATUS_AGE_FACTOR,
   OutageCounts,
   HeadObservation,
 } from '../../membership/common/confirmation.js';
@@ -14,7 +14,7 @@
   MergedMemberList,
   MemberChange,
 } from '../../membership/common/mergedMemberList.js';
-import {InstanceStatusTable} from '../../membership/common/statusTable.js';
+import {InstanceStatusTable} from '../../membership/common/instanceStatusTable.js';
 import {rosterFingerprint} from './roster.js';
 
 /** An instance with a status no older than this is considered running and reading the list. */
@@ -23,7 +23,7 @@
 /** The state of the control program, shared by all components that access the table or peers. */
 export class LocalState {
   readonly statuses = new InstanceStatusTable();
-  readonly book = new MergedMemberList();
+  readonly memberList = new MergedMemberList();
   readonly directory = new InstanceDirectory();
   readonly confirmation = new ConfirmationTracker();
   private readonly startedAt: number;
@@ -66,19 +66,19 @@
   setRecord(change: Partial<InstanceRecord>): boolean {
     const previous = this.own;
     this.own = {...previous, ...change};
-    this.noteSelf();
+    this.refreshOwnStatus();
     return JSON.stringify(previous) !== JSON.stringify(this.own);
   }
 
   /** Must be called after `book` changed; brings the directory and the statuses up to date. */
-  membersChanged(): void {
-    const change = this.directory.applyList(this.book.members());
+  handleMembersChanged(): void {
+    const change = this.directory.applyList(this.memberList.members());
     if (!change.instancesChanged) {
       return;
     }
     this.rosterKey = rosterFingerprint(this.directory.ids);
     this.statuses.keepOnly(this.directory.ids);
-    this.noteSelf();
+    this.refreshOwnStatus();
   }
 
   /** Applies member changes from the response to a request at `requestedAt`; returns whether the list changed. */
@@ -87,9 +87,9 @@
     requestedAt: number,
   ): boolean {
     const now = this.clock.monotonicMilliseconds();
-    const changed = this.book.takeChanges(changes, requestedAt, now);
+    const changed = this.memberList.applyChanges(changes, requestedAt, now);
     if (changed) {
-      this.membersChanged();
+      this.handleMembersChanged();
     }
     return changed;
   }
@@ -102,7 +102,7 @@
   /**
    * Counts the instances that read the list and gossip, this one included; 1 if no peer responded for the given time.
    */
-  sharers(silenceMilliseconds: number): number {
+  countListReaders(silenceMilliseconds: number): number {
     const now = this.clock.monotonicMilliseconds();
     const {ids} = this.directory;
     const respondedAt = this.peerRespondedAt ?? this.startedAt;
@@ -116,21 +116,21 @@
   }
 
   /** Whether there is a recent status of an instance, from the instance itself or through peers. */
-  isHeardLately(id: string): boolean {
+  isRecentlySeen(id: string): boolean {
     const now = this.clock.monotonicMilliseconds();
     return this.statuses.countRecent([id], now, RECENT_MILLISECONDS) > 0;
   }
 
   /** Records a successful read of the head row. */
-  tableRead(observation: HeadObservation): void {
+  recordTableRead(observation: HeadObservation): void {
     this.headReadFailedSince = undefined;
     this.addHeadObservation(observation);
   }
 
   /** Records a failed read of the head row. */
-  tableFailed(): void {
+  recordTableFailure(): void {
     this.headReadFailedSince ??= this.clock.monotonicMilliseconds();
-    this.noteSelf();
+    this.refreshOwnStatus();
   }
 
   /** Adds a read of the head row by this or another instance. */
@@ -140,15 +140,15 @@
       observation,
       this.replica.current.revision,
     );
-    this.noteSelf();
+    this.refreshOwnStatus();
   }
 
   /** Updates this instance's own status and record to the present. */
-  noteSelf(): void {
+  refreshOwnStatus(): void {
     const heardAt = this.clock.monotonicMilliseconds();
     this.confirmation.handleRevisionApplied(this.replica.current.revision);
     this.statuses.update(this.id, {
-      heardAt,
+      observedAt: heardAt,
       isVoter: this.confirmation.confirmedAt !== undefined,
       hasFailedRead: this.headReadFailedSince !== undefined,
     });
@@ -156,9 +156,9 @@
   }
 
   /** Counts the listed instances that recently reported that they can't reach the table. */
-  outageEvidence(): OutageCounts {
+  countTableOutage(): OutageCounts {
     const ids = this.directory.ids;
-    const limit = this.boundMilliseconds * OUTAGE_EVIDENCE_FACTOR;
+    const limit = this.boundMilliseconds * OUTAGE_STATUS_AGE_FACTOR;
     const now = this.clock.monotonicMilliseconds();
     return {
       listed: ids.length,
--- a/src/features/peers/common/memberSpreader.ts
+++ b/src/features/peers/common/memberGossip.ts
@@ -12,7 +12,7 @@
 const UNRESOLVED_EXCHANGE_LIMIT = 5;
 
 /** Gossips changes of the member list: exchanges with peers that announce one and announces what was learned. */
-export class MemberSpreader extends DisposableOwner {
+export class MemberGossip extends DisposableOwner {
   private readonly lifetime = new CancellationSource();
   private readonly learned = this.register(new Emitter<void>());
   private readonly stayedDifferent = this.register(new Emitter<void>());
@@ -23,10 +23,10 @@
   private unresolvedExchanges = 0;
 
   /** Fires after changes from a peer were applied to the member list. */
-  readonly onDidLearn = this.learned.event;
+  readonly onDidLearnMembers = this.learned.event;
 
   /** Fires when the lists of peers stay different although they send no new changes. */
-  readonly onDidStayDifferent = this.stayedDifferent.event;
+  readonly onDidFailToConverge = this.stayedDifferent.event;
 
   constructor(
     private readonly state: LocalState,
@@ -86,7 +86,7 @@
   private takePendingNotice(): MembersNotice | undefined {
     const {pendingNotice} = this;
     this.pendingNotice = undefined;
-    return pendingNotice?.members === this.state.book.fingerprint
+    return pendingNotice?.members === this.state.memberList.fingerprint
       ? undefined
       : pendingNotice;
   }
--- a/src/features/peers/common/peerExchanger.ts
+++ b/src/features/peers/common/peerExchanger.ts
@@ -23,7 +23,7 @@
 const SNAPSHOT_REQUEST_THRESHOLD = 2;
 
 /** How many instances acknowledged a notice. */
-export interface Handover {
+export interface NoticeCoverage {
   /** Instances that know the announced revision, this one included if it is listed. */
   readonly acknowledged: number;
   readonly listed: number;
@@ -68,7 +68,7 @@
         {
           record: this.state.record,
           revision: this.state.replica.current.revision,
-          members: this.state.book.fingerprint,
+          members: this.state.memberList.fingerprint,
         },
         callToken,
       ),
@@ -87,7 +87,7 @@
       requestedAt,
     );
     await this.fetchRecords(peer, token);
-    this.state.noteSelf();
+    this.state.refreshOwnStatus();
     return outcome;
   }
 
@@ -99,7 +99,7 @@
       const index = this.random.nextInteger(candidates.length);
       targets.push(...candidates.splice(index, 1));
     }
-    const {record, book, replica} = this.state;
+    const {record, memberList: book, replica} = this.state;
     const revision = replica.knownRevision;
     const notice = {record, revision, members: book.fingerprint};
     await this.sendNotices(targets, notice, token);
@@ -109,7 +109,7 @@
   async broadcast(
     revisions: readonly ConfigurationRevision[],
     token: CancellationToken,
-  ): Promise<Handover> {
+  ): Promise<NoticeCoverage> {
     const notice = this.createNotice(revisions);
     const acknowledgedByPeers = await this.sendNotices(
       this.peers(),
@@ -159,7 +159,7 @@
     ) {
       return 'learned';
     }
-    const isSame = response.members === this.state.book.fingerprint;
+    const isSame = response.members === this.state.memberList.fingerprint;
     return isSame ? 'same' : 'different';
   }
 
@@ -263,7 +263,7 @@
       const isOwn = record.id === this.state.id;
       const observedAt = requestedAt - ageMilliseconds;
       if (!isOwn && this.state.directory.updateRecord(record, observedAt)) {
-        this.responder.noteChange(record.id);
+        this.responder.markRecordChanged(record.id);
       }
     }
   }
--- a/src/features/peers/common/peerResponder.ts
+++ b/src/features/peers/common/peerResponder.ts
@@ -42,11 +42,12 @@
   exchange(request: ExchangeRequest): ExchangeResponse {
     this.state.replica.observeRevision(request.revision);
     this.applyRecord(request.record);
-    this.state.noteSelf();
+    this.state.refreshOwnStatus();
     const evidence = this.state.confirmation.evidence;
     const now = this.state.clock.monotonicMilliseconds();
     const records = this.recentRecords(now, request.record.id);
-    const hasSameMembers = request.members === this.state.book.fingerprint;
+    const hasSameMembers =
+      request.members === this.state.memberList.fingerprint;
     return {
       record: this.state.record,
       revision: this.state.replica.knownRevision,
@@ -66,7 +67,7 @@
     this.applyRecord(notice.record);
     this.state.replica.observeRevision(notice.revision);
     this.state.replica.applyRevisions(notice.revisions ?? []);
-    this.state.noteSelf();
+    this.state.refreshOwnStatus();
     this.learned.fire();
     if (notice.members !== undefined) {
       this.membersNoticed.fire({id: notice.record.id, members: notice.members});
@@ -79,7 +80,7 @@
   }
 
   records(): readonly AgedRecord[] {
-    this.state.noteSelf();
+    this.state.refreshOwnStatus();
     const now = this.state.clock.monotonicMilliseconds();
     return this.state.directory.timestampedRecords().map(entry => ({
       record: entry.record,
@@ -92,7 +93,7 @@
   }
 
   /** Marks a record as changed, so that responses include it for a while. */
-  noteChange(id: string): void {
+  markRecordChanged(id: string): void {
     const now = this.state.clock.monotonicMilliseconds();
     this.recordChangedAt.delete(id);
     this.recordChangedAt.set(id, now);
@@ -107,7 +108,7 @@
   private applyRecord(record: ExchangeRequest['record']): void {
     const now = this.state.clock.monotonicMilliseconds();
     if (this.state.directory.updateRecord(record, now)) {
-      this.noteChange(record.id);
+      this.markRecordChanged(record.id);
       this.learned.fire();
     }
   }
@@ -115,7 +116,7 @@
   private members(
     now: number,
   ): Pick<ExchangeResponse, 'members' | 'memberChanges'> {
-    const {book} = this.state;
+    const {memberList: book} = this.state;
     const memberChanges = book.recentChanges(now);
     const members = book.fingerprint;
     return memberChanges.length > 0 ? {members, memberChanges} : {members};
--- a/src/features/peers/common/roster.ts
+++ b/src/features/peers/common/roster.ts
@@ -1,10 +1,10 @@
-import {textHash} from '../../../base/common/textHash.js';
+import {hashText} from '../../../base/common/hashText.js';
 
 const CACHE_LIMIT = 8;
 
 /** Identifies a list of instance ids by its length and a 32-bit FNV-1a hash. */
 export function rosterFingerprint(ids: readonly string[]): string {
-  const hash = textHash(ids.join('\n'));
+  const hash = hashText(ids.join('\n'));
   return `${ids.length}-${hash.toString(16)}`;
 }
 
--- a/src/features/peers/node/rpcPeerConnection.ts
+++ b/src/features/peers/node/rpcPeerConnection.ts
@@ -1,7 +1,7 @@
 import {CancellationToken} from '../../../base/common/cancellation.js';
 import {Disposable} from '../../../base/common/lifecycle.js';
 import {Result, failure, success} from '../../../base/common/result.js';
-import {RpcConnections} from '../../../infrastructure/rpc/node/rpc.js';
+import {RpcClientFactory} from '../../../infrastructure/rpc/node/rpc.js';
 import {PeerConnection, PeerError} from '../common/peerConnection.js';
 import {
   AgedRecord,
@@ -18,18 +18,18 @@
 const CLIENT_LIMIT = 512;
 
 type PeerClient = ReturnType<
-  typeof RpcConnections.prototype.client<PeerRouter>
+  typeof RpcClientFactory.prototype.clientFor<PeerRouter>
 >;
 type PeerCalls = PeerClient['peer'];
 
 /** Calls peers over tRPC. A bounded cache of clients shares one set of connections. */
 export class RpcPeerConnection extends PeerConnection implements Disposable {
   private readonly clients = new Map<string, PeerClient>();
-  private readonly connections: RpcConnections;
+  private readonly connections: RpcClientFactory;
 
   constructor(peerKey: string) {
     super();
-    this.connections = new RpcConnections(peerKey);
+    this.connections = new RpcClientFactory(peerKey);
   }
 
   override exchange(
@@ -103,7 +103,8 @@
 
   private client(address: string): PeerClient {
     const client =
-      this.clients.get(address) ?? this.connections.client<PeerRouter>(address);
+      this.clients.get(address) ??
+      this.connections.clientFor<PeerRouter>(address);
     this.clients.delete(address);
     this.clients.set(address, client);
     const oldest = this.clients.keys().next().value;
--- a/src/features/peers/test/peerCalls.test.ts
+++ b/src/features/peers/test/peerCalls.test.ts
@@ -42,7 +42,7 @@
     this.announcements.push(announcement);
   }
 
-  noteEntry(): void {}
+  recordEntryContact(): void {}
 }
 
 const clock = new FakeClock();
--- a/src/features/pipeline/common/executionTracker.ts
+++ b/src/features/pipeline/common/executionTracker.ts
@@ -1,5 +1,5 @@
 import {CancelReport} from '../../../infrastructure/engine/common/engineConnection.js';
-import {Executed} from '../../requests/common/failure.js';
+import {ExecutionStatus} from '../../requests/common/failure.js';
 
 /** What the router knows about the execution of one request on one engine. */
 export class EngineExecutionRecord {
@@ -122,7 +122,7 @@
   }
 
   /** The `executed` value that a failure response sent now may state. */
-  executed(releasedTokens: number): Executed {
+  executed(releasedTokens: number): ExecutionStatus {
     return decideExecuted(this.all, releasedTokens);
   }
 }
@@ -134,7 +134,7 @@
 export function decideExecuted(
   records: ReadonlyArray<Pick<EngineExecutionRecord, 'begun' | 'inDoubt'>>,
   releasedTokens: number,
-): Executed {
+): ExecutionStatus {
   const inDoubt = records.some(record => record.inDoubt);
   const begun = records.some(record => record.begun);
   if (releasedTokens > 0) {
--- a/src/features/pipeline/test/pipelineFaults.test.ts
+++ b/src/features/pipeline/test/pipelineFaults.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, test} from 'vitest';
 
-import {Executed} from '../../requests/common/failure.js';
+import {ExecutionStatus} from '../../requests/common/failure.js';
 import {ExportMode, Fault, FaultKind, faultKinds} from './faultyEngine.js';
 import {makeRequest, PipelineHarness, upstreamName} from './pipelineHarness.js';
 import {finishWithoutViolations, violationsOf} from './ruleViolations.js';
@@ -80,7 +80,14 @@
 describe('a request with a failed stage that has no replacement', () => {
   /** The last column states whether the engines are unfenced. */
   const cases: ReadonlyArray<
-    readonly [string, Executed | 'complete', number, FaultKind, number, boolean]
+    readonly [
+      string,
+      ExecutionStatus | 'complete',
+      number,
+      FaultKind,
+      number,
+      boolean,
+    ]
   > = [
     ['first stage unreachable', 'no', 0, 'unreachable', PREFILL_STEP, true],
     ['first stage refuses', 'no', 0, 'refused', PREFILL_STEP, true],
@@ -158,7 +165,7 @@
   const cases: ReadonlyArray<{
     kind: FaultKind;
     servedBefore: boolean;
-    executed: Executed;
+    executed: ExecutionStatus;
   }> = [
     {kind: 'cutBefore', servedBefore: true, executed: 'no'},
     {kind: 'cutBefore', servedBefore: false, executed: 'unknown'},
--- a/src/features/requests/common/failure.ts
+++ b/src/features/requests/common/failure.ts
@@ -6,7 +6,7 @@
  * Whether the request was executed.
  * `no`: no part of it ran or ever will. `yes`: it ran. `unknown`: it may have run.
  */
-export type Executed = 'no' | 'unknown' | 'yes';
+export type ExecutionStatus = 'no' | 'unknown' | 'yes';
 
 /** Why a request failed; `kind` is sent under this name. */
 export type RequestError =
@@ -37,7 +37,7 @@
 /** A failed request: the error, whether it was executed, and when and where to retry. */
 export interface RequestFailure {
   readonly error: RequestError;
-  readonly executed: Executed;
+  readonly executed: ExecutionStatus;
   /** Undefined if a retry cannot succeed. */
   readonly retryAfterMilliseconds: number | undefined;
   /** Caller addresses for a retry, best first; empty if any will do. */
--- a/src/features/routing/test/routingFakes.ts
+++ b/src/features/routing/test/routingFakes.ts
@@ -184,7 +184,7 @@
 /** A source of the views that a test sets. */
 export class FakeViews extends SystemViewSource {
   private readonly changed = new Emitter<SystemView>();
-  override readonly heardAt = 0;
+  override readonly lastResponseAt = 0;
   override readonly onDidChange = this.changed.event;
   override current: SystemView | undefined;
 
--- a/src/features/services/common/defaultServiceDispatcher.ts
+++ b/src/features/services/common/defaultServiceDispatcher.ts
@@ -12,19 +12,19 @@
   ServiceResponse,
 } from '../../../infrastructure/service/common/serviceConnection.js';
 import {
-  answerForClaim,
-  IncarnationAddress,
-} from '../../callers/common/claimAnswers.js';
+  actionForClaim,
+  IncarnationAddressResolver,
+} from '../../callers/common/claimActions.js';
 import {
   ServiceCallRequest,
   ServiceDispatcher,
 } from '../../callers/common/serviceDispatcher.js';
-import {ClaimService} from '../../claims/common/claims.js';
+import {ClaimService} from '../../claims/common/claimService.js';
 import {Configuration} from '../../configuration/common/configuration.js';
 import {RequestError, RequestFailure} from '../../requests/common/failure.js';
 import {CapacityBroker} from '../../routing/common/routing.js';
 import {LatencyWindow} from './latencyWindow.js';
-import {mayRepeat} from './repeatability.js';
+import {isCallRepeatable} from './repeatability.js';
 import {RetryBudget} from './retryBudget.js';
 import {ServiceCallRun} from './serviceCallRun.js';
 
@@ -39,11 +39,11 @@
   readonly broker: CapacityBroker;
   readonly connector: ServiceConnector;
   readonly claims: ClaimService;
-  readonly claimPlace: ClaimOwner;
+  readonly claimOwner: ClaimOwner;
   /** Returns the current configuration. */
   readonly configuration: () => Configuration;
   /** Returns the caller address of the instance that runs an incarnation. */
-  readonly addressOf: IncarnationAddress;
+  readonly addressOf: IncarnationAddressResolver;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -83,9 +83,10 @@
       ? services[request.service]
       : undefined;
     const isRepeatable =
-      request.repeatable && mayRepeat(configured, request.method, request.path);
+      request.repeatable &&
+      isCallRepeatable(configured, request.method, request.path);
     const isClaimedByHandler =
-      this.parts.claimPlace === 'handler' && !request.repeatable;
+      this.parts.claimOwner === 'handler' && !request.repeatable;
     if (isRepeatable || isClaimedByHandler) {
       return this.runUntilDeadline(request, isRepeatable, token);
     }
@@ -111,7 +112,7 @@
     );
     timer.dispose();
     source.dispose();
-    const claimAnswer = answerForClaim(decision, addressOf);
+    const claimAnswer = actionForClaim(decision, addressOf);
     switch (claimAnswer.kind) {
       case 'refuse':
         return failure(claimAnswer.failure);
--- a/src/features/services/common/repeatability.ts
+++ b/src/features/services/common/repeatability.ts
@@ -4,7 +4,7 @@
 } from '../../configuration/common/configuration.js';
 
 /** Whether a call may be repeated: the longest matching path prefix decides; a call without a match must not be. */
-export function mayRepeat(
+export function isCallRepeatable(
   service: PlainService | undefined,
   method: string,
   path: string,
--- a/src/features/services/test/serviceDispatcher.test.ts
+++ b/src/features/services/test/serviceDispatcher.test.ts
@@ -13,7 +13,7 @@
 import {ServiceCallRequest} from '../../callers/common/serviceDispatcher.js';
 import {RequestFailure} from '../../requests/common/failure.js';
 import {LatencyWindow} from '../common/latencyWindow.js';
-import {mayRepeat} from '../common/repeatability.js';
+import {isCallRepeatable} from '../common/repeatability.js';
 import {RetryBudget} from '../common/retryBudget.js';
 import {
   ReplicaBehaviour,
@@ -49,8 +49,8 @@
     {method: 'POST', path: '/orders', expected: false},
     {method: 'DELETE', path: '/', expected: false},
   ])('is $expected for $method $path', ({method, path, expected}) => {
-    expect(mayRepeat(stockService, method, path)).toBe(expected);
-    expect(mayRepeat(undefined, method, path)).toBe(false);
+    expect(isCallRepeatable(stockService, method, path)).toBe(expected);
+    expect(isCallRepeatable(undefined, method, path)).toBe(false);
   });
 });
 
--- a/src/features/services/test/serviceHarness.ts
+++ b/src/features/services/test/serviceHarness.ts
@@ -15,7 +15,7 @@
   ServiceResponse,
 } from '../../../infrastructure/service/common/serviceConnection.js';
 import {ServiceCallRequest} from '../../callers/common/serviceDispatcher.js';
-import {ClaimDecision, ClaimService} from '../../claims/common/claims.js';
+import {ClaimDecision, ClaimService} from '../../claims/common/claimService.js';
 import {
   emptyConfiguration,
   PlainService,
@@ -74,7 +74,7 @@
       broker: this.broker(),
       connector: this,
       claims: this.claims,
-      claimPlace,
+      claimOwner: claimPlace,
       configuration: () => ({
         ...emptyConfiguration,
         services: {stock: stockService},
@@ -193,11 +193,11 @@
     this.outcomes.set(key, outcome);
   }
 
-  override async lookUp(_account: string, key: string) {
+  override async findOutcome(_account: string, key: string) {
     return this.outcomes.get(key);
   }
 
-  override isSurelyNotRun(): boolean {
+  override isProvenNotRun(): boolean {
     return true;
   }
 
--- a/src/features/traffic/common/activeConfiguration.ts
+++ b/src/features/traffic/common/activeConfiguration.ts
@@ -1,7 +1,11 @@
 import {Clock} from '../../../base/common/clock.js';
 import {Emitter} from '../../../base/common/event.js';
 import {DisposableOwner} from '../../../base/common/lifecycle.js';
-import {elapsedSince, Moment, momentOf} from '../../../base/common/moment.js';
+import {
+  elapsedSince,
+  Moment,
+  currentMoment,
+} from '../../../base/common/moment.js';
 import {Logger} from '../../../infrastructure/logging/common/logger.js';
 import {RouteTable} from './routeTable.js';
 import {TrafficConfiguration} from './trafficConfiguration.js';
@@ -34,7 +38,7 @@
 
   /** The current time, to be taken before a read and passed to `confirm` after it. */
   now(): Moment {
-    return momentOf(this.clock);
+    return currentMoment(this.clock);
   }
 
   /** Activates a configuration unless its version is the active one or older. */
--- a/src/infrastructure/commandLine/node/runCommandLine.ts
+++ b/src/infrastructure/commandLine/node/runCommandLine.ts
@@ -10,7 +10,7 @@
 export const USAGE_EXIT_CODE = 2;
 
 /** Output streams of a command. */
-export interface Streams {
+export interface CommandStreams {
   readonly stdout: Writable;
   readonly stderr: Writable;
 }
@@ -26,7 +26,7 @@
 export async function runCommandLine(
   program: CommandLine,
   args: readonly string[],
-  streams: Streams,
+  streams: CommandStreams,
 ): Promise<number> {
   const cli = Cli.from(
     [Builtins.HelpCommand, Builtins.VersionCommand, ...program.commands],
--- a/src/infrastructure/http/node/httpClient.ts
+++ b/src/infrastructure/http/node/httpClient.ts
@@ -14,7 +14,7 @@
   /** Time limit of requests that do not specify one. */
   readonly callMilliseconds: number;
   /** Maximum size of a response body. */
-  readonly answerLimitBytes: number;
+  readonly maxResponseBytes: number;
 }
 
 /** Suitable for small control requests. */
@@ -23,7 +23,7 @@
   maxPendingRequests: 512,
   connectMilliseconds: 1000,
   callMilliseconds: 5000,
-  answerLimitBytes: 8 * 1024 * 1024,
+  maxResponseBytes: 8 * 1024 * 1024,
 };
 
 /**
@@ -67,7 +67,7 @@
       const exchange = new HttpExchange(
         this.pool,
         request.milliseconds ?? this.options.callMilliseconds,
-        this.options.answerLimitBytes,
+        this.options.maxResponseBytes,
       );
       return await exchange.run(request, token);
     } finally {
--- a/src/infrastructure/http/node/textServer.ts
+++ b/src/infrastructure/http/node/textServer.ts
@@ -6,7 +6,7 @@
 
 /** Minimal HTTP server for GET requests, such as for readiness, addresses and metrics. */
 
-export interface TextAnswer {
+export interface TextResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
@@ -15,7 +15,7 @@
 /** Handles the GET requests of one path. */
 export type TextHandler = (
   query: URLSearchParams,
-) => TextAnswer | Promise<TextAnswer>;
+) => TextResponse | Promise<TextResponse>;
 
 /** Few clients are expected. */
 const MAX_CONNECTIONS = 512;
@@ -24,7 +24,7 @@
 const STATUS_INTERNAL_ERROR = 500;
 
 /** Creates a JSON response. */
-export function jsonAnswer(body: unknown, status = 200): TextAnswer {
+export function createJsonResponse(body: unknown, status = 200): TextResponse {
   return {status, contentType: 'application/json', body: JSON.stringify(body)};
 }
 
--- a/src/infrastructure/http/test/httpClient.test.ts
+++ b/src/infrastructure/http/test/httpClient.test.ts
@@ -80,7 +80,7 @@
     ],
   ];
   it.each(cases)('%s', async (name, text, kind) => {
-    connect({answerLimitBytes: 50});
+    connect({maxResponseBytes: 50});
     onData = socket => socket.end(text);
     const outcome = await client.send(REQUEST, neverCancelled);
     expect(outcome.kind).toBe(kind);
--- a/src/infrastructure/rpc/node/rpc.ts
+++ b/src/infrastructure/rpc/node/rpc.ts
@@ -100,13 +100,13 @@
 }
 
 /** Creates clients of many addresses that share one connection for each address. */
-export class RpcConnections implements Disposable {
+export class RpcClientFactory implements Disposable {
   private readonly agent = createAgent(1);
 
   constructor(private readonly peerKey: string) {}
 
   /** Creates a client of an address. It uses the shared connection, so it needs no disposal. */
-  client<Router extends AnyTRPCRouter>(address: string): TRPCClient<Router> {
+  clientFor<Router extends AnyTRPCRouter>(address: string): TRPCClient<Router> {
     return createClient<Router>(this.agent, address, this.peerKey);
   }
 
--- a/src/infrastructure/table/node/httpTableService.ts
+++ b/src/infrastructure/table/node/httpTableService.ts
@@ -13,7 +13,7 @@
   TransactionMode,
   WriteOutcome,
 } from '../common/tableService.js';
-import {checkTransaction} from '../common/transactionRules.js';
+import {validateTransaction} from '../common/transactionRules.js';
 
 const rowSchema = z.object({
   key: z.string(),
@@ -91,7 +91,7 @@
     mode: TransactionMode,
     token: CancellationToken,
   ): Promise<Result<readonly WriteOutcome[], StorageError>> {
-    checkTransaction(writes);
+    validateTransaction(writes);
     const body = {
       mode,
       writes: writes.map(write => ({...write, value: write.value ?? null})),
--- a/src/programs/control/controlCore.ts
+++ b/src/programs/control/controlCore.ts
@@ -7,15 +7,15 @@
 import {ConfigurationStore} from '../../features/configuration/common/configurationStore.js';
 import {EntryPresence} from '../../features/membership/common/entryPresence.js';
 import {RepeatingTask} from '../../features/membership/common/repeatingTask.js';
-import {StandingKeeper} from '../../features/membership/common/standingKeeper.js';
+import {StandingStateMachine} from '../../features/membership/common/standingStateMachine.js';
 import {
   EntryAnnouncement,
   SystemView,
 } from '../../features/membership/common/systemView.js';
-import {UNKNOWN_AGE_SECONDS} from '../../features/membership/common/statusTable.js';
+import {UNKNOWN_AGE_SECONDS} from '../../features/membership/common/instanceStatusTable.js';
 import {ViewPublisher} from '../../features/membership/common/viewPublisher.js';
 import {LocalState} from '../../features/peers/common/localState.js';
-import {MemberSpreader} from '../../features/peers/common/memberSpreader.js';
+import {MemberGossip} from '../../features/peers/common/memberGossip.js';
 import {PeerExchanger} from '../../features/peers/common/peerExchanger.js';
 import {PeerResponder} from '../../features/peers/common/peerResponder.js';
 import {ProposalCoordinator} from './proposalCoordinator.js';
@@ -43,9 +43,9 @@
   readonly publisher: ViewPublisher;
   readonly proposals: ProposalCoordinator;
   private readonly reader: ConfigurationReader;
-  private readonly standingKeeper: StandingKeeper;
+  private readonly standingKeeper: StandingStateMachine;
   private readonly exchanger: PeerExchanger;
-  private readonly spreader: MemberSpreader;
+  private readonly spreader: MemberGossip;
   private readonly tasks: readonly RepeatingTask[];
   private readonly headTask: RepeatingTask;
   private readonly entry: EntryPresence;
@@ -66,7 +66,7 @@
     );
     this.responder = this.register(new PeerResponder(this.state));
     this.publisher = this.register(new ViewPublisher());
-    this.standingKeeper = this.register(new StandingKeeper(clock));
+    this.standingKeeper = this.register(new StandingStateMachine(clock));
     this.entry = new EntryPresence(clock);
     const store = new ConfigurationStore(
       dependencies.table,
@@ -80,7 +80,7 @@
       random,
     );
     this.spreader = this.register(
-      new MemberSpreader(this.state, this.exchanger, this.responder),
+      new MemberGossip(this.state, this.exchanger, this.responder),
     );
     const memberTracker = this.register(this.createMemberTracker());
     this.proposals = this.register(this.createProposalCoordinator(store));
@@ -119,8 +119,8 @@
   }
 
   /** Records a call of this instance's entry program, as a sign that it is alive. */
-  noteEntry(): void {
-    this.entry.noteHeard();
+  recordEntryContact(): void {
+    this.entry.recordContact();
   }
 
   /** Stops accepting new work, notifies all peers, then stops. */
@@ -179,7 +179,7 @@
     return new MemberTracker(
       {list, state, spreader, clock, random, logger, metrics},
       {
-        shortestMilliseconds:
+        minIntervalMilliseconds:
           timings.membershipReadSeconds * MILLISECONDS_PER_SECOND,
         bytesPerSecond: timings.membershipReadBytesPerSecond,
       },
@@ -208,9 +208,9 @@
     });
     if (reading.ok) {
       const {head, startedAt} = reading.value;
-      this.state.tableRead({revision: head.revision, readAt: startedAt});
+      this.state.recordTableRead({revision: head.revision, readAt: startedAt});
     } else {
-      this.state.tableFailed();
+      this.state.recordTableFailure();
     }
     this.evaluate();
   }
@@ -230,7 +230,7 @@
     ) {
       return period;
     }
-    const {failed, listed} = this.state.outageEvidence();
+    const {failed, listed} = this.state.countTableOutage();
     return failed * 2 > listed ? period : period / FAST_EXCHANGE_FACTOR;
   }
 
@@ -242,14 +242,14 @@
   }
 
   private evaluate(): void {
-    this.state.noteSelf();
-    this.standingKeeper.evaluate({
+    this.state.refreshOwnStatus();
+    this.standingKeeper.updateConfirmation({
       now: this.dependencies.clock.monotonicMilliseconds(),
       boundMilliseconds: this.state.boundMilliseconds,
       appliedRevision: this.replica.current.revision,
       knownRevision: this.replica.knownRevision,
       confirmedAt: this.state.confirmation.confirmedAt,
-      outage: this.state.outageEvidence(),
+      outageCounts: this.state.countTableOutage(),
     });
     this.updateOwnRecord();
     this.publisher.publish({
@@ -268,13 +268,13 @@
     const {leaving, incarnation, isAlive} = this.entry;
     const ready = standing.kind === 'serving' && isAlive && !leaving;
     if (this.state.setRecord({ready, leaving, incarnation})) {
-      this.responder.noteChange(this.state.id);
+      this.responder.markRecordChanged(this.state.id);
       void this.proposals.broadcast([]);
     }
   }
 
   private isHeardRecently(id: string): boolean {
-    const heardAt = this.state.statuses.get(id)?.heardAt;
+    const heardAt = this.state.statuses.get(id)?.observedAt;
     const now = this.dependencies.clock.monotonicMilliseconds();
     return (
       heardAt !== undefined &&
--- a/src/programs/control/controlDependencies.ts
+++ b/src/programs/control/controlDependencies.ts
@@ -1,6 +1,6 @@
 import {Clock} from '../../base/common/clock.js';
 import {RandomSource} from '../../base/common/randomSource.js';
-import {NonceSource} from '../../features/configuration/common/configurationProposer.js';
+import {NonceGenerator} from '../../features/configuration/common/configurationProposer.js';
 import {PeerConnection} from '../../features/peers/common/peerConnection.js';
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 import {MembershipList} from '../../infrastructure/membership/common/membershipList.js';
@@ -27,7 +27,7 @@
   readonly peers: PeerConnection;
   readonly clock: Clock;
   readonly random: RandomSource;
-  readonly nonce: NonceSource;
+  readonly nonce: NonceGenerator;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
--- a/src/programs/control/memberTracker.ts
+++ b/src/programs/control/memberTracker.ts
@@ -7,10 +7,10 @@
 import {ListReader} from '../../features/membership/common/listReader.js';
 import {
   ListReadLimits,
-  ListReadPlan,
-} from '../../features/membership/common/listReadPlan.js';
+  ListReadScheduler,
+} from '../../features/membership/common/listReadScheduler.js';
 import {LocalState} from '../../features/peers/common/localState.js';
-import {MemberSpreader} from '../../features/peers/common/memberSpreader.js';
+import {MemberGossip} from '../../features/peers/common/memberGossip.js';
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 import {MembershipList} from '../../infrastructure/membership/common/membershipList.js';
 import {Metrics} from '../../infrastructure/metrics/common/metrics.js';
@@ -20,7 +20,7 @@
 export interface MemberTrackerDependencies {
   readonly list: MembershipList;
   readonly state: LocalState;
-  readonly spreader: MemberSpreader;
+  readonly spreader: MemberGossip;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -30,7 +30,7 @@
 /** Keeps the membership list up to date. The instances share the reads and notify each other of changes. */
 export class MemberTracker extends DisposableOwner {
   private readonly changeEmitter = this.register(new Emitter<void>());
-  private readonly plan: ListReadPlan;
+  private readonly plan: ListReadScheduler;
   private readonly reader: ListReader;
 
   /** Fires after the list of members changed. */
@@ -44,23 +44,25 @@
   ) {
     super();
     const {list, state, spreader, clock, random, logger} = dependencies;
-    this.plan = new ListReadPlan(clock, random, limits);
+    this.plan = new ListReadScheduler(clock, random, limits);
     this.reader = new ListReader(
       list,
-      state.book,
+      state.memberList,
       this.plan,
       clock,
       logger,
-      id => state.isHeardLately(id),
+      id => state.isRecentlySeen(id),
+    );
+    this.register(spreader.onDidLearnMembers(() => this.changeEmitter.fire()));
+    this.register(
+      spreader.onDidFailToConverge(() => this.plan.requestRepairRead()),
     );
-    this.register(spreader.onDidLearn(() => this.changeEmitter.fire()));
-    this.register(spreader.onDidStayDifferent(() => this.plan.wantRepair()));
   }
 
   /** Reads the list if a read is due; called once in each shortest period. */
   async readIfDue(token: CancellationToken): Promise<void> {
     const {state, spreader, clock, metrics} = this.dependencies;
-    if (!this.plan.isDue(state.sharers(this.silenceMilliseconds))) {
+    if (!this.plan.isDue(state.countListReaders(this.silenceMilliseconds))) {
       return;
     }
     const reading = await withDeadline(
@@ -75,9 +77,9 @@
     if (!reading.ok || !reading.value.changed) {
       return;
     }
-    state.membersChanged();
+    state.handleMembersChanged();
     this.changeEmitter.fire();
-    if (reading.value.isNews) {
+    if (reading.value.isNewToPeers) {
       spreader.announce();
     }
   }
--- a/src/programs/control/proposalCoordinator.ts
+++ b/src/programs/control/proposalCoordinator.ts
@@ -14,7 +14,7 @@
 import {ConfigurationStore} from '../../features/configuration/common/configurationStore.js';
 import {Proposal} from '../../features/configuration/common/operationSchemas.js';
 import {
-  Handover,
+  NoticeCoverage,
   PeerExchanger,
 } from '../../features/peers/common/peerExchanger.js';
 import {Logger} from '../../infrastructure/logging/common/logger.js';
@@ -27,7 +27,7 @@
 /** The outcome of a proposal and, if it was accepted, of its broadcast to the peers. */
 export interface ProposalReport {
   readonly result: ProposalResult;
-  readonly handover: Handover | undefined;
+  readonly handover: NoticeCoverage | undefined;
 }
 
 /** Handles proposals: checks that a majority of instances is reachable, commits, and notifies all peers. */
@@ -71,7 +71,9 @@
   }
 
   /** Sends this instance's record and new revisions to all peers. */
-  broadcast(revisions: readonly ConfigurationRevision[]): Promise<Handover> {
+  broadcast(
+    revisions: readonly ConfigurationRevision[],
+  ): Promise<NoticeCoverage> {
     return withDeadline(
       this.clock,
       this.lifetime.token,
--- a/src/programs/control/statusReport.ts
+++ b/src/programs/control/statusReport.ts
@@ -14,7 +14,7 @@
     confirmationAgeMilliseconds:
       confirmedAt === undefined ? undefined : Math.round(now - confirmedAt),
     tableReachable: state.tableFailedSince === undefined,
-    instancesWithoutTable: state.outageEvidence(),
+    instancesWithoutTable: state.countTableOutage(),
     instances: view.instances,
     upstreams: view.upstreams,
   };
--- a/src/programs/control/test/controlProperties.test.ts
+++ b/src/programs/control/test/controlProperties.test.ts
@@ -1,7 +1,7 @@
 import * as fastCheck from 'fast-check';
 import {expect, it} from 'vitest';
 
-import {OUTAGE_EVIDENCE_FACTOR} from '../../../features/membership/common/confirmation.js';
+import {OUTAGE_STATUS_AGE_FACTOR} from '../../../features/membership/common/confirmation.js';
 import {ControlCluster, setClass, defaultTimings} from './controlCluster.js';
 
 /**
@@ -12,7 +12,7 @@
 const INSTANCE_IDS = ['a', 'b', 'c', 'd', 'e'];
 const SLACK_SECONDS = 2;
 const STALENESS_LIMIT_SECONDS =
-  defaultTimings.confirmationBoundSeconds * OUTAGE_EVIDENCE_FACTOR +
+  defaultTimings.confirmationBoundSeconds * OUTAGE_STATUS_AGE_FACTOR +
   SLACK_SECONDS;
 
 type Step =
--- a/src/programs/control/test/memberFleet.ts
+++ b/src/programs/control/test/memberFleet.ts
@@ -4,7 +4,7 @@
 import {LocalState} from '../../../features/peers/common/localState.js';
 import {PeerExchanger} from '../../../features/peers/common/peerExchanger.js';
 import {PeerResponder} from '../../../features/peers/common/peerResponder.js';
-import {MemberSpreader} from '../../../features/peers/common/memberSpreader.js';
+import {MemberGossip} from '../../../features/peers/common/memberGossip.js';
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {
   Member,
@@ -72,15 +72,17 @@
 
   /** The state of a member in an instance's copy of the list. */
   shownState(at: string, id: string): MemberState | undefined {
-    return this.states.get(at)?.book.get(id)?.state;
+    return this.states.get(at)?.memberList.get(id)?.state;
   }
 
   isRead(at: string): boolean {
-    return this.states.get(at)?.book.isRead ?? false;
+    return this.states.get(at)?.memberList.hasReadList ?? false;
   }
 
   fingerprints(): ReadonlySet<string> {
-    return new Set([...this.states.values()].map(({book}) => book.fingerprint));
+    return new Set(
+      [...this.states.values()].map(({memberList: book}) => book.fingerprint),
+    );
   }
 
   override delay(): Promise<void> {
@@ -105,14 +107,14 @@
     const responder = new PeerResponder(state);
     const connection = this.connectionOf(id);
     const peers = new PeerExchanger(state, connection, responder, random);
-    const spreader = new MemberSpreader(state, peers, responder);
+    const spreader = new MemberGossip(state, peers, responder);
     const logger = new SilentLogger();
     const metrics = new SilentMetrics();
     const list = this.platform.portsOf(id).membership;
     const tracker = new MemberTracker(
       {list, state, spreader, clock, random, logger, metrics},
       {
-        shortestMilliseconds: timings.read,
+        minIntervalMilliseconds: timings.read,
         bytesPerSecond: timings.bytesPerSecond,
       },
       4 * timings.exchange,
@@ -125,7 +127,7 @@
         random,
         () => timings.read,
         token => {
-          state.noteSelf();
+          state.refreshOwnStatus();
           return tracker.readIfDue(token);
         },
       ),
--- a/src/programs/control/test/memberTracker.test.ts
+++ b/src/programs/control/test/memberTracker.test.ts
@@ -117,7 +117,7 @@
             state,
           ]);
           for (const id of ids) {
-            const members = fleet.states.get(id)?.book.members() ?? [];
+            const members = fleet.states.get(id)?.memberList.members() ?? [];
             const shown = members.map(member => [member.id, member.state]);
             expect(shown.sort()).toEqual(listed.sort());
           }
@@ -172,7 +172,7 @@
     const told = {id: 'e0', member: e0, ageMilliseconds: 0} as const;
     // Simulates a wrong timestamp: the next read of the others appears older than this change.
     const later = now(fleet) + 15 * MILLISECONDS_PER_SECOND;
-    fleet.states.get('i0')?.book.takeChanges([told], later, now(fleet));
+    fleet.states.get('i0')?.memberList.applyChanges([told], later, now(fleet));
     fleet.list(['e0'], 'leaving');
     await fleet.run(30 * MILLISECONDS_PER_SECOND);
     expect(fleet.fingerprints().size).toBe(1);
--- a/src/programs/entry/redwingComponents.ts
+++ b/src/programs/entry/redwingComponents.ts
@@ -6,7 +6,7 @@
   SeededRandomSource,
 } from '../../base/common/randomSource.js';
 import {addressOfIncarnation} from '../../features/callers/common/entrypoints.js';
-import {ViewPeerDirectory} from '../../features/claims/common/peerDirectory.js';
+import {SystemViewPeerDirectory} from '../../features/claims/common/peerDirectory.js';
 import {createClaimRouter} from '../../features/claims/node/claimRouter.js';
 import {DefaultClaimService} from '../../features/claims/node/defaultClaimService.js';
 import {RpcClaimPeers} from '../../features/claims/node/rpcClaimPeers.js';
@@ -61,7 +61,7 @@
     const {settings, views, peerKey, incarnation} = this.dependencies;
     const {clock, logger, metrics} = this.dependencies;
     const {tableAddress} = settings.platform;
-    const directory = new ViewPeerDirectory();
+    const directory = new SystemViewPeerDirectory();
     this.register(views.onDidChange(view => directory.update(view)));
     const peers = this.register(new RpcClaimPeers(peerKey));
     const table = this.register(
@@ -113,7 +113,7 @@
       broker: this.broker,
       connector: services,
       claims: this.claims,
-      claimPlace: 'handler',
+      claimOwner: 'handler',
       configuration: () => views.current?.configuration ?? emptyConfiguration,
       addressOf: incarnation =>
         addressOfIncarnation(views.current?.instances ?? [], incarnation),
--- a/src/programs/redwing/runRedwing.ts
+++ b/src/programs/redwing/runRedwing.ts
@@ -1,6 +1,6 @@
 import {
   runCommandLine,
-  Streams,
+  CommandStreams,
 } from '../../infrastructure/commandLine/node/runCommandLine.js';
 import {accountCommands} from './commands/accountCommands.js';
 import {classCommands} from './commands/classCommands.js';
@@ -35,7 +35,7 @@
 /** Runs one command line; resolves with its exit code. */
 export async function runRedwing(
   commandLine: readonly string[],
-  streams: Streams,
+  streams: CommandStreams,
 ): Promise<number> {
   const refused = findRefusedOption(commandLine);
   if (refused !== undefined) {
--- a/src/programs/router/routerProgram.ts
+++ b/src/programs/router/routerProgram.ts
@@ -5,9 +5,9 @@
 import {chooseAddresses} from '../../features/instances/common/chooseAddresses.js';
 import {createGossipRouter} from '../../features/instances/node/gossipRouter.js';
 import {
-  jsonAnswer,
+  createJsonResponse,
   serveText,
-  TextAnswer,
+  TextResponse,
 } from '../../infrastructure/http/node/textServer.js';
 import {Logger} from '../../infrastructure/logging/common/logger.js';
 import {serveRpc} from '../../infrastructure/rpc/node/rpc.js';
@@ -32,7 +32,7 @@
 const MINIMUM_CALLER_CONNECTIONS = 256;
 
 /** Response to address queries while no instance serves; callers then ask another instance. */
-const NOT_SERVING_RESPONSE: TextAnswer = jsonAnswer({}, 503);
+const NOT_SERVING_RESPONSE: TextResponse = createJsonResponse({}, 503);
 
 const METRICS_PATH = '/metrics';
 const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4';
@@ -204,12 +204,12 @@
     await this.callers.listen(listen.callers);
   }
 
-  private readiness(): TextAnswer {
+  private readiness(): TextResponse {
     const {state} = this.components.instances;
-    return jsonAnswer({state}, state === 'serving' ? 200 : 503);
+    return createJsonResponse({state}, state === 'serving' ? 200 : 503);
   }
 
-  private addresses(query: URLSearchParams): TextAnswer {
+  private addresses(query: URLSearchParams): TextResponse {
     const {directory} = this.ports;
     const addressQuery = directory.parseAddressQuery(query);
     const {serving} = this.components.instances;
@@ -221,6 +221,6 @@
       ADDRESS_LIFETIME_SECONDS,
       this.settings.addressSeconds,
     );
-    return jsonAnswer(directory.formatAddresses(addresses, seconds));
+    return createJsonResponse(directory.formatAddresses(addresses, seconds));
   }
 }
--- a/test/prove/observations.ts
+++ b/test/prove/observations.ts
@@ -1,4 +1,4 @@
-import {Executed} from '../../src/features/requests/common/failure.js';
+import {ExecutionStatus} from '../../src/features/requests/common/failure.js';
 import {EngineLedgerEntry, EngineSettings} from '../standins/engineSettings.js';
 import {LedgerStamp} from '../standins/ledger.js';
 import {ServiceLedgerEntry} from '../standins/serviceStandIn.js';
@@ -26,7 +26,7 @@
   readonly end: 'whole' | 'failure' | 'cut' | 'unreachable';
   /** The text of the reply, also of an incomplete one; the body of the response to a service call. */
   readonly text: string;
-  readonly executed: Executed | undefined;
+  readonly executed: ExecutionStatus | undefined;
   readonly errorKind: string | undefined;
   readonly addresses: readonly string[];
   readonly retryAfterMilliseconds: number | undefined;
--- a/test/prove/testClient.ts
+++ b/test/prove/testClient.ts
@@ -1,6 +1,6 @@
 import {Agent} from 'undici';
 
-import {Executed} from '../../src/features/requests/common/failure.js';
+import {ExecutionStatus} from '../../src/features/requests/common/failure.js';
 import {RecordedResponse, Work} from './observations.js';
 import {serviceCallOf} from './work.js';
 
@@ -20,7 +20,7 @@
 interface FailureBody {
   readonly error?: {
     readonly kind?: string;
-    readonly executed?: Executed;
+    readonly executed?: ExecutionStatus;
     readonly retryAfterMilliseconds?: number | null;
     readonly addresses?: readonly string[];
   };
--- a/test/standins/platformOperations.ts
+++ b/test/standins/platformOperations.ts
@@ -3,7 +3,7 @@
   RowWrite,
   TransactionMode,
 } from '../../src/infrastructure/table/common/tableService.js';
-import {checkTransaction} from '../../src/infrastructure/table/common/transactionRules.js';
+import {validateTransaction} from '../../src/infrastructure/table/common/transactionRules.js';
 import {WeightManifest} from '../../src/infrastructure/weights/common/weightStore.js';
 import {TableRows} from '../support/tableRows.js';
 import {Ledger} from './ledger.js';
@@ -85,7 +85,7 @@
       value: write.value ?? undefined,
     }));
     try {
-      checkTransaction(writes);
+      validateTransaction(writes);
     } catch (error) {
       return refusal(400, 'invalid', String(error));
     }
--- a/test/support/inMemoryPlatform.ts
+++ b/test/support/inMemoryPlatform.ts
@@ -19,7 +19,7 @@
   TransactionMode,
   WriteOutcome,
 } from '../../src/infrastructure/table/common/tableService.js';
-import {checkTransaction} from '../../src/infrastructure/table/common/transactionRules.js';
+import {validateTransaction} from '../../src/infrastructure/table/common/transactionRules.js';
 import {
   WeightManifest,
   WeightStore,
@@ -194,7 +194,7 @@
     mode: TransactionMode,
     token: CancellationToken = neverCancelled,
   ): Promise<Result<readonly WriteOutcome[], StorageError>> {
-    checkTransaction(writes);
+    validateTransaction(writes);
     return this.platform.run(this.site('write'), token, () =>
       this.platform.rows.transact(writes, mode),
     );
