--- a/test/standins/cacheExports.ts
+++ b/test/standins/cacheExports.ts
@@ -5,7 +5,7 @@
 import {LayerRange} from '../../src/infrastructure/engine/common/engineConnection.js';
 import {LayerCache} from './referenceModel.js';
 import {Sequence} from './sequences.js';
-import {trim} from './trim.js';
+import {evictOldest} from './evictOldest.js';
 
 const EXPORT_LIMIT = 64;
 
@@ -17,14 +17,14 @@
   readonly tokens: readonly string[];
 }
 
-/** The exports that an engine keeps for others to fetch, the newest ones. */
+/** The newest exports of an engine, kept for other engines to fetch. */
 export class CacheExports {
   private readonly exports = new Map<string, CacheExport>();
 
-  /** Copies what the sequence covers of all these layers; answers the id of the copy. */
+  /** Copies the positions that the sequence covers in all of these layers; returns the id of the copy. */
   add(sequence: Sequence, layers: LayerRange): string {
     const id = randomUUID();
-    const end = sequence.coveredTo(layers);
+    const end = sequence.coveredPositions(layers);
     this.exports.set(id, {
       requestId: sequence.requestId,
       layers,
@@ -34,7 +34,7 @@
       ]),
       tokens: sequence.tokens.slice(0, end),
     });
-    trim(this.exports, EXPORT_LIMIT);
+    evictOldest(this.exports, EXPORT_LIMIT);
     return id;
   }
 
@@ -43,8 +43,8 @@
   }
 }
 
-/** Puts an export in place of what a sequence held. */
-export function takeOverExport(sequence: Sequence, content: CacheExport): void {
+/** Replaces the caches and tokens of a sequence by those of an export. */
+export function restoreExport(sequence: Sequence, content: CacheExport): void {
   sequence.caches.clear();
   for (const [layer, cache] of content.caches) {
     sequence.caches.set(layer, [...cache]);
@@ -53,7 +53,7 @@
   sequence.plan = undefined;
 }
 
-/** Fetches an export from the engine that made it; undefined when it can't be had. */
+/** Fetches an export from the engine that created it; undefined on any failure. */
 export async function fetchExport(
   reference: string,
 ): Promise<CacheExport | undefined> {
--- a/test/standins/callCounter.ts
+++ b/test/standins/callCounter.ts
@@ -1,35 +1,35 @@
-/** Calls of one kind, in all and by the second. */
+/** Counts of the requests of one kind. */
 export interface CallCounts {
   readonly total: number;
   readonly peakPerSecond: number;
-  /** Refused by the rate limit, not part of the total. */
+  /** Requests refused by the rate limit; not included in the total. */
   readonly refused: number;
 }
 
-/** Counts calls in windows of one second and holds them to a limit. */
+/** Counts requests in windows of one second and enforces a rate limit. */
 export class CallCounter {
   private total = 0;
   private peak = 0;
   private refused = 0;
   private windowStart = 0;
-  private inWindow = 0;
+  private windowCount = 0;
 
   constructor(private readonly limitPerSecond: number) {}
 
-  /** Counts a call; false when the limit of this second is reached. */
+  /** Counts a request at `now` (milliseconds); returns false when the limit of this second is reached. */
   admit(now: number): boolean {
     const start = Math.floor(now / 1000);
     if (start !== this.windowStart) {
       this.windowStart = start;
-      this.inWindow = 0;
+      this.windowCount = 0;
     }
-    if (this.inWindow >= this.limitPerSecond) {
+    if (this.windowCount >= this.limitPerSecond) {
       this.refused++;
       return false;
     }
-    this.inWindow++;
+    this.windowCount++;
     this.total++;
-    this.peak = Math.max(this.peak, this.inWindow);
+    this.peak = Math.max(this.peak, this.windowCount);
     return true;
   }
 
--- a/test/standins/engine.test.ts
+++ b/test/standins/engine.test.ts
@@ -82,7 +82,7 @@
   };
 }
 
-/** Runs tokens from a position through all stages; the last output or the first error. */
+/** Runs tokens from a position through all stages; returns the last output or the first error. */
 async function pass(
   id: string,
   from: number,
@@ -124,7 +124,7 @@
   }
 }
 
-/** An order to the first stage for the layers that it has. */
+/** An order for the first stage to hold its present layers. */
 function orderOf(fencing: number, order: number, version: string): EngineOrder {
   return {
     fencing,
@@ -140,10 +140,10 @@
 const firstStep = (id = 'r', epoch = 0) =>
   stepOf(id, 0, 0, {kind: 'tokens', tokens: PROMPT}, PROMPT.length, epoch);
 
-describe('the computation', () => {
+describe('model computation', () => {
   const right = expectedReply(PROMPT, LAYER_COUNT, 100);
 
-  it('yields the reference reply through two stages, also when rebuilt', async () => {
+  it('two stages generate the reference reply, also after a rebuild', async () => {
     expect(right.tokens).toHaveLength(5);
     expect(await reply('whole')).toEqual(right.tokens);
     await pass('rebuilt', 0, PROMPT);
@@ -151,7 +151,7 @@
     expect(rebuilt).toEqual(right.tokens);
   });
 
-  it('says how a reply ends', () => {
+  it('the reference reply has the correct finish reason', () => {
     expect(right.finishReason).toBe('stop');
     expect(expectedReply(PROMPT, LAYER_COUNT, 2)).toEqual({
       tokens: right.tokens.slice(0, 2),
@@ -161,7 +161,7 @@
   });
 });
 
-describe('refusals and answers of one step', () => {
+describe('outcomes of a single step under faults', () => {
   const cases: ReadonlyArray<readonly [EngineFault, string, boolean]> = [
     [{kind: 'die'}, 'unreachable', false],
     [{kind: 'requestLost'}, 'lost', false],
@@ -172,18 +172,21 @@
     [{kind: 'leaving', leaving: true}, 'refused', false],
     [{kind: 'dieAfterSteps', steps: 1, point: 'computed'}, 'lost', true],
   ];
-  it.each(cases)('%j is %s; executed: %s', async (fault, kind, executed) => {
-    await standIn.setFault({fault, engine: 'engine-0', times: 1});
-    const result = await stages[0]!.step(firstStep(), neverCancelled);
-    expect(!result.ok && result.error.kind).toBe(kind);
-    const done = standIn.ledger('engine-0').map(entry => entry.kind);
-    expect(done.includes('completed')).toBe(executed);
-  });
+  it.each(cases)(
+    'a step under fault %j has the outcome %s; executed: %s',
+    async (fault, kind, executed) => {
+      await standIn.setFault({fault, engine: 'engine-0', times: 1});
+      const result = await stages[0]!.step(firstStep(), neverCancelled);
+      expect(!result.ok && result.error.kind).toBe(kind);
+      const done = standIn.ledger('engine-0').map(entry => entry.kind);
+      expect(done.includes('completed')).toBe(executed);
+    },
+  );
 
-  it('an answer sent twice never passes for that of the next step', async () => {
+  it('a duplicated response is not accepted as the response of the next step', async () => {
     const fault = {kind: 'twice'} as const;
     await standIn.setFault({fault, engine: 'engine-0', times: 1});
-    // One connection, so that both steps share it.
+    // With a single connection, both steps share it.
     const single = new HttpEngineConnector({steps: {connections: 1}});
     const first = single.connect('engine-0', address);
     const right = await first.step(firstStep('a'), neverCancelled);
@@ -193,7 +196,7 @@
     single.dispose();
   });
 
-  it('frozen is cancelled by the caller and refused after the thaw', async () => {
+  it('a step on a frozen engine can be cancelled, and is refused as stale after the thaw', async () => {
     await standIn.setFault({fault: {kind: 'freeze'}});
     const source = new CancellationSource();
     source.cancelAfter(30, 'too long');
@@ -208,7 +211,7 @@
 });
 
 describe('KV caches, epochs and slots', () => {
-  it('a step beyond the cache is refused', async () => {
+  it('a step beyond the cached positions is refused', async () => {
     await pass('r', 0, PROMPT);
     const result = await pass('r', PROMPT.length + 1, ['x']);
     const coveredTo = PROMPT.length;
@@ -218,20 +221,23 @@
   it.each([
     [true, 'stale'],
     [false, 'token'],
-  ])('fencing %s answers an old epoch with %s', async (checksFencing, kind) => {
-    await restart({checksFencing});
-    await pass('r', 0, PROMPT, 2);
-    expect((await pass('r', 0, PROMPT, 1)).kind).toBe(kind);
-    const order = orderOf(5, 1, '1');
-    const [first] = stages;
-    expect((await first!.order(order, neverCancelled)).ok).toBe(true);
-    expect((await first!.order(order, neverCancelled)).ok).toBe(true);
-    const old = {...order, fencing: 4, order: 9};
-    const answer = await first!.order(old, neverCancelled);
-    expect(answer.ok).toBe(!checksFencing);
-  });
+  ])(
+    'with fencing %s, an old epoch results in %s',
+    async (checksFencing, kind) => {
+      await restart({checksFencing});
+      await pass('r', 0, PROMPT, 2);
+      expect((await pass('r', 0, PROMPT, 1)).kind).toBe(kind);
+      const order = orderOf(5, 1, '1');
+      const [first] = stages;
+      expect((await first!.order(order, neverCancelled)).ok).toBe(true);
+      expect((await first!.order(order, neverCancelled)).ok).toBe(true);
+      const old = {...order, fencing: 4, order: 9};
+      const answer = await first!.order(old, neverCancelled);
+      expect(answer.ok).toBe(!checksFencing);
+    },
+  );
 
-  it('further sequences wait by priority; a cancelled one frees its slot', async () => {
+  it('sequences beyond the limit wait by priority, and a cancelled one frees its slot', async () => {
     await restart({sequenceLimit: 1});
     const [first] = stages;
     await first!.step(firstStep('resident'), neverCancelled);
@@ -255,7 +261,7 @@
     expect(unknown).toMatchObject({value: {state: 'idle', begun: false}});
   });
 
-  it('a KV cache moves to another engine of the same layers', async () => {
+  it('a KV cache can be moved to another engine with the same layers', async () => {
     await pass('r', 0, PROMPT);
     const [faultAddress, address] = await freeAddresses(2);
     const other = await startEngines({
@@ -283,7 +289,7 @@
     other.dispose();
   });
 
-  it('an order for other layers loads and forgets caches', async () => {
+  it('an order for another version loads it and discards the KV caches', async () => {
     await restart({loadMilliseconds: 40});
     await pass('r', 0, PROMPT);
     await stages[0]!.order(orderOf(1, 7, '2'), neverCancelled);
--- a/test/standins/engine.ts
+++ b/test/standins/engine.ts
@@ -20,41 +20,41 @@
   CacheExport,
   CacheExports,
   fetchExport,
-  takeOverExport,
+  restoreExport,
 } from './cacheExports.js';
 import {
   DeathPoint,
   EngineLedgerEntry,
   EngineSettings,
 } from './engineSettings.js';
-import {HeldModel} from './heldModel.js';
+import {LoadedModel} from './loadedModel.js';
 import {Ledger} from './ledger.js';
-import {trim} from './trim.js';
+import {evictOldest} from './evictOldest.js';
 import {PrefixCache} from './prefixCache.js';
 import {Sequence, SequenceSlots} from './sequences.js';
 import {
-  compute,
+  computeStep,
   inputHashes,
   isPrefill,
   ledgerFields,
 } from './stepComputation.js';
 import {sleep} from '../support/sleep.js';
 
-/** Errors that the engine itself states. */
+/** Errors that an engine returns itself, as opposed to transport errors. */
 export type EngineRefusal = Extract<
   EngineError,
   {readonly kind: 'stale' | 'cacheMissing' | 'overloaded' | 'refused'}
 >;
 
-/** What the program around an engine decides. */
-export interface EngineSurroundings {
-  /** Waits while the engine is frozen. */
-  thawed(): Promise<void>;
-  /** Called at each point of a step; the engine may be dead afterwards. */
-  reached(point: DeathPoint): void;
+/** Hooks into the program that hosts an engine. */
+export interface EngineHost {
+  /** Resolves once the engine is not frozen. */
+  waitUntilThawed(): Promise<void>;
+  /** Called at each point of a step; may dispose the engine. */
+  onStepPoint(point: DeathPoint): void;
 }
 
-/** What engines remember of a request beyond its KV cache. */
+/** State of a request that outlives its KV cache. */
 interface RequestRecord {
   begun: boolean;
   highestEpoch: number;
@@ -66,80 +66,83 @@
 const RECORD_LIMIT = 50_000;
 const NO_EPOCH = -1;
 const OVERLOAD_RETRY_MILLISECONDS = 500;
-const HEX_DIGITS = 8;
+const HEX_DIGITS_PER_HASH = 8;
 const PREFIX_LIMIT = 32;
 const PREFIX_REPORT_LAG_MILLISECONDS = 200;
 
-/** How a step came to the engine. */
+/** Arrival times of a step and its transfer time. */
 interface StepArrival {
-  /** Monotonic milliseconds, for the time that it waits. */
+  /** Monotonic milliseconds; start of the queueing time. */
   readonly arrivedAt: number;
-  /** Wall milliseconds, for the ledger. */
+  /** Wall-clock milliseconds, for the ledger. */
   readonly receivedAt: number;
   readonly transferMilliseconds: number;
 }
 
-/** One incarnation of a model engine; dies for good, a new one takes its place. */
+/** One incarnation of a model engine. A dead incarnation is never restarted, but replaced by a new one. */
 export class Engine extends DisposableOwner {
   readonly incarnation = randomUUID();
   slowFactor = 1;
   isLeaving = false;
-  readonly links = new Map<string, number>();
+  /** One-way delays in milliseconds, by upstream id; the empty id is the caller, `*` all links. */
+  readonly linkOverrides = new Map<string, number>();
   private readonly slots: SequenceSlots;
   private readonly prefixes: PrefixCache;
   private readonly records = new Map<string, RequestRecord>();
   private readonly exports = new CacheExports();
-  private readonly held: HeldModel;
+  private readonly loadedModel: LoadedModel;
   private snapshot: EngineReport | undefined;
   private snapshotAt = 0;
 
   constructor(
     private readonly settings: EngineSettings,
     private readonly ledger: Ledger<EngineLedgerEntry>,
-    private readonly surroundings: EngineSurroundings,
+    private readonly host: EngineHost,
   ) {
     super();
-    this.held = new HeldModel(settings);
+    this.loadedModel = new LoadedModel(settings);
     this.slots = new SequenceSlots(settings.sequenceLimit);
     this.prefixes = new PrefixCache(
       PREFIX_LIMIT,
       PREFIX_REPORT_LAG_MILLISECONDS,
     );
-    this.renewReport();
-    this.every(settings.reportLagMilliseconds, () => this.renewReport());
+    this.refreshSnapshot();
+    this.runEvery(settings.reportLagMilliseconds, () => this.refreshSnapshot());
     const {idleMilliseconds} = settings;
-    this.every(idleMilliseconds / 4, () =>
+    this.runEvery(idleMilliseconds / 4, () =>
       this.slots.freeIdle(performance.now() - idleMilliseconds),
     );
   }
 
-  /** Ends this incarnation: nothing further is executed or written down. */
+  /** Whether this incarnation has ended. A dead engine completes no step and records no completion. */
   get isDead(): boolean {
     return this.isDisposed;
   }
 
-  /** Runs a step, or refuses before it is begun. */
+  /** Runs a step, or refuses it before it starts. */
   async step(
     step: StepRequest,
-    onDidGo: (stop: () => void) => void,
+    onDidDisconnect: (stop: () => void) => void,
   ): Promise<StepResult> {
-    const transferMilliseconds = this.linkFrom(step.previousUpstream);
+    const transferMilliseconds = this.transferMillisecondsFrom(
+      step.previousUpstream,
+    );
     if (transferMilliseconds > 0) {
       await sleep(transferMilliseconds);
     }
     const arrivedAt = performance.now();
     const receivedAt = Date.now();
     for (;;) {
-      const refusal = this.refusalOf(step);
+      const refusal = this.findRefusal(step);
       if (refusal !== undefined) {
         return failure(refusal);
       }
-      const sequence = await this.sequenceFor(step, onDidGo);
+      const sequence = await this.acquireSequence(step, onDidDisconnect);
       if (sequence === undefined) {
-        return failure(this.stoppedWaiting(step));
+        return failure(this.waitEndedError(step));
       }
-      const result = await sequence.inTurn(() =>
-        this.attempt(step, sequence, {
+      const result = await sequence.runExclusively(() =>
+        this.runInSlot(step, sequence, {
           arrivedAt,
           receivedAt,
           transferMilliseconds,
@@ -151,17 +154,17 @@
     }
   }
 
-  /** Cancels a request at this and all lower epochs; always honoured, whether or not fencing is checked. */
+  /** Cancels a request at this and all lower epochs, even when the engine does not check fencing. */
   cancel(requestId: string, epoch: number): CancelReport {
-    const record = this.recordOf(requestId);
+    const record = this.getOrCreateRecord(requestId);
     record.cancelledEpoch = Math.max(record.cancelledEpoch, epoch);
     const sequence = this.slots.get(requestId);
     const isRunning = (sequence?.runningSteps ?? 0) > 0;
-    this.slots.stopRequest(requestId, epoch);
+    this.slots.cancelWaiters(requestId, epoch);
     if (epoch >= record.highestEpoch) {
       this.slots.free(requestId);
     }
-    this.write({kind: 'cancelled', requestId, epoch});
+    this.addToLedger({kind: 'cancelled', requestId, epoch});
     return {
       state: isRunning ? 'running' : 'idle',
       begun: record.begun,
@@ -171,22 +174,22 @@
 
   exportCache(requestId: string): Result<CacheReference, EngineRefusal> {
     const sequence = this.slots.get(requestId);
-    const {layers} = this.held.holding;
+    const {layers} = this.loadedModel.configuration;
     if (sequence === undefined) {
       return refused('no KV cache of the request');
     }
-    const positions = {from: 0, to: sequence.coveredTo(layers)};
+    const positions = {from: 0, to: sequence.coveredPositions(layers)};
     const id = this.exports.add(sequence, layers);
     const reference = `${this.settings.address}/v1/caches/${id}`;
     return success({reference, layers, positions});
   }
 
-  /** The content of an export, for other engines. */
-  exported(id: string): CacheExport | undefined {
+  /** The exported KV cache of an id, for other engines to fetch. */
+  getExport(id: string): CacheExport | undefined {
     return this.exports.get(id);
   }
 
-  /** Fetches an exported KV cache from its engine and takes it over. */
+  /** Fetches an exported KV cache from another engine and adds it to this one. */
   async importCache(
     requestId: string,
     epoch: number,
@@ -196,41 +199,41 @@
     if (content === undefined || content.requestId !== requestId) {
       return refused('the exported KV cache is absent');
     }
-    const {layers} = this.held.holding;
+    const {layers} = this.loadedModel.configuration;
     const hasAll =
       content.layers.from <= layers.from && content.layers.to >= layers.to;
     if (!hasAll) {
       return refused('the exported KV cache has other layers');
     }
-    const stale = this.staleness(requestId, epoch);
+    const stale = this.findStaleError(requestId, epoch);
     if (stale !== undefined) {
       return failure(stale);
     }
-    return this.takeOver(requestId, epoch, content);
+    return this.applyImport(requestId, epoch, content);
   }
 
   report(): EngineReport {
     if (this.settings.reportLagMilliseconds <= 0) {
-      this.renewReport();
+      this.refreshSnapshot();
     }
     const ageMilliseconds = performance.now() - this.snapshotAt;
-    return {...(this.snapshot ?? this.present()), ageMilliseconds};
+    return {...(this.snapshot ?? this.createReport()), ageMilliseconds};
   }
 
-  /** Takes a desired state; idempotent. */
-  order(order: EngineOrder): Result<void, EngineRefusal> {
-    const {held} = this;
-    if (this.settings.checksFencing && held.isOld(order)) {
-      return failure({kind: 'stale', highest: held.highest.fencing});
+  /** Applies the configuration that an order asks for; idempotent. */
+  applyOrder(order: EngineOrder): Result<void, EngineRefusal> {
+    const {loadedModel} = this;
+    if (this.settings.checksFencing && loadedModel.isStaleOrder(order)) {
+      return failure({kind: 'stale', highest: loadedModel.lastOrder.fencing});
     }
-    if (held.take(order)) {
-      this.loseCaches();
+    if (loadedModel.apply(order)) {
+      this.discardCaches();
     }
-    const {fencing, order: number, model, version, layers, role} = order;
-    this.write({
+    const {fencing, order: orderNumber, model, version, layers, role} = order;
+    this.addToLedger({
       kind: 'ordered',
       fencing,
-      order: number,
+      order: orderNumber,
       model,
       version,
       layers,
@@ -239,44 +242,50 @@
     return success(undefined);
   }
 
-  /** Loses all KV caches and prefixes. */
-  loseCaches(): void {
+  /** Discards all KV caches and prefixes. */
+  discardCaches(): void {
     this.slots.clear();
     this.prefixes.clear();
   }
 
-  private every(milliseconds: number, run: () => void): void {
+  private runEvery(milliseconds: number, run: () => void): void {
     if (milliseconds > 0) {
       const timer = setInterval(run, milliseconds).unref();
       this.register(toDisposable(() => clearInterval(timer)));
     }
   }
 
-  private linkFrom(previousUpstream: string | undefined): number {
-    const {settings, links} = this;
-    const everywhere = links.get('*');
+  private transferMillisecondsFrom(
+    previousUpstream: string | undefined,
+  ): number {
+    const {settings, linkOverrides} = this;
+    const allLinksOverride = linkOverrides.get('*');
     if (previousUpstream === undefined) {
-      return links.get('') ?? everywhere ?? settings.callerLinkMilliseconds;
+      return (
+        linkOverrides.get('') ??
+        allLinksOverride ??
+        settings.callerLinkMilliseconds
+      );
     }
     return (
-      links.get(previousUpstream) ??
-      everywhere ??
+      linkOverrides.get(previousUpstream) ??
+      allLinksOverride ??
       settings.linkMilliseconds[previousUpstream] ??
       settings.defaultLinkMilliseconds
     );
   }
 
-  private refusalOf(step: StepRequest): EngineRefusal | undefined {
+  private findRefusal(step: StepRequest): EngineRefusal | undefined {
     const sequence = this.slots.get(step.requestId);
-    const unfit = this.unfitness(step, sequence !== undefined);
-    if (unfit !== undefined) {
-      return {kind: 'refused', detail: unfit};
+    const reason = this.findRejectionReason(step, sequence !== undefined);
+    if (reason !== undefined) {
+      return {kind: 'refused', detail: reason};
     }
-    const stale = this.staleness(step.requestId, step.epoch);
+    const stale = this.findStaleError(step.requestId, step.epoch);
     if (stale !== undefined) {
       return stale;
     }
-    const coveredTo = sequence?.coveredTo(step.layers) ?? 0;
+    const coveredTo = sequence?.coveredPositions(step.layers) ?? 0;
     if (step.positions.from > coveredTo) {
       return {kind: 'cacheMissing', coveredTo};
     }
@@ -286,23 +295,23 @@
     return undefined;
   }
 
-  private unfitness(
+  private findRejectionReason(
     step: StepRequest,
     isResident: boolean,
   ): string | undefined {
-    if (this.held.isLoading) {
+    if (this.loadedModel.isLoading) {
       return 'loading';
     }
     if (this.isLeaving && !isResident) {
       return 'leaving';
     }
     return (
-      this.held.unfitness(step) ??
+      this.loadedModel.findMismatch(step) ??
       (inputHashes(step) === undefined ? 'malformed input' : undefined)
     );
   }
 
-  private staleness(
+  private findStaleError(
     requestId: string,
     epoch: number,
   ): EngineRefusal | undefined {
@@ -318,31 +327,31 @@
     return {kind: 'stale', highest: Math.max(cancelledEpoch, highestEpoch)};
   }
 
-  private async sequenceFor(
+  private async acquireSequence(
     step: StepRequest,
-    onDidGo: (stop: () => void) => void,
+    onDidDisconnect: (stop: () => void) => void,
   ): Promise<Sequence | undefined> {
     const {requestId, epoch, priority} = step;
     return (
       this.slots.get(requestId) ??
-      (await this.slots.acquire(requestId, epoch, priority, onDidGo))
+      (await this.slots.acquire(requestId, epoch, priority, onDidDisconnect))
     );
   }
 
-  private stoppedWaiting(step: StepRequest): EngineRefusal {
-    return this.staleness(step.requestId, step.epoch) ?? overloaded();
+  private waitEndedError(step: StepRequest): EngineRefusal {
+    return this.findStaleError(step.requestId, step.epoch) ?? overloaded();
   }
 
-  private async attempt(
+  private async runInSlot(
     step: StepRequest,
     sequence: Sequence,
     {arrivedAt, receivedAt, transferMilliseconds}: StepArrival,
   ): Promise<StepResult | 'slotLost'> {
-    await this.surroundings.thawed();
+    await this.host.waitUntilThawed();
     if (this.slots.get(step.requestId) !== sequence) {
       return 'slotLost';
     }
-    const refusal = this.refusalOf(step);
+    const refusal = this.findRefusal(step);
     if (refusal !== undefined) {
       return failure(refusal);
     }
@@ -369,25 +378,25 @@
     sequence: Sequence,
     receivedAt: number,
   ): Promise<StepOutput | undefined> {
-    const record = this.recordOf(step.requestId);
+    const record = this.getOrCreateRecord(step.requestId);
     record.begun = true;
     record.highestEpoch = Math.max(record.highestEpoch, step.epoch);
-    this.write({kind: 'begun', ...ledgerFields(step), receivedAt});
-    this.surroundings.reached('begun');
+    this.addToLedger({kind: 'begun', ...ledgerFields(step), receivedAt});
+    this.host.onStepPoint('begun');
     sequence.runningSteps++;
-    await pass(sequence, this.computeMilliseconds(step));
-    await this.surroundings.thawed();
+    await waitForCompute(sequence, this.computeMilliseconds(step));
+    await this.host.waitUntilThawed();
     sequence.runningSteps--;
     sequence.lastUsed = performance.now();
     if (this.isDead) {
       return undefined;
     }
-    const output = compute(step, sequence);
+    const output = computeStep(step, sequence);
     const token = output.kind === 'token' ? output.token : undefined;
-    this.write({kind: 'completed', ...ledgerFields(step), token});
-    this.surroundings.reached('computed');
+    this.addToLedger({kind: 'completed', ...ledgerFields(step), token});
+    this.host.onStepPoint('computed');
     const isEnd = output.kind === 'token' && output.endOfText;
-    if (isEnd || sequence.isEnding) {
+    if (isEnd || sequence.isFreePending) {
       this.slots.free(step.requestId);
     }
     return output;
@@ -399,34 +408,39 @@
       return settings.decodeMilliseconds * this.slowFactor;
     }
     const positions = step.positions.to - step.positions.from;
-    const uncached = Math.max(1, positions - this.cachedPositions(step));
+    const uncached = Math.max(1, positions - this.countCachedPositions(step));
     return settings.prefillMillisecondsPerToken * uncached * this.slowFactor;
   }
 
-  private cachedPositions(step: StepRequest): number {
+  private countCachedPositions(step: StepRequest): number {
     if (step.prefixKey === undefined || step.positions.from > 0) {
       return 0;
     }
     const key = `${step.adapter ?? ''}/${step.prefixKey}`;
     if (step.input.kind === 'tokens') {
       const text = `${step.input.tokens.join(' ')} `;
-      const shared = text.slice(0, this.prefixes.use(step.prefixKey, text));
+      const shared = text.slice(
+        0,
+        this.prefixes.matchOrStore(step.prefixKey, text),
+      );
       return shared.split(' ').length - 1;
     }
     const digits = step.input.data.slice(step.input.data.indexOf(':') + 1);
-    return Math.floor(this.prefixes.use(key, digits) / HEX_DIGITS);
+    return Math.floor(
+      this.prefixes.matchOrStore(key, digits) / HEX_DIGITS_PER_HASH,
+    );
   }
 
-  private takeOver(
+  private applyImport(
     requestId: string,
     epoch: number,
     content: CacheExport,
   ): Result<PositionRange, EngineRefusal> {
-    const hasRoom = this.slots.residentCount < this.settings.sequenceLimit;
-    if (!hasRoom && this.slots.get(requestId) === undefined) {
+    const hasFreeSlot = this.slots.residentCount < this.settings.sequenceLimit;
+    if (!hasFreeSlot && this.slots.get(requestId) === undefined) {
       return failure(overloaded());
     }
-    const record = this.recordOf(requestId);
+    const record = this.getOrCreateRecord(requestId);
     record.highestEpoch = Math.max(record.highestEpoch, epoch);
     const first = Number.NEGATIVE_INFINITY;
     void this.slots.acquire(requestId, epoch, first, () => {});
@@ -434,43 +448,46 @@
     if (sequence === undefined) {
       return failure(overloaded());
     }
-    takeOverExport(sequence, content);
-    this.write({kind: 'imported', requestId, epoch});
-    return success({from: 0, to: sequence.coveredTo(this.held.holding.layers)});
+    restoreExport(sequence, content);
+    this.addToLedger({kind: 'imported', requestId, epoch});
+    return success({
+      from: 0,
+      to: sequence.coveredPositions(this.loadedModel.configuration.layers),
+    });
   }
 
-  private renewReport(): void {
-    this.snapshot = this.present();
+  private refreshSnapshot(): void {
+    this.snapshot = this.createReport();
     this.snapshotAt = performance.now();
   }
 
-  private present(): EngineReport {
-    const {settings, held, slots} = this;
-    const {holding} = held;
+  private createReport(): EngineReport {
+    const {settings, loadedModel, slots} = this;
+    const {configuration} = loadedModel;
     return {
       upstream: settings.id,
       engineIncarnation: this.incarnation,
       acceleratorKind: settings.acceleratorKind,
-      model: holding.model,
-      version: holding.version,
-      adapters: holding.adapters,
-      layers: holding.layers,
-      role: holding.role,
+      model: configuration.model,
+      version: configuration.version,
+      adapters: configuration.adapters,
+      layers: configuration.layers,
+      role: configuration.role,
       checksFencing: settings.checksFencing,
       sequenceLimit: settings.sequenceLimit,
       residentSequences: slots.residentCount,
       queuedSequences: slots.waitingCount,
       decodeMilliseconds: settings.decodeMilliseconds,
       prefillMillisecondsPerToken: settings.prefillMillisecondsPerToken,
-      cachedPrefixes: this.prefixes.announcedPrefixes(performance.now()),
+      cachedPrefixes: this.prefixes.reportedPrefixes(performance.now()),
       ageMilliseconds: 0,
       leaving: this.isLeaving,
-      appliedOrder: Math.max(0, held.highest.order),
-      loading: held.isLoading,
+      appliedOrder: Math.max(0, loadedModel.lastOrder.order),
+      loading: loadedModel.isLoading,
     };
   }
 
-  private recordOf(requestId: string): RequestRecord {
+  private getOrCreateRecord(requestId: string): RequestRecord {
     const existing = this.records.get(requestId);
     if (existing !== undefined) {
       return existing;
@@ -481,30 +498,36 @@
       cancelledEpoch: NO_EPOCH,
     };
     this.records.set(requestId, created);
-    trim(this.records, RECORD_LIMIT);
+    evictOldest(this.records, RECORD_LIMIT);
     return created;
   }
 
-  private write(entry: Unstamped<EngineLedgerEntry>): void {
+  private addToLedger(entry: WithoutEngineFields<EngineLedgerEntry>): void {
     const {id: upstream} = this.settings;
     const {incarnation} = this;
     this.ledger.add({upstream, incarnation, ...entry} as EngineLedgerEntry);
   }
 }
 
-type Unstamped<T> = T extends unknown
+type WithoutEngineFields<T> = T extends unknown
   ? Omit<T, 'upstream' | 'incarnation'>
   : never;
 
-/** Waits for the compute time; what a timer overshoots is taken off the sequence's next one. */
-async function pass(sequence: Sequence, milliseconds: number): Promise<void> {
-  const wanted = milliseconds - sequence.overshoot;
+/** Waits for the compute time; time by which a timer overshoots is subtracted from the sequence's next wait. */
+async function waitForCompute(
+  sequence: Sequence,
+  milliseconds: number,
+): Promise<void> {
+  const waitMilliseconds = milliseconds - sequence.overshootMilliseconds;
   const start = performance.now();
-  if (wanted > 0) {
-    await sleep(Math.floor(wanted));
+  if (waitMilliseconds > 0) {
+    await sleep(Math.floor(waitMilliseconds));
   }
-  const passed = performance.now() - start;
-  sequence.overshoot = Math.min(passed - wanted, milliseconds);
+  const elapsedMilliseconds = performance.now() - start;
+  sequence.overshootMilliseconds = Math.min(
+    elapsedMilliseconds - waitMilliseconds,
+    milliseconds,
+  );
 }
 
 function refused(detail: string): Result<never, EngineRefusal> {
--- a/test/standins/engineSettings.ts
+++ b/test/standins/engineSettings.ts
@@ -14,39 +14,39 @@
   readonly layers: LayerRange;
   readonly role: 'both' | 'prefill' | 'decode';
   readonly checksFencing: boolean;
-  /** Sequences resident at once; further ones wait. */
+  /** Maximum number of resident sequences; further ones wait. */
   readonly sequenceLimit: number;
-  /** One decode step. */
+  /** Compute time of one decode step. */
   readonly decodeMilliseconds: number;
   readonly prefillMillisecondsPerToken: number;
-  /** One way from the caller. */
+  /** One-way delay from the caller. */
   readonly callerLinkMilliseconds: number;
-  /** One way from other engines, by upstream id. */
+  /** One-way delay from other engines, by upstream id. */
   readonly linkMilliseconds: Readonly<Record<string, number>>;
-  /** One way from engines not listed. */
+  /** One-way delay from engines that are not listed. */
   readonly defaultLinkMilliseconds: number;
-  /** Time between load reports; 0 reports the present. */
+  /** Interval between load reports; 0 creates a report for each request. */
   readonly reportLagMilliseconds: number;
-  /** Time to load other layers, another model or version. */
+  /** Time to load different layers or another model or version. */
   readonly loadMilliseconds: number;
-  /** A sequence without steps for so long gives up its slot. */
+  /** Idle time after which a sequence loses its slot. */
   readonly idleMilliseconds: number;
-  /** Where executions are written; the `{id}` in it is replaced. */
+  /** File for the ledger; `{id}` is replaced by the engine's id. */
   readonly ledgerFile?: string;
 }
 
 /** Settings of a program that hosts engines, one port each. */
 export interface EngineStandInSettings {
   readonly faultAddress: string;
-  /** Whether death of an engine ends the whole program. */
+  /** Whether the program exits when an engine dies. */
   readonly exitOnDeath?: boolean;
-  /** Engines; what is left out has the default below. */
+  /** Engines; omitted settings take the values of `defaultEngineSettings`. */
   readonly engines: ReadonlyArray<
     Partial<EngineSettings> & Pick<EngineSettings, 'id' | 'address' | 'layers'>
   >;
 }
 
-/** Values of engine settings that are left out. */
+/** Defaults of engine settings. */
 export const defaultEngineSettings: Omit<
   EngineSettings,
   'id' | 'address' | 'layers'
@@ -68,65 +68,66 @@
   idleMilliseconds: 30_000,
 };
 
-/** Where in a step an engine dies. */
+/** The point in a step at which an engine dies. */
 export type DeathPoint = 'begun' | 'computed' | 'answered';
 
-/** What goes wrong with an engine. */
+/** A fault of a whole engine, or of single steps. */
 export type EngineFault =
-  /** Dies in the n-th step from now on; `point` says where in it. */
+  /** Dies in the n-th step from now, at `point`. */
   | {
       readonly kind: 'dieAfterSteps';
       readonly steps: number;
       readonly point: DeathPoint;
     }
   | {readonly kind: 'die'}
-  /** Comes back as a new process would: nothing kept, new incarnation. */
+  /** Restarts like a new process: empty, with a new incarnation. */
   | {readonly kind: 'revive'}
-  /** Accepts calls and does nothing until cleared. */
+  /** Accepts requests but does not process them until cleared. */
   | {readonly kind: 'freeze'}
-  /** Compute takes so many times as long, until cleared. */
+  /** Multiplies the compute time by `factor` until cleared. */
   | {readonly kind: 'slow'; readonly factor: number}
-  /** One-way time from an upstream, or from the caller when left out; all links for `*`. */
+  /** One-way delay from the upstream `from`, from the caller when omitted, or on all links when `*`. */
   | {
       readonly kind: 'link';
       readonly from?: string;
       readonly milliseconds: number;
     }
-  /** Loses all KV caches. */
+  /** Discards all KV caches and prefixes. */
   | {readonly kind: 'loseCaches'}
   | {readonly kind: 'leaving'; readonly leaving: boolean}
   | {readonly kind: 'clear'}
   | StepFault;
 
-/** What goes wrong with single steps; struck as often as the command's `times` says. */
+/** A fault of single steps or imports; applies to as many of them as the command's `times` says. */
 export type StepFault =
-  /** Cut before anything was done. */
+  /** Closes the connection before execution. */
   | {readonly kind: 'requestLost'}
-  /** Done, then cut. */
+  /** Executes, then closes the connection. */
   | {readonly kind: 'answerLost'}
-  /** Done, answered late. */
+  /** Executes, then delays the response. */
   | {readonly kind: 'late'; readonly milliseconds: number}
-  /** Done, answered with the receipt of another request, the one before if there is one. */
+  /** Executes, then responds with the receipt of another request: the previous one, if any. */
   | {readonly kind: 'crossed'}
-  /** Done, and answered a second time in place of the connection's next answer. */
+  /** Executes and responds, and sends the response again in place of the connection's next one. */
   | {readonly kind: 'twice'}
   | {readonly kind: 'refuse'}
   | {readonly kind: 'overload'; readonly retryAfterMilliseconds: number}
-  /** Refuses the import of a KV cache as older than its request, or as gone. */
+  /** Refuses an import of a KV cache because its epoch is stale. */
   | {readonly kind: 'importStale'}
+  /** Refuses an import of a KV cache because the export is absent. */
   | {readonly kind: 'importAbsent'};
 
 /** Body of `POST /fault`. */
 export interface EngineFaultCommand {
   readonly fault: EngineFault;
-  /** The engine by id; all of the program when left out. */
+  /** Id of the engine; all engines of the program when omitted. */
   readonly engine?: string;
-  /** Strikes only this request. */
+  /** Limits the fault to this request. */
   readonly request?: string;
   readonly times?: number;
 }
 
-/** What an engine executed. */
+/** A ledger entry of an engine. */
 export type EngineLedgerEntry = {
   readonly upstream: string;
   readonly incarnation: string;
@@ -139,11 +140,11 @@
       readonly positions: PositionRange;
       readonly rebuild: boolean;
       readonly version: string;
-      /** Wall milliseconds at which a begun step reached the engine; it may have waited there for long. */
+      /** Wall-clock milliseconds at which a begun step reached the engine; it may have been queued since. */
       readonly receivedAt?: number;
-      /** The business key: the word `[key:…]` among the step's tokens, at first stages. */
+      /** The business key, from the word `[key:…]` among the step's tokens; first stages only. */
       readonly key?: string;
-      /** The token made, for completed steps of a last stage. */
+      /** The generated token; completed steps of a last stage only. */
       readonly token?: string;
     }
   | {
--- a/test/standins/engineStandIn.ts
+++ b/test/standins/engineStandIn.ts
@@ -15,14 +15,14 @@
   EngineStandInSettings,
   StepFault,
 } from './engineSettings.js';
-import {CallSite, FaultList} from './faultList.js';
+import {RequestAttributes, FaultList} from './faultList.js';
 import {Ledger} from './ledger.js';
-import {controlHandler, seenBy} from './standInControl.js';
+import {controlHandler, readLedgerOffset} from './standInControl.js';
 import {runAsProgram} from './standInMain.js';
 import {
-  answerOk,
-  StandInAnswer,
-  StandInCall,
+  okResponse,
+  StandInResponse,
+  StandInRequest,
   StandInServer,
 } from './standInServer.js';
 import {sleep} from '../support/sleep.js';
@@ -39,7 +39,7 @@
   refused: 503,
 } as const;
 
-/** One engine at its address, through its deaths and returns, with its faults. */
+/** Serves one engine at its address, applies its faults, and replaces it after death by a new incarnation. */
 class HostedEngine implements Disposable {
   private readonly ledger: Ledger<EngineLedgerEntry>;
   private readonly server: StandInServer;
@@ -56,7 +56,9 @@
   ) {
     const file = settings.ledgerFile?.replace('{id}', settings.id);
     this.ledger = new Ledger(file);
-    this.server = new StandInServer(settings.address, call => this.serve(call));
+    this.server = new StandInServer(settings.address, request =>
+      this.serve(request),
+    );
     this.engine = this.createEngine();
   }
 
@@ -68,7 +70,7 @@
     return this.ledger.after(sequence);
   }
 
-  /** Puts a fault in force. */
+  /** Activates a fault, or clears all. */
   async setFault(command: EngineFaultCommand): Promise<void> {
     const {fault, request, times} = command;
     switch (fault.kind) {
@@ -84,8 +86,9 @@
       case 'clear':
         return this.clear();
       default:
-        if (!this.changeEngine(fault)) {
-          const scope: CallSite = request === undefined ? {} : {request};
+        if (!this.applyToEngine(fault)) {
+          const scope: RequestAttributes =
+            request === undefined ? {} : {request};
           this.faults.add(fault as StepFault, scope, times);
         }
     }
@@ -100,12 +103,12 @@
 
   private createEngine(): Engine {
     return new Engine(this.settings, this.ledger, {
-      thawed: async () => this.frozen,
-      reached: point => this.reached(point),
+      waitUntilThawed: async () => this.frozen,
+      onStepPoint: point => this.dieAtPoint(point),
     });
   }
 
-  private reached(point: DeathPoint): void {
+  private dieAtPoint(point: DeathPoint): void {
     const {death} = this;
     if (death === undefined) {
       return;
@@ -145,20 +148,20 @@
     this.frozen = undefined;
     this.thaw();
     this.engine.slowFactor = 1;
-    this.engine.links.clear();
+    this.engine.linkOverrides.clear();
   }
 
-  private changeEngine(fault: EngineFault): boolean {
+  private applyToEngine(fault: EngineFault): boolean {
     const {engine} = this;
     switch (fault.kind) {
       case 'slow':
         engine.slowFactor = fault.factor;
         return true;
       case 'link':
-        engine.links.set(fault.from ?? '', fault.milliseconds);
+        engine.linkOverrides.set(fault.from ?? '', fault.milliseconds);
         return true;
       case 'loseCaches':
-        engine.loseCaches();
+        engine.discardCaches();
         return true;
       case 'leaving':
         engine.isLeaving = fault.leaving;
@@ -168,115 +171,117 @@
     }
   }
 
-  private async serve(call: StandInCall): Promise<StandInAnswer> {
+  private async serve(request: StandInRequest): Promise<StandInResponse> {
     await this.frozen;
-    const route = `${call.method} ${call.path}`;
+    const route = `${request.method} ${request.path}`;
     switch (route) {
       case 'POST /v1/steps':
-        return this.step(call);
+        return this.step(request);
       case 'POST /v1/cancellations':
-        return this.cancel(call);
+        return this.cancel(request);
       case 'POST /v1/caches/exports':
-        return this.exportCache(call);
+        return this.exportCache(request);
       case 'POST /v1/caches/imports':
-        return this.importCache(call);
+        return this.importCache(request);
       case 'PUT /v1/order': {
-        const order = JSON.parse(call.text);
-        const {fencing, order: number} = order;
-        const result = this.engine.order(order);
-        return toAnswer(result, () => ({fencing, order: number}));
+        const order = JSON.parse(request.text);
+        const {fencing, order: orderNumber} = order;
+        const result = this.engine.applyOrder(order);
+        return toResponse(result, () => ({fencing, order: orderNumber}));
       }
       case 'GET /v1/report':
-        return answerOk(this.engine.report());
+        return okResponse(this.engine.report());
       default:
-        return this.content(call);
+        return this.serveExport(request);
     }
   }
 
-  private async step(call: StandInCall): Promise<StandInAnswer> {
-    const step = JSON.parse(call.text) as StepRequest;
+  private async step(request: StandInRequest): Promise<StandInResponse> {
+    const step = JSON.parse(request.text) as StepRequest;
     const fault = this.faults.strike(
       {request: step.requestId},
       candidate => !candidate.kind.startsWith('import'),
     );
     switch (fault?.kind) {
       case 'requestLost':
-        return {kind: 'cut'};
+        return {kind: 'disconnect'};
       case 'refuse':
-        return refusal({kind: 'refused', detail: 'refused'});
+        return refusalResponse({kind: 'refused', detail: 'refused'});
       case 'overload': {
         const {retryAfterMilliseconds} = fault;
-        return refusal({kind: 'overloaded', retryAfterMilliseconds});
+        return refusalResponse({kind: 'overloaded', retryAfterMilliseconds});
       }
     }
     const {engine} = this;
-    const result = await engine.step(step, stop => call.onDidGo(stop));
+    const result = await engine.step(step, stop =>
+      request.onDidDisconnect(stop),
+    );
     await this.frozen;
     if (engine.isDead) {
-      return {kind: 'cut'};
+      return {kind: 'disconnect'};
     }
     return result.ok
-      ? this.answerStep(result.value, fault)
-      : refusal(result.error);
+      ? this.respondToStep(result.value, fault)
+      : refusalResponse(result.error);
   }
 
-  private async answerStep(
+  private async respondToStep(
     receipt: StepReceipt,
     fault: StepFault | undefined,
-  ): Promise<StandInAnswer> {
+  ): Promise<StandInResponse> {
     const earlier = this.lastReceipt;
     this.lastReceipt = receipt;
-    // Runs after the answer was handed to the socket.
-    setImmediate(() => this.reached('answered'));
+    // Runs after the response has been handed to the socket.
+    setImmediate(() => this.dieAtPoint('answered'));
     switch (fault?.kind) {
       case 'answerLost':
-        return {kind: 'cut'};
+        return {kind: 'disconnect'};
       case 'late':
         await sleep(fault.milliseconds);
-        return answerOk(receipt);
+        return okResponse(receipt);
       case 'crossed':
-        return answerOk(crossedReceipt(receipt, earlier));
+        return okResponse(receiptOfOtherRequest(receipt, earlier));
       case 'twice':
-        return {kind: 'answer', status: 200, body: receipt, twice: true};
+        return {kind: 'response', status: 200, body: receipt, sendTwice: true};
       default:
-        return answerOk(receipt);
+        return okResponse(receipt);
     }
   }
 
-  private cancel(call: StandInCall): StandInAnswer {
-    const {requestId, epoch} = JSON.parse(call.text);
-    return answerOk({requestId, ...this.engine.cancel(requestId, epoch)});
+  private cancel(request: StandInRequest): StandInResponse {
+    const {requestId, epoch} = JSON.parse(request.text);
+    return okResponse({requestId, ...this.engine.cancel(requestId, epoch)});
   }
 
-  private exportCache(call: StandInCall): StandInAnswer {
-    const {requestId} = JSON.parse(call.text);
-    return toAnswer(this.engine.exportCache(requestId), reference => ({
+  private exportCache(request: StandInRequest): StandInResponse {
+    const {requestId} = JSON.parse(request.text);
+    return toResponse(this.engine.exportCache(requestId), reference => ({
       requestId,
       ...reference,
     }));
   }
 
-  private async importCache(call: StandInCall): Promise<StandInAnswer> {
-    const {requestId, epoch, reference} = JSON.parse(call.text);
+  private async importCache(request: StandInRequest): Promise<StandInResponse> {
+    const {requestId, epoch, reference} = JSON.parse(request.text);
     const fault = this.faults.strike({request: requestId}, candidate =>
       candidate.kind.startsWith('import'),
     );
     if (fault?.kind === 'importStale') {
-      return refusal({kind: 'stale', highest: epoch + 1});
+      return refusalResponse({kind: 'stale', highest: epoch + 1});
     }
     if (fault?.kind === 'importAbsent') {
-      return refusal({kind: 'refused', detail: 'absent'});
+      return refusalResponse({kind: 'refused', detail: 'absent'});
     }
     const result = await this.engine.importCache(requestId, epoch, reference);
-    return toAnswer(result, positions => ({requestId, positions}));
+    return toResponse(result, positions => ({requestId, positions}));
   }
 
-  private content(call: StandInCall): StandInAnswer {
-    const id = call.path.slice('/v1/caches/'.length);
-    const content = this.engine.exported(id);
+  private serveExport(request: StandInRequest): StandInResponse {
+    const id = request.path.slice('/v1/caches/'.length);
+    const content = this.engine.getExport(id);
     return content === undefined
-      ? {kind: 'answer', status: 404, body: {}}
-      : answerOk(content);
+      ? {kind: 'response', status: 404, body: {}}
+      : okResponse(content);
   }
 }
 
@@ -301,11 +306,11 @@
       new StandInServer(
         settings.faultAddress,
         controlHandler({
-          'POST /fault': call => this.setFault(JSON.parse(call.text)),
-          'GET /ledger': call => ({
+          'POST /fault': request => this.setFault(JSON.parse(request.text)),
+          'GET /ledger': request => ({
             entries: this.ledger(
-              call.query.get('engine') ?? undefined,
-              seenBy(call),
+              request.query.get('engine') ?? undefined,
+              readLedgerOffset(request),
             ),
           }),
         }),
@@ -318,38 +323,44 @@
     await this.faultServer.start();
   }
 
-  /** Puts a fault in force at one engine or all. */
+  /** Activates a fault at one engine or at all. */
   async setFault(command: EngineFaultCommand): Promise<void> {
     await Promise.all(
-      this.chosen(command.engine).map(engine => engine.setFault(command)),
+      this.selectEngines(command.engine).map(engine =>
+        engine.setFault(command),
+      ),
     );
   }
 
-  /** What an engine executed, or all engines one after the other. */
+  /** Ledger entries of one engine, or of all engines in the order of the settings. */
   ledger(engine?: string, after = 0): readonly EngineLedgerEntry[] {
-    return this.chosen(engine).flatMap(hosted => hosted.ledgerAfter(after));
+    return this.selectEngines(engine).flatMap(hosted =>
+      hosted.ledgerAfter(after),
+    );
   }
 
-  private chosen(id: string | undefined): readonly HostedEngine[] {
+  private selectEngines(id: string | undefined): readonly HostedEngine[] {
     return this.engines.filter(
       engine => id === undefined || engine.settings.id === id,
     );
   }
 }
 
-function toAnswer<T>(
+function toResponse<T>(
   result: Result<T, EngineRefusal>,
   body: (value: T) => unknown,
-): StandInAnswer {
-  return result.ok ? answerOk(body(result.value)) : refusal(result.error);
+): StandInResponse {
+  return result.ok
+    ? okResponse(body(result.value))
+    : refusalResponse(result.error);
 }
 
-function refusal(error: EngineRefusal): StandInAnswer {
+function refusalResponse(error: EngineRefusal): StandInResponse {
   const status = REFUSAL_STATUS[error.kind];
-  return {kind: 'answer', status, body: {error}};
+  return {kind: 'response', status, body: {error}};
 }
 
-function crossedReceipt(
+function receiptOfOtherRequest(
   receipt: StepReceipt,
   earlier: StepReceipt | undefined,
 ): StepReceipt {
@@ -359,7 +370,7 @@
   return {...receipt, requestId: `other-than-${receipt.requestId}`};
 }
 
-/** Starts a program of engines. */
+/** Starts the engines and the fault address. */
 export async function startEngines(
   settings: EngineStandInSettings,
 ): Promise<EngineStandIn> {
--- a/test/standins/faultList.ts
+++ b/test/standins/faultList.ts
@@ -1,39 +1,41 @@
-/** What a call looks like to faults: names to values, for example part, access and instance. */
-export type CallSite = Readonly<Record<string, string>>;
+/** Attributes of a request that faults match, for example part, access and instance. */
+export type RequestAttributes = Readonly<Record<string, string>>;
 
-/** A fault in force. */
+/** An active fault. */
 interface ActiveFault<F> {
   readonly fault: F;
-  /** Strikes calls whose site has these values; all calls when empty. */
-  readonly scope: CallSite;
-  /** Calls that it still strikes. */
+  /** Attributes that a request must have for the fault to apply; all requests match when empty. */
+  readonly scope: RequestAttributes;
+  /** Number of requests to which the fault still applies. */
   readonly remaining: number;
 }
 
-/** Faults in force; the first that fits a call strikes it. */
+/** The active faults; the first that matches a request applies to it. */
 export class FaultList<F> {
   private faults: Array<ActiveFault<F>> = [];
 
   add(
     fault: F,
-    scope: CallSite = {},
+    scope: RequestAttributes = {},
     times: number = Number.POSITIVE_INFINITY,
   ): void {
     this.faults.push({fault, scope, remaining: times});
   }
 
-  /** Ends the faults whose scope has these values; all when empty. */
-  clear(scope: CallSite = {}): void {
-    this.faults = this.faults.filter(active => !includes(active.scope, scope));
+  /** Removes the faults whose scope has these values; all faults when empty. */
+  clear(scope: RequestAttributes = {}): void {
+    this.faults = this.faults.filter(
+      active => !hasAttributes(active.scope, scope),
+    );
   }
 
-  /** The fault that strikes a call; uses up one of its times. */
+  /** The fault that applies to a request, if any; reduces its remaining count by one. */
   strike(
-    site: CallSite,
+    attributes: RequestAttributes,
     accept: (fault: F) => boolean = () => true,
   ): F | undefined {
     const index = this.faults.findIndex(
-      active => accept(active.fault) && includes(site, active.scope),
+      active => accept(active.fault) && hasAttributes(attributes, active.scope),
     );
     const active = this.faults[index];
     if (active === undefined) {
@@ -48,6 +50,11 @@
   }
 }
 
-function includes(site: CallSite, scope: CallSite): boolean {
-  return Object.entries(scope).every(([name, value]) => site[name] === value);
+function hasAttributes(
+  attributes: RequestAttributes,
+  scope: RequestAttributes,
+): boolean {
+  return Object.entries(scope).every(
+    ([name, value]) => attributes[name] === value,
+  );
 }
--- a/test/standins/fleet/layeredEngine.ts
+++ b/test/standins/fleet/layeredEngine.ts
@@ -4,15 +4,15 @@
 import {parseAddress} from '../../../src/infrastructure/rpc/node/rpc.js';
 import {RowStore} from './rowStore.js';
 
-/** A small engine that holds a range of layers and speaks the users' published protocol. */
+/** A minimal engine that holds a range of layers and implements the users' published protocol. */
 
-/** Tokens go through a path in this time; an event holds one. */
-const EVENT_MILLISECONDS = 10;
+/** Time for one token to pass through a path; each event carries one token. */
+const EVENT_INTERVAL_MILLISECONDS = 10;
 
 /** Time to load layers. */
 const LOAD_MILLISECONDS = 50;
 
-interface Range {
+interface LayerSpan {
   readonly From: number;
   readonly To: number;
 }
@@ -21,18 +21,18 @@
   path: readonly Hop[];
 }
 
-interface Hop extends Range {
+interface Hop extends LayerSpan {
   readonly address: string;
 }
 
-/** What one engine did, for the verdicts of tests. */
-export interface EngineRun {
+/** A stream that an engine started, for assertions in tests. */
+export interface StartedStream {
   readonly requestId: string;
   readonly firstEvent: number;
   readonly account: string | undefined;
 }
 
-/** All engines of a model, so that a path through them can be followed. */
+/** All engines of a model; resolves the addresses of a path to engines. */
 export class EngineFleet implements Disposable {
   readonly engines: LayeredEngine[] = [];
 
@@ -43,7 +43,7 @@
     readonly store: RowStore,
   ) {}
 
-  /** Starts an engine and lists it. */
+  /** Starts an engine and publishes its row in the store. */
   async add(
     id: string,
     address: string,
@@ -56,7 +56,7 @@
     return engine;
   }
 
-  at(address: string): LayeredEngine | undefined {
+  findRunning(address: string): LayeredEngine | undefined {
     return this.engines.find(
       engine => engine.address === address && engine.isRunning,
     );
@@ -67,17 +67,17 @@
   }
 }
 
-/** One engine. */
+/** An engine of the fleet. */
 export class LayeredEngine {
-  readonly runs: EngineRun[] = [];
+  readonly runs: StartedStream[] = [];
   private readonly running = new Map<string, RunningStream>();
   private readonly server: Server;
-  private layers: Range | undefined;
-  private orders = 0;
+  private layers: LayerSpan | undefined;
+  private orderCount = 0;
   private highestFence = 0;
   private readonly startedAt = Date.now();
   isRunning = true;
-  /** Accepts connections and answers nothing. */
+  /** Accepts connections but sends no responses or events. */
   isDark = false;
   isLeaving = false;
 
@@ -93,7 +93,7 @@
     });
   }
 
-  /** Ends without a word and starts again under its name, empty. */
+  /** Crashes and starts again with the same id, without layers. */
   restart(): Promise<LayeredEngine> {
     this.crash();
     return this.fleet.add(this.id, this.address, this.zone, this.kind);
@@ -104,34 +104,34 @@
     await new Promise<void>(resolve =>
       this.server.listen(port, host, () => resolve()),
     );
-    this.list();
+    this.publishRow();
   }
 
-  /** Ends at once, without a word. */
+  /** Closes the port and all connections; the row in the store stays. */
   crash(): void {
     this.isRunning = false;
     this.server.close();
     this.server.closeAllConnections();
   }
 
-  /** Its first layer; NaN while it holds none. */
+  /** The first layer held; NaN when none is. */
   get firstLayer(): number {
     return this.layers?.From ?? NaN;
   }
 
-  /** Says that it leaves. */
+  /** Publishes the state `draining`. */
   leave(): void {
     this.isLeaving = true;
-    this.list();
+    this.publishRow();
   }
 
-  /** Whether it can run its part of a path. */
-  holds({From, To}: Range): boolean {
+  /** Whether the engine holds all of these layers. */
+  holds({From, To}: LayerSpan): boolean {
     const {layers} = this;
     return layers !== undefined && layers.From <= From && To <= layers.To;
   }
 
-  private list(): void {
+  private publishRow(): void {
     this.fleet.store.put('servers', this.id, {
       Service: this.fleet.service,
       Addr: this.address,
@@ -162,7 +162,7 @@
       return;
     }
     if (request.url === '/report') {
-      const {orders: Seq, layers} = this;
+      const {orderCount: Seq, layers} = this;
       send(
         response,
         200,
@@ -177,16 +177,16 @@
         },
       );
     } else if (request.url === '/order') {
-      this.order(
+      this.handleOrder(
         JSON.parse(body) as Readonly<Record<string, unknown>>,
         response,
       );
     } else {
-      this.stream(request, response);
+      this.startStream(request, response);
     }
   }
 
-  private order(
+  private handleOrder(
     order: Readonly<Record<string, unknown>>,
     response: ServerResponse,
   ): void {
@@ -204,22 +204,28 @@
       return;
     }
     this.highestFence = fence;
-    if (order['Expected'] !== undefined && order['Expected'] !== this.orders) {
+    if (
+      order['Expected'] !== undefined &&
+      order['Expected'] !== this.orderCount
+    ) {
       send(response, 409, {}, {});
       return;
     }
-    this.orders++;
+    this.orderCount++;
     send(response, 202, {}, {});
     setTimeout(() => {
       this.layers = {From: Number(order['From']), To: Number(order['To'])};
-      this.list();
+      this.publishRow();
     }, LOAD_MILLISECONDS);
   }
 
-  private stream(request: IncomingMessage, response: ServerResponse): void {
+  private startStream(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     const id = String(request.headers['request-id']);
     const path = parsePath(String(request.headers['hop-count'] ?? ''));
-    const faulty = this.findFaulty(path);
+    const faulty = this.findFaultyAddress(path);
     if (faulty !== undefined) {
       const headers = {'not-run': '1', 'at-server': faulty, 'request-id': id};
       send(response, 503, headers, {});
@@ -239,12 +245,12 @@
     });
     const stream: RunningStream = {path};
     this.running.set(id, stream);
-    this.produce(stream, response, first);
+    this.sendEvents(stream, response, first);
     response.on('close', () => this.running.delete(id));
   }
 
-  /** Makes an event each few milliseconds while the whole path is sound. */
-  private produce(
+  /** Sends events at a fixed interval; pauses while any hop of the path is faulty. */
+  private sendEvents(
     stream: RunningStream,
     response: ServerResponse,
     first: number,
@@ -255,7 +261,7 @@
         clearInterval(timer);
         return;
       }
-      if (this.isDark || this.findFaulty(stream.path) !== undefined) {
+      if (this.isDark || this.findFaultyAddress(stream.path) !== undefined) {
         return;
       }
       response.write(`id: ${event}\ndata: piece ${event}\n\n`);
@@ -264,14 +270,17 @@
         response.end();
       }
       event++;
-    }, EVENT_MILLISECONDS);
+    }, EVENT_INTERVAL_MILLISECONDS);
   }
 
-  /** The address of the first upstream of a path that can't run its part, or of this one when the path is not whole. */
-  private findFaulty(path: readonly Hop[]): string | undefined {
+  /**
+   * The address of the first hop that is down, lacks its layers or leaves a gap; this engine's address when the path
+   * ends before the last layer; undefined for a sound path.
+   */
+  private findFaultyAddress(path: readonly Hop[]): string | undefined {
     let layer = 0;
     for (const hop of path) {
-      const engine = this.fleet.at(hop.address);
+      const engine = this.fleet.findRunning(hop.address);
       if (
         hop.From !== layer ||
         engine === undefined ||
--- a/test/standins/fleet/plainReplica.ts
+++ b/test/standins/fleet/plainReplica.ts
@@ -4,19 +4,19 @@
 import {parseAddress} from '../../../src/infrastructure/rpc/node/rpc.js';
 import {RowStore} from './rowStore.js';
 
-/** A request as a replica of a plain service saw it. */
-export interface PlainRun {
+/** A request as received by a replica of a plain service. */
+export interface ExecutedRequest {
   readonly method: string;
   readonly target: string;
   readonly headers: readonly string[];
   readonly body: string;
 }
 
-/** A replica of a plain service. */
+/** A replica of a plain service that records the requests that it executes. */
 export class PlainReplica implements Disposable {
-  readonly runs: PlainRun[] = [];
+  readonly runs: ExecutedRequest[] = [];
   private readonly server: Server;
-  /** What it does with the next requests. */
+  /** How the replica handles requests: `refuse` does not execute them, `mute` executes but does not respond. */
   behaviour: 'answer' | 'fail' | 'refuse' | 'mute' = 'answer';
 
   constructor(
@@ -59,7 +59,7 @@
     this.list('ready');
   }
 
-  /** Says what it is. */
+  /** Publishes the replica's row in the store. */
   list(state: 'ready' | 'draining'): void {
     this.store.put('servers', this.id, {
       Service: this.service,
--- a/test/standins/fleet/rowStore.ts
+++ b/test/standins/fleet/rowStore.ts
@@ -1,12 +1,12 @@
 import {Disposable} from '../../../src/base/common/lifecycle.js';
 import {
-  answerOk,
-  StandInAnswer,
-  StandInCall,
+  okResponse,
+  StandInResponse,
+  StandInRequest,
   StandInServer,
 } from '../standInServer.js';
 
-/** A small store of rows that speaks the users' published protocol. */
+/** A minimal row store that implements the users' published protocol. */
 
 interface Row {
   readonly Table: string;
@@ -17,7 +17,7 @@
   readonly Deleted?: boolean;
 }
 
-interface Change {
+interface Transaction {
   readonly Expected?: ReadonlyArray<{
     Table: string;
     part?: string;
@@ -33,25 +33,25 @@
   readonly Deletes?: ReadonlyArray<{Table: string; part?: string; Key: string}>;
 }
 
-/** How the store treats callers. */
+/** How the store responds to all requests. */
 export type StoreFault = 'none' | 'busy' | 'silent' | 'reset';
 
-const LIMIT = 500;
+const ROW_LIMIT = 500;
 
-/** Keeps rows in memory, with transactions and a feed of changes. */
+/** Stores rows in memory, with transactions and a change feed. */
 export class RowStore implements Disposable {
   private readonly rows = new Map<string, Row>();
   private readonly history: Row[] = [];
   private readonly waiting = new Set<() => void>();
   private readonly server: StandInServer;
   private version = 0;
-  private forgottenUpTo = 0;
+  private forgottenVersion = 0;
   fault: StoreFault = 'none';
-  /** Calls by path. */
-  readonly calls = new Map<string, number>();
+  /** Number of requests by path. */
+  readonly requestCounts = new Map<string, number>();
 
   constructor(readonly address: string) {
-    this.server = new StandInServer(address, call => this.handle(call));
+    this.server = new StandInServer(address, request => this.handle(request));
   }
 
   start(): Promise<void> {
@@ -62,28 +62,28 @@
     this.server.dispose();
   }
 
-  /** Writes a row as the operator or a replica does. */
+  /** Writes a row on behalf of the operator or a replica. */
   put(table: string, key: string, value: unknown): void {
     const text = Buffer.from(JSON.stringify(value)).toString('base64');
     this.version++;
-    this.keep({
+    this.storeRow({
       Table: table,
       part: '',
       Key: key,
       Value: text,
       Ver: this.version,
     });
-    this.wake();
+    this.notifyWaiters();
   }
 
-  /** Removes a row. */
+  /** Deletes a row on behalf of the operator or a replica. */
   remove(table: string, key: string): void {
     this.version++;
-    this.drop(table, '', key);
-    this.wake();
+    this.deleteRow(table, '', key);
+    this.notifyWaiters();
   }
 
-  /** Keys of a table. */
+  /** Sorted keys of a table. */
   keys(table: string): readonly string[] {
     return [...this.rows.values()]
       .filter(row => row.Table === table)
@@ -91,41 +91,44 @@
       .sort();
   }
 
-  /** Discards the history of changes. */
+  /** Discards the change history; feeds that start before now get status 410. */
   forgetHistory(): void {
     this.history.length = 0;
-    this.forgottenUpTo = this.version;
+    this.forgottenVersion = this.version;
   }
 
-  private async handle(call: StandInCall): Promise<StandInAnswer> {
-    this.calls.set(call.path, (this.calls.get(call.path) ?? 0) + 1);
+  private async handle(request: StandInRequest): Promise<StandInResponse> {
+    this.requestCounts.set(
+      request.path,
+      (this.requestCounts.get(request.path) ?? 0) + 1,
+    );
     switch (this.fault) {
       case 'busy':
-        return {kind: 'answer', status: 503, body: {}};
+        return {kind: 'response', status: 503, body: {}};
       case 'silent':
-        return {kind: 'silence'};
+        return {kind: 'noResponse'};
       case 'reset':
-        return {kind: 'cut'};
+        return {kind: 'disconnect'};
       case 'none':
-        return this.serve(call);
+        return this.serve(request);
     }
   }
 
-  private async serve(call: StandInCall): Promise<StandInAnswer> {
-    switch (call.path) {
+  private async serve(request: StandInRequest): Promise<StandInResponse> {
+    switch (request.path) {
       case '/rows-get':
-        return this.get(call.query);
+        return this.get(request.query);
       case '/rows-feed':
-        return this.feed(call);
+        return this.feed(request);
       case '/rows-tx':
-        return this.transact(JSON.parse(call.text) as Change);
+        return this.transact(JSON.parse(request.text) as Transaction);
       default:
-        return {kind: 'answer', status: 404, body: {}};
+        return {kind: 'response', status: 404, body: {}};
     }
   }
 
-  private get(query: URLSearchParams): StandInAnswer {
-    const limit = Math.min(Number(query.get('Limit') ?? LIMIT), LIMIT);
+  private get(query: URLSearchParams): StandInResponse {
+    const limit = Math.min(Number(query.get('Limit') ?? ROW_LIMIT), ROW_LIMIT);
     const from = query.get('From') ?? '';
     const to = query.get('To');
     const rows = [...this.rows.values()]
@@ -136,88 +139,94 @@
       )
       .filter(row => row.Key >= from && (to === null || row.Key < to))
       .sort((left, right) => (left.Key < right.Key ? -1 : 1));
-    return this.ok({Rows: rows.slice(0, limit), HasMore: rows.length > limit});
+    return this.createOkResponse({
+      Rows: rows.slice(0, limit),
+      HasMore: rows.length > limit,
+    });
   }
 
-  private async feed({query, onDidGo}: StandInCall): Promise<StandInAnswer> {
+  private async feed({
+    query,
+    onDidDisconnect,
+  }: StandInRequest): Promise<StandInResponse> {
     const table = query.get('Table');
     const after = Number(query.get('After') ?? 0);
-    if (after < this.forgottenUpTo) {
-      return {kind: 'answer', status: 410, body: {}};
+    if (after < this.forgottenVersion) {
+      return {kind: 'response', status: 410, body: {}};
     }
     const changed = (): readonly Row[] =>
       this.history.filter(row => row.Table === table && row.Ver > after);
     if (changed().length === 0) {
-      await this.change(
+      await this.waitForChange(
         Number(query.get('WaitMs') ?? 0),
-        onDidGo,
+        onDidDisconnect,
         () => changed().length > 0,
       );
     }
-    return this.ok({Rows: changed()});
+    return this.createOkResponse({Rows: changed()});
   }
 
-  private change(
+  private waitForChange(
     milliseconds: number,
-    onDidGo: (listener: () => void) => void,
+    onDidDisconnect: (listener: () => void) => void,
     isDone: () => boolean,
   ): Promise<void> {
     return new Promise(resolve => {
       const finish = (): void => {
         clearTimeout(timer);
-        this.waiting.delete(look);
+        this.waiting.delete(check);
         resolve();
       };
-      const look = (): void => {
+      const check = (): void => {
         if (isDone()) {
           finish();
         }
       };
       const timer = setTimeout(finish, milliseconds);
-      this.waiting.add(look);
-      onDidGo(finish);
+      this.waiting.add(check);
+      onDidDisconnect(finish);
     });
   }
 
-  private transact(change: Change): StandInAnswer {
+  private transact(change: Transaction): StandInResponse {
     const expected = change.Expected ?? [];
     const isMet = expected.every(
       ({Table, part = '', Key, Ver}) =>
-        (this.rows.get(nameOf(Table, part, Key))?.Ver ?? 0) === Ver,
+        (this.rows.get(rowIdOf(Table, part, Key))?.Ver ?? 0) === Ver,
     );
     if (!isMet) {
       const rows = expected.flatMap(({Table, part = '', Key}) => {
-        const row = this.rows.get(nameOf(Table, part, Key));
+        const row = this.rows.get(rowIdOf(Table, part, Key));
         return row === undefined ? [] : [row];
       });
-      return {kind: 'answer', status: 412, body: {Rows: rows}};
+      return {kind: 'response', status: 412, body: {Rows: rows}};
     }
     this.version++;
     for (const {Table, part = '', Key, Value} of change.Writes ?? []) {
-      this.keep({Table, part, Key, Value, Ver: this.version});
+      this.storeRow({Table, part, Key, Value, Ver: this.version});
     }
     for (const {Table, part = '', Key} of change.Deletes ?? []) {
-      this.drop(Table, part, Key);
+      this.deleteRow(Table, part, Key);
     }
-    this.wake();
-    return this.ok({});
+    this.notifyWaiters();
+    return this.createOkResponse({});
   }
 
-  private ok(body: object): StandInAnswer {
-    return answerOk({
+  private createOkResponse(body: object): StandInResponse {
+    return okResponse({
       ...body,
       Ver: this.version,
       NowMs: Math.round(performance.now()),
     });
   }
 
-  private keep(row: Row): void {
-    this.rows.set(nameOf(row.Table, row.part, row.Key), row);
+  private storeRow(row: Row): void {
+    this.rows.set(rowIdOf(row.Table, row.part, row.Key), row);
     this.history.push(row);
   }
 
-  private drop(table: string, part: string, key: string): void {
-    this.rows.delete(nameOf(table, part, key));
+  private deleteRow(table: string, part: string, key: string): void {
+    this.rows.delete(rowIdOf(table, part, key));
     this.history.push({
       Table: table,
       part,
@@ -228,13 +237,13 @@
     });
   }
 
-  private wake(): void {
-    for (const look of [...this.waiting]) {
-      look();
+  private notifyWaiters(): void {
+    for (const check of [...this.waiting]) {
+      check();
     }
   }
 }
 
-function nameOf(table: string, part: string, key: string): string {
+function rowIdOf(table: string, part: string, key: string): string {
   return `${table}\n${part}\n${key}`;
 }
--- a/test/standins/fleet/system.ts
+++ b/test/standins/fleet/system.ts
@@ -17,17 +17,17 @@
 import {PlainReplica} from './plainReplica.js';
 import {RowStore} from './rowStore.js';
 
-/** Router instances as separate processes before stand-ins of everything that they speak to. */
+/** Router instances as separate processes, connected to stand-ins for all outside systems. */
 
-/** What the platform runs, beside `dist`: the bundle with its compiled form. */
+/** The bundle that the platform runs, relative to `dist`. */
 const BUNDLED_ROUTER = '../target/redwing-router.cjs';
 
-const LAYERS = 12;
-const EVENTS = 30;
+const LAYER_COUNT = 12;
+const EVENTS_PER_STREAM = 30;
 const START_MILLISECONDS = 20_000;
 const STOP_SECONDS = 4;
 
-/** One router instance. */
+/** A router instance in its own process; addresses are `IP:port`. */
 export interface RouterInstance {
   readonly name: string;
   readonly callers: string;
@@ -36,10 +36,10 @@
   readonly process: ManagedProcess;
 }
 
-/** The key of the account that may call. */
+/** The API key of the configured account. */
 export const KEY = 'good-key';
 
-/** The operators' configuration. */
+/** The configuration that operators publish; `fields` replaces top-level fields. */
 export function makeManifest(
   version: number,
   fields: Readonly<Record<string, unknown>> = {},
@@ -103,7 +103,7 @@
           usual: {prompt: 700, answer: 150},
           Models: [{Name: 'm', LoadS: 1}],
           delays: [],
-          Layers: LAYERS,
+          Layers: LAYER_COUNT,
           LayerMb: 1000,
           ActBytes: 30_000,
           PipeMbps: 9000,
@@ -126,7 +126,7 @@
   };
 }
 
-/** A store, a model on six engines in two data centres, a plain service and some router instances. */
+/** A row store, a model on four engines in each of two zones, a plain service and router instances. */
 export class StandInSystem implements Disposable {
   private readonly owned = new DisposableStore();
   private readonly directory = mkdtempSync(join(tmpdir(), 'redwing-router-'));
@@ -137,13 +137,13 @@
   readonly engines: EngineFleet;
 
   private constructor(private readonly addresses: string[]) {
-    this.store = this.owned.add(new RowStore(this.take()));
+    this.store = this.owned.add(new RowStore(this.takeAddress()));
     this.engines = this.owned.add(
-      new EngineFleet('model', LAYERS, EVENTS, this.store),
+      new EngineFleet('model', LAYER_COUNT, EVENTS_PER_STREAM, this.store),
     );
   }
 
-  /** Starts everything; resolves when all layers are held and every instance is ready. */
+  /** Starts all parts; resolves when engines hold all layers and every instance is ready. */
   static async start(instanceCount: number): Promise<StandInSystem> {
     const addresses = await freeAddresses(60);
     const system = new StandInSystem([...addresses]);
@@ -165,9 +165,9 @@
   startInstance(zone: string): RouterInstance {
     const index = this.instances.length + 1;
     const name = `instance-${index}`;
-    // Each has an address of its own, since all use the same port for metrics.
+    // All instances use the same port for metrics, so each needs its own IP address.
     const ip = `127.0.7.${index}`;
-    const port = (): number => Number(this.take().split(':')[1]);
+    const port = (): number => Number(this.takeAddress().split(':')[1]);
     const listen = {
       Front: `${ip}:${port()}`,
       Ready: `${ip}:${port()}`,
@@ -209,7 +209,7 @@
     return instance;
   }
 
-  /** Asks an instance's directory. */
+  /** Addresses that an instance's directory returns for a zone. */
   async resolve(
     instance: RouterInstance,
     zone: string,
@@ -241,13 +241,18 @@
         'small',
         'small',
       ].entries()) {
-        await this.engines.add(`${zone}-${index}`, this.take(), zone, kind);
+        await this.engines.add(
+          `${zone}-${index}`,
+          this.takeAddress(),
+          zone,
+          kind,
+        );
       }
       const replica = new PlainReplica(
         this.store,
         'plain',
         `plain-${zone}`,
-        this.take(),
+        this.takeAddress(),
         zone,
       );
       this.plain.push(this.owned.add(replica));
@@ -257,21 +262,21 @@
       this.startInstance(index % 2 === 0 ? 'north' : 'south');
     }
     await waitFor(
-      () => this.isWhole(),
+      () => this.hasStarted(),
       START_MILLISECONDS,
       () => this.supervisor.tails(),
     );
     this.owned.add(toDisposable(() => undefined));
   }
 
-  private async isWhole(): Promise<boolean> {
+  private async hasStarted(): Promise<boolean> {
     const ready = await Promise.all(
       this.instances.map(instance => this.isReady(instance)),
     );
     if (!ready.every(Boolean)) {
       return false;
     }
-    const layers = [...Array(LAYERS).keys()];
+    const layers = [...Array(LAYER_COUNT).keys()];
     return layers.every(layer =>
       this.engines.engines.some(engine =>
         engine.holds({From: layer, To: layer + 1}),
@@ -279,20 +284,20 @@
     );
   }
 
-  private take(): string {
+  private takeAddress(): string {
     const address = this.addresses.shift();
     if (address === undefined) {
-      throw new Error('no address is left');
+      throw new Error('stand-in system has used up its reserved addresses');
     }
     return address;
   }
 }
 
-/** Waits until something holds; fails with a text after a time. */
+/** Polls a condition; throws an error with the text of `describe` on time-out. */
 export async function waitFor(
   condition: () => boolean | Promise<boolean>,
   milliseconds: number,
-  describe: () => string = () => 'it did not come about',
+  describe: () => string = () => 'condition was not met in time',
 ): Promise<void> {
   const end = performance.now() + milliseconds;
   while (!(await condition())) {
--- a/test/standins/ledger.ts
+++ b/test/standins/ledger.ts
@@ -4,15 +4,15 @@
 
 const MEMORY_LIMIT = 200_000;
 
-/** When an entry was made, in order and by the wall clock. */
+/** Sequence number and wall-clock time (milliseconds) of a ledger entry. */
 export interface LedgerStamp {
   readonly sequence: number;
   readonly at: number;
 }
 
 /**
- * What a stand-in executed, the witness of tests. Kept in memory (the newest entries) and, when a file
- * is named, written there before the work goes on, so that it outlives the process.
+ * Record of the executions of a stand-in, against which tests check the router. The newest entries are kept in memory.
+ * When a file is given, entries are also written to it synchronously, so that they survive the death of the process.
  */
 export class Ledger<Entry extends object> implements Disposable {
   private entries: Array<Entry & LedgerStamp> = [];
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Entries after a sequence number. */
+  /** Entries in memory after a sequence number. */
   after(sequence: number): ReadonlyArray<Entry & LedgerStamp> {
     return this.entries.filter(entry => entry.sequence > sequence);
   }
--- a/test/standins/heldModel.ts
+++ b/test/standins/loadedModel.ts
@@ -3,28 +3,28 @@
   StepRequest,
 } from '../../src/infrastructure/engine/common/engineConnection.js';
 import {EngineSettings} from './engineSettings.js';
-import {roleFits} from './stepComputation.js';
+import {roleAccepts} from './stepComputation.js';
 
-type Holding = Pick<
+type ModelConfiguration = Pick<
   EngineSettings,
   'model' | 'version' | 'adapters' | 'layers' | 'role'
 >;
 
 const ADAPTER_LOAD_MILLISECONDS = 100;
-const NO_NUMBER = -1;
+const NO_ORDER = -1;
 
-/** The model, layers and role that an engine holds, and the orders that it took for them. */
-export class HeldModel {
-  /** Numbers of the last order taken. */
-  highest = {fencing: NO_NUMBER, order: NO_NUMBER};
-  private current: Holding;
+/** The model, layers and role of an engine, as configured by orders. */
+export class LoadedModel {
+  /** Fencing and order number of the last order applied. */
+  lastOrder = {fencing: NO_ORDER, order: NO_ORDER};
+  private current: ModelConfiguration;
   private loadedAt = 0;
 
   constructor(private readonly settings: EngineSettings) {
     this.current = settings;
   }
 
-  get holding(): Holding {
+  get configuration(): ModelConfiguration {
     return this.current;
   }
 
@@ -32,20 +32,20 @@
     return performance.now() < this.loadedAt;
   }
 
-  /** Whether an order has lower numbers than one taken before. */
-  isOld(order: EngineOrder): boolean {
-    const {fencing, order: number} = this.highest;
+  /** Whether an order is older than the last one applied. */
+  isStaleOrder(order: EngineOrder): boolean {
+    const {fencing, order: orderNumber} = this.lastOrder;
     return (
       order.fencing < fencing ||
-      (order.fencing === fencing && order.order < number)
+      (order.fencing === fencing && order.order < orderNumber)
     );
   }
 
-  /** Takes an order; answers whether it asks for other weights, which makes KV caches worthless. */
-  take(order: EngineOrder): boolean {
+  /** Applies an order; returns whether it changes the weights, which invalidates all KV caches. */
+  apply(order: EngineOrder): boolean {
     const {model, version, adapters, layers, role} = order;
     const {current} = this;
-    this.highest = {fencing: order.fencing, order: order.order};
+    this.lastOrder = {fencing: order.fencing, order: order.order};
     const hasOtherWeights =
       model !== current.model ||
       version !== current.version ||
@@ -61,8 +61,8 @@
     return hasOtherWeights;
   }
 
-  /** Why the engine can't run a step with what it holds; undefined when it can. */
-  unfitness(step: StepRequest): string | undefined {
+  /** Why the loaded model can't run a step; undefined when it can. */
+  findMismatch(step: StepRequest): string | undefined {
     const {model, version, adapters, layers, role} = this.current;
     if (step.model !== model || step.version !== version) {
       return 'holds another model or version';
@@ -74,6 +74,6 @@
     if (from < layers.from || to > layers.to || from >= to) {
       return 'does not hold these layers';
     }
-    return roleFits(role, step) ? undefined : `has the role ${role}`;
+    return roleAccepts(role, step) ? undefined : `has the role ${role}`;
   }
 }
--- a/test/standins/platform.test.ts
+++ b/test/standins/platform.test.ts
@@ -81,7 +81,7 @@
   return rows.ok ? rows.value.map(row => row?.value) : rows.error.kind;
 }
 
-describe('rules of the table, in memory and over HTTP', () => {
+describe('table transactions follow the same rules in memory and over HTTP', () => {
   const stores: ReadonlyArray<readonly [string, () => TableService]> = [
     ['in memory', () => new InMemoryPlatform().portsOf().table],
     ['over HTTP', () => table],
@@ -120,7 +120,7 @@
   });
 });
 
-describe('classification of faults of the table', () => {
+describe('outcomes of table requests under faults', () => {
   const cases: ReadonlyArray<
     readonly [PlatformFault, string, string | undefined]
   > = [
@@ -134,16 +134,23 @@
       undefined,
     ],
   ];
-  it.each(cases)('%j is %s, then reads %s', async (fault, kind, value) => {
-    await platform.setFault({fault, part: 'table'});
-    const result = await table.transact([put('k', 'v')], 'all', neverCancelled);
-    expect(!result.ok && result.error.kind).toBe(kind);
-    await platform.setFault({fault: {kind: 'clear'}});
-    expect(await values(table, 'k')).toEqual([value]);
-  });
+  it.each(cases)(
+    'a write under fault %j has the outcome %s, then reads %s',
+    async (fault, kind, value) => {
+      await platform.setFault({fault, part: 'table'});
+      const result = await table.transact(
+        [put('k', 'v')],
+        'all',
+        neverCancelled,
+      );
+      expect(!result.ok && result.error.kind).toBe(kind);
+      await platform.setFault({fault: {kind: 'clear'}});
+      expect(await values(table, 'k')).toEqual([value]);
+    },
+  );
 
   it.each(cases.filter(([fault]) => fault.kind !== 'unavailable'))(
-    'in memory too: %j is %s, then reads %s',
+    'in memory: a write under fault %j has the outcome %s, then reads %s',
     async (fault, kind, value) => {
       const shared = new InMemoryPlatform();
       const store = shared.portsOf('a').table;
@@ -158,7 +165,7 @@
     },
   );
 
-  it('strikes the named instance only, as often as asked', async () => {
+  it('a fault applies only to its instance, and as often as requested', async () => {
     const fault = {kind: 'requestLost'} as const;
     await platform.setFault({fault, instance: 'instance-1', times: 1});
     expect(await values(table, 'k')).toBe('outcomeUnknown');
@@ -167,8 +174,8 @@
     expect(await values(otherTable, 'k')).toEqual([undefined]);
   });
 
-  it('a slow write takes effect after its caller gave up', async () => {
-    // With its one connection open, a call is written as soon as it is made.
+  it('a slow write takes effect after its caller has cancelled', async () => {
+    // With its single connection already open, a request is sent as soon as it is made.
     const single = new HttpTableService(settings.tableAddress, 'instance-1', {
       connections: 1,
     });
@@ -186,8 +193,8 @@
   });
 });
 
-describe('the other services', () => {
-  it('objects are kept, listed and deleted', async () => {
+describe('objects, manifests and membership', () => {
+  it('objects can be stored, listed and deleted', async () => {
     const store = new HttpObjectStore(settings.objectsAddress, 'instance-1');
     const name = 'configuration/1 ü';
     await store.put(name, '{"a":1}', neverCancelled);
@@ -205,7 +212,7 @@
     store.dispose();
   });
 
-  it('manifests are found or missing', async () => {
+  it('an existing manifest is found and a missing one is undefined', async () => {
     const store = new HttpWeightStore(settings.weightsAddress, 'instance-1');
     const found = await store.manifest('assistant', '1', neverCancelled);
     expect(found).toEqual({ok: true, value: MANIFEST});
@@ -214,7 +221,7 @@
     store.dispose();
   });
 
-  it('the list of members lags', async () => {
+  it('changes of the membership list become visible after the lag', async () => {
     const list = new HttpMembershipList(settings.membershipAddress, 'i');
     const states = async () => {
       const result = await list.read(neverCancelled);
--- a/test/standins/platformOperations.ts
+++ b/test/standins/platformOperations.ts
@@ -7,62 +7,66 @@
 import {WeightManifest} from '../../src/infrastructure/weights/common/weightStore.js';
 import {TableRows} from '../support/tableRows.js';
 import {Ledger} from './ledger.js';
-import {answerOk, StandInAnswer, StandInCall} from './standInServer.js';
+import {okResponse, StandInResponse, StandInRequest} from './standInServer.js';
 
-/** The services that fail apart. */
-export type PlatformPart = 'table' | 'objects' | 'weights' | 'membership';
+/** Services of the platform, each with a port of its own; they can fail independently. */
+export type PlatformServiceName =
+  'table' | 'objects' | 'weights' | 'membership';
 
-/** An executed write. */
+/** A ledger entry: one executed write. */
 export interface PlatformLedgerEntry {
   readonly instance: string;
-  readonly part: PlatformPart;
+  readonly part: PlatformServiceName;
   readonly keys: readonly string[];
   readonly outcomes: readonly string[];
 }
 
-/** What a call does once no fault keeps it from it. */
+/** The effect of a request when no fault prevents it. */
 export interface Operation {
   readonly access: 'read' | 'write';
-  run(instance: string): StandInAnswer;
+  run(instance: string): StandInResponse;
 }
 
-/** The table, objects, manifests and members, and the calls that read and write them. */
+/** Holds the table, objects, manifests and members, and maps requests to reads and writes of them. */
 export class PlatformOperations {
   private readonly rows = new TableRows();
   private readonly objects = new Map<string, string>();
 
   constructor(
     private readonly manifests: readonly WeightManifest[],
-    /** By id; changed by the owner. */
+    /** By id; mutated by the owner. */
     private readonly members: ReadonlyMap<string, Member>,
     private readonly ledger: Ledger<PlatformLedgerEntry>,
   ) {}
 
-  /** What a call to a part asks for; undefined when the part has no such path. */
-  operationOf(part: PlatformPart, call: StandInCall): Operation | undefined {
-    switch (part) {
+  /** The operation that a request to a service asks for; undefined when the service has no such path. */
+  findOperation(
+    service: PlatformServiceName,
+    request: StandInRequest,
+  ): Operation | undefined {
+    switch (service) {
       case 'table':
-        return this.tableOperation(call);
+        return this.findTableOperation(request);
       case 'objects':
-        return this.objectOperation(call);
+        return this.findObjectOperation(request);
       case 'weights':
-        return this.weightOperation(call);
+        return this.createWeightOperation(request);
       case 'membership':
-        return call.path === '/v1/members'
-          ? read(() => ({members: [...this.members.values()]}))
+        return request.path === '/v1/members'
+          ? createReadOperation(() => ({members: [...this.members.values()]}))
           : undefined;
     }
   }
 
-  private tableOperation(call: StandInCall): Operation | undefined {
-    const body = JSON.parse(call.text === '' ? '{}' : call.text);
-    switch (call.path) {
+  private findTableOperation(request: StandInRequest): Operation | undefined {
+    const body = JSON.parse(request.text === '' ? '{}' : request.text);
+    switch (request.path) {
       case '/v1/table/read':
-        return read(() => ({
+        return createReadOperation(() => ({
           rows: this.rows.read(body.keys).map(row => row ?? null),
         }));
       case '/v1/table/scan':
-        return read(() => ({
+        return createReadOperation(() => ({
           rows: this.rows.scan(body.prefix, body.after, body.limit),
         }));
       case '/v1/table/transact':
@@ -77,17 +81,17 @@
 
   private transact(
     instance: string,
-    wire: ReadonlyArray<Omit<RowWrite, 'value'> & {value: string | null}>,
+    wireWrites: ReadonlyArray<Omit<RowWrite, 'value'> & {value: string | null}>,
     mode: TransactionMode,
-  ): StandInAnswer {
-    const writes = wire.map(write => ({
+  ): StandInResponse {
+    const writes = wireWrites.map(write => ({
       ...write,
       value: write.value ?? undefined,
     }));
     try {
       checkTransaction(writes);
     } catch (error) {
-      return refusal(400, 'invalid', String(error));
+      return errorResponse(400, 'invalid', String(error));
     }
     const outcomes = this.rows.transact(writes, mode);
     this.ledger.add({
@@ -96,7 +100,7 @@
       keys: writes.map(write => write.key),
       outcomes: outcomes.map(outcome => outcome.kind),
     });
-    return answerOk({
+    return okResponse({
       outcomes: outcomes.map(outcome =>
         outcome.kind === 'conflict'
           ? {...outcome, current: outcome.current ?? null}
@@ -105,36 +109,39 @@
     });
   }
 
-  private objectOperation(call: StandInCall): Operation | undefined {
-    if (call.path === '/v1/objects') {
-      const prefix = call.query.get('prefix') ?? '';
-      return read(() => ({
+  private findObjectOperation(request: StandInRequest): Operation | undefined {
+    if (request.path === '/v1/objects') {
+      const prefix = request.query.get('prefix') ?? '';
+      return createReadOperation(() => ({
         names: [...this.objects.keys()]
           .filter(name => name.startsWith(prefix))
           .sort(),
       }));
     }
-    const name = decodeURIComponent(call.path.slice('/v1/objects/'.length));
-    switch (call.method) {
+    const name = decodeURIComponent(request.path.slice('/v1/objects/'.length));
+    switch (request.method) {
       case 'GET':
         return {access: 'read', run: () => this.getObject(name)};
       case 'PUT':
-        return this.objectWrite(name, JSON.parse(call.text).body as string);
+        return this.createObjectWrite(
+          name,
+          JSON.parse(request.text).body as string,
+        );
       case 'DELETE':
-        return this.objectWrite(name, undefined);
+        return this.createObjectWrite(name, undefined);
       default:
         return undefined;
     }
   }
 
-  private getObject(name: string): StandInAnswer {
+  private getObject(name: string): StandInResponse {
     const body = this.objects.get(name);
     return body === undefined
-      ? refusal(404, 'notFound', 'no such object')
-      : answerOk({body});
+      ? errorResponse(404, 'notFound', 'no such object')
+      : okResponse({body});
   }
 
-  private objectWrite(name: string, body: string | undefined): Operation {
+  private createObjectWrite(name: string, body: string | undefined): Operation {
     return {
       access: 'write',
       run: instance => {
@@ -145,13 +152,15 @@
         }
         const outcomes = [body === undefined ? 'deleted' : 'written'];
         this.ledger.add({instance, part: 'objects', keys: [name], outcomes});
-        return answerOk({});
+        return okResponse({});
       },
     };
   }
 
-  private weightOperation(call: StandInCall): Operation {
-    const [, , , model, version] = call.path.split('/').map(decodeURIComponent);
+  private createWeightOperation(request: StandInRequest): Operation {
+    const [, , , model, version] = request.path
+      .split('/')
+      .map(decodeURIComponent);
     return {
       access: 'read',
       run: () => {
@@ -160,25 +169,25 @@
             candidate.model === model && candidate.version === version,
         );
         return manifest === undefined
-          ? refusal(404, 'notFound', 'no such manifest')
-          : answerOk(manifest);
+          ? errorResponse(404, 'notFound', 'no such manifest')
+          : okResponse(manifest);
       },
     };
   }
 }
 
-function read(run: () => unknown): Operation {
-  return {access: 'read', run: () => answerOk(run())};
+function createReadOperation(run: () => unknown): Operation {
+  return {access: 'read', run: () => okResponse(run())};
 }
 
-/** A refusal of a call that had no effect. */
-export function refusal(
+/** An error response that says that the request was not executed. */
+export function errorResponse(
   status: number,
   kind: string,
   detail: string,
-): StandInAnswer {
+): StandInResponse {
   return {
-    kind: 'answer',
+    kind: 'response',
     status,
     body: {error: {kind, detail}},
     headers: {'redwing-executed': 'no'},
--- a/test/standins/platformStandIn.ts
+++ b/test/standins/platformStandIn.ts
@@ -11,12 +11,16 @@
   Operation,
   PlatformLedgerEntry,
   PlatformOperations,
-  PlatformPart,
-  refusal,
+  PlatformServiceName,
+  errorResponse,
 } from './platformOperations.js';
-import {controlHandler, seenBy} from './standInControl.js';
+import {controlHandler, readLedgerOffset} from './standInControl.js';
 import {runAsProgram} from './standInMain.js';
-import {StandInAnswer, StandInCall, StandInServer} from './standInServer.js';
+import {
+  StandInResponse,
+  StandInRequest,
+  StandInServer,
+} from './standInServer.js';
 import {sleep} from '../support/sleep.js';
 
 /** Settings of the platform stand-in; addresses are `IP:port`. */
@@ -25,33 +29,33 @@
   readonly objectsAddress: string;
   readonly weightsAddress: string;
   readonly membershipAddress: string;
-  /** Faults, members, counts and the ledger; never struck by faults. */
+  /** Serves faults, members, counts and the ledger; not subject to faults. */
   readonly faultAddress: string;
   readonly members?: readonly Member[];
   readonly manifests?: readonly WeightManifest[];
   readonly ledgerFile?: string;
 }
 
-/** What goes wrong with calls. */
+/** A fault of the requests in its scope. */
 export type PlatformFault =
-  /** The port is closed; for one instance or access only, the connection is cut without effect. */
+  /** Closes the port; limited by instance, access or times, closes the connection without execution. */
   | {readonly kind: 'down'}
-  /** Status 503 that says `executed: no`. */
+  /** Status 503 with the header `redwing-executed: no`. */
   | {readonly kind: 'unavailable'}
-  /** No effect and no answer. */
+  /** Neither executes nor responds. */
   | {readonly kind: 'silent'}
-  /** The effect comes after the delay, also when the caller has gone. */
+  /** Executes after the delay, even if the caller has disconnected. */
   | {readonly kind: 'slow'; readonly milliseconds: number}
-  /** The effect, then the connection is cut. */
+  /** Executes, then closes the connection. */
   | {readonly kind: 'answerLost'}
-  /** The connection is cut without effect. */
+  /** Closes the connection without execution. */
   | {readonly kind: 'requestLost'}
   | {readonly kind: 'rateLimited'; readonly retryAfterMilliseconds: number};
 
-/** Body of `POST /fault`; `clear` ends faults whose scope has the given values. */
+/** Body of `POST /fault`; `clear` removes the faults whose scope has the given values. */
 export interface PlatformFaultCommand {
   readonly fault: PlatformFault | {readonly kind: 'clear'};
-  readonly part?: PlatformPart;
+  readonly part?: PlatformServiceName;
   readonly instance?: string;
   readonly access?: 'read' | 'write';
   readonly times?: number;
@@ -59,14 +63,14 @@
 
 /** Body of `POST /members`. */
 export interface MembersCommand {
-  /** Added, or replacing those of the same id. */
+  /** Members to add, or to replace by id. */
   readonly set?: readonly Member[];
   readonly remove?: readonly string[];
-  /** How far the list lags behind changes, from now on. */
+  /** Delay from now on until readers see a change. */
   readonly lagMilliseconds?: number;
 }
 
-const PARTS: readonly PlatformPart[] = [
+const SERVICE_NAMES: readonly PlatformServiceName[] = [
   'table',
   'objects',
   'weights',
@@ -76,11 +80,11 @@
 const READS_PER_SECOND = 2000;
 const RATE_RETRY_MILLISECONDS = 250;
 
-/** The platform's table, object store, weight manifests and list of members in one process. */
+/** The platform's table, object store, weight manifests and membership list in one process. */
 export class PlatformStandIn extends DisposableOwner {
-  private readonly visible = new Map<string, Member>();
+  private readonly visibleMembers = new Map<string, Member>();
   private readonly faults = new FaultList<PlatformFault>();
-  private readonly servers = new Map<PlatformPart, StandInServer>();
+  private readonly servers = new Map<PlatformServiceName, StandInServer>();
   private readonly counters = new Map<string, CallCounter>();
   private readonly ledger: Ledger<PlatformLedgerEntry>;
   private readonly operations: PlatformOperations;
@@ -92,29 +96,33 @@
     this.ledger = this.register(new Ledger(settings.ledgerFile));
     this.operations = new PlatformOperations(
       settings.manifests ?? [],
-      this.visible,
+      this.visibleMembers,
       this.ledger,
     );
-    for (const part of PARTS) {
-      const address = settings[`${part}Address`];
-      const server = new StandInServer(address, call => this.serve(part, call));
-      this.servers.set(part, this.register(server));
-      this.addCounters(part);
+    for (const service of SERVICE_NAMES) {
+      const address = settings[`${service}Address`];
+      const server = new StandInServer(address, request =>
+        this.serve(service, request),
+      );
+      this.servers.set(service, this.register(server));
+      this.addCounters(service);
     }
     this.faultServer = this.register(
       new StandInServer(
         settings.faultAddress,
         controlHandler({
-          'POST /fault': call => this.setFault(JSON.parse(call.text)),
-          'POST /members': call => this.setMembers(JSON.parse(call.text)),
+          'POST /fault': request => this.setFault(JSON.parse(request.text)),
+          'POST /members': request => this.setMembers(JSON.parse(request.text)),
           'GET /counts': () => this.counts(),
           'POST /counts/reset': () => this.resetCounts(),
-          'GET /ledger': call => ({entries: this.ledger.after(seenBy(call))}),
+          'GET /ledger': request => ({
+            entries: this.ledger.after(readLedgerOffset(request)),
+          }),
         }),
       ),
     );
     for (const member of settings.members ?? []) {
-      this.visible.set(member.id, member);
+      this.visibleMembers.set(member.id, member);
     }
   }
 
@@ -124,7 +132,7 @@
     await this.faultServer.start();
   }
 
-  /** Puts a fault in force, or ends some. */
+  /** Activates a fault, or clears those in a scope. */
   async setFault(command: PlatformFaultCommand): Promise<void> {
     const {fault, times, ...scope} = command;
     if (fault.kind === 'clear') {
@@ -132,99 +140,101 @@
       await this.openPorts(command.part);
       return;
     }
-    const isWhole =
+    const affectsWholePort =
       command.instance === undefined &&
       command.access === undefined &&
       times === undefined;
-    if (fault.kind === 'down' && isWhole) {
+    if (fault.kind === 'down' && affectsWholePort) {
       this.closePorts(command.part);
       return;
     }
     this.faults.add(fault, scope, times);
   }
 
-  /** Changes the list; seen by readers after the lag. */
+  /** Changes the membership list; visible to readers after the lag. */
   setMembers(command: MembersCommand): void {
     this.lagMilliseconds = command.lagMilliseconds ?? this.lagMilliseconds;
     if (this.lagMilliseconds <= 0) {
-      this.showMembers(command);
+      this.applyMembers(command);
       return;
     }
     const timer = setTimeout(
-      () => this.showMembers(command),
+      () => this.applyMembers(command),
       this.lagMilliseconds,
     );
     this.register(toDisposable(() => clearTimeout(timer)));
   }
 
-  private showMembers(command: MembersCommand): void {
+  private applyMembers(command: MembersCommand): void {
     for (const member of command.set ?? []) {
-      this.visible.set(member.id, member);
+      this.visibleMembers.set(member.id, member);
     }
     for (const id of command.remove ?? []) {
-      this.visible.delete(id);
+      this.visibleMembers.delete(id);
     }
   }
 
-  private async openPorts(part: PlatformPart | undefined): Promise<void> {
-    const parts = part === undefined ? PARTS : [part];
-    await Promise.all(parts.map(name => this.servers.get(name)?.start()));
+  private async openPorts(
+    service: PlatformServiceName | undefined,
+  ): Promise<void> {
+    const services = service === undefined ? SERVICE_NAMES : [service];
+    await Promise.all(services.map(name => this.servers.get(name)?.start()));
   }
 
-  private closePorts(part: PlatformPart | undefined): void {
-    const parts = part === undefined ? PARTS : [part];
-    parts.forEach(name => this.servers.get(name)?.stop());
+  private closePorts(service: PlatformServiceName | undefined): void {
+    const services = service === undefined ? SERVICE_NAMES : [service];
+    services.forEach(name => this.servers.get(name)?.stop());
   }
 
-  private addCounters(part: PlatformPart): void {
-    const isLimited = part === 'table' || part === 'objects';
+  private addCounters(service: PlatformServiceName): void {
+    const isLimited = service === 'table' || service === 'objects';
     const limits = {write: WRITES_PER_SECOND, read: READS_PER_SECOND};
     for (const [access, limit] of Object.entries(limits)) {
       const counter = new CallCounter(isLimited ? limit : Infinity);
-      this.counters.set(`${part} ${access}`, counter);
+      this.counters.set(`${service} ${access}`, counter);
     }
   }
 
   private async serve(
-    part: PlatformPart,
-    call: StandInCall,
-  ): Promise<StandInAnswer> {
-    const operation = this.operations.operationOf(part, call);
+    service: PlatformServiceName,
+    request: StandInRequest,
+  ): Promise<StandInResponse> {
+    const operation = this.operations.findOperation(service, request);
     if (operation === undefined) {
-      return refusal(404, 'notFound', 'no such path');
+      return errorResponse(404, 'notFound', 'no such path');
     }
-    const instance = String(call.headers['redwing-instance'] ?? '');
+    const instance = String(request.headers['redwing-instance'] ?? '');
     const {access} = operation;
-    const fault = this.faults.strike({part, instance, access});
+    const fault = this.faults.strike({part: service, instance, access});
     switch (fault?.kind) {
       case 'down':
       case 'requestLost':
-        return {kind: 'cut'};
+        return {kind: 'disconnect'};
       case 'silent':
-        return {kind: 'silence'};
+        return {kind: 'noResponse'};
       case 'unavailable':
-        return refusal(503, 'unavailable', `${part} is unavailable`);
+        return errorResponse(503, 'unavailable', `${service} is unavailable`);
       case 'rateLimited':
-        return rateLimited(fault.retryAfterMilliseconds);
+        return rateLimitedResponse(fault.retryAfterMilliseconds);
       case 'answerLost':
-        this.execute(part, operation, instance);
-        return {kind: 'cut'};
+        this.execute(service, operation, instance);
+        return {kind: 'disconnect'};
       case 'slow':
         await sleep(fault.milliseconds);
-        return this.execute(part, operation, instance);
+        return this.execute(service, operation, instance);
       case undefined:
-        return this.execute(part, operation, instance);
+        return this.execute(service, operation, instance);
     }
   }
 
   private execute(
-    part: PlatformPart,
+    service: PlatformServiceName,
     operation: Operation,
     instance: string,
-  ): StandInAnswer {
-    const counter = this.counters.get(`${part} ${operation.access}`);
+  ): StandInResponse {
+    const counter = this.counters.get(`${service} ${operation.access}`);
     if (counter !== undefined && !counter.admit(Date.now())) {
-      return rateLimited(RATE_RETRY_MILLISECONDS);
+      return rateLimitedResponse(RATE_RETRY_MILLISECONDS);
     }
     return operation.run(instance);
   }
@@ -242,9 +252,9 @@
   }
 }
 
-function rateLimited(milliseconds: number): StandInAnswer {
+function rateLimitedResponse(milliseconds: number): StandInResponse {
   return {
-    kind: 'answer',
+    kind: 'response',
     status: 429,
     body: {error: {kind: 'rateLimited'}},
     headers: {'retry-after-milliseconds': String(milliseconds)},
--- a/test/standins/prefixCache.ts
+++ b/test/standins/prefixCache.ts
@@ -4,10 +4,10 @@
   readonly prefixKey: string;
 }
 
-/** The prefixes an engine remembers, and those that its reports name, which lag behind. */
+/** LRU cache of prompt prefixes. Reports list its keys with a delay, as real engines do. */
 export class PrefixCache {
   private readonly inputs = new Map<string, string>();
-  private readonly announced = new Set<string>();
+  private readonly reported = new Set<string>();
   private pending: PendingChange[] = [];
 
   constructor(
@@ -15,37 +15,37 @@
     private readonly lagMilliseconds: number,
   ) {}
 
-  /** Characters that an input shares with the one remembered under its prefix; remembers it. */
-  use(prefixKey: string, input: string): number {
-    const known = this.inputs.get(prefixKey);
-    if (known !== undefined) {
+  /** Length in characters of the prefix that an input shares with the cached one; caches the input if there is none. */
+  matchOrStore(prefixKey: string, input: string): number {
+    const cached = this.inputs.get(prefixKey);
+    if (cached !== undefined) {
       this.inputs.delete(prefixKey);
-      this.inputs.set(prefixKey, known);
-      return commonLength(known, input);
+      this.inputs.set(prefixKey, cached);
+      return commonLength(cached, input);
     }
     this.inputs.set(prefixKey, input);
-    this.note(prefixKey, true);
+    this.queueChange(prefixKey, true);
     this.evict();
     return 0;
   }
 
   clear(): void {
     this.inputs.clear();
-    this.announced.clear();
+    this.reported.clear();
   }
 
-  /** The prefixes that were remembered one lag ago. */
-  announcedPrefixes(now: number): readonly string[] {
+  /** The prefixes that were cached one lag before `now`. */
+  reportedPrefixes(now: number): readonly string[] {
     const due = this.pending.filter(pending => pending.dueAt <= now);
     this.pending = this.pending.slice(due.length);
     for (const {isStored, prefixKey} of due) {
       if (isStored) {
-        this.announced.add(prefixKey);
+        this.reported.add(prefixKey);
       } else {
-        this.announced.delete(prefixKey);
+        this.reported.delete(prefixKey);
       }
     }
-    return [...this.announced];
+    return [...this.reported];
   }
 
   private evict(): void {
@@ -54,11 +54,11 @@
         return;
       }
       this.inputs.delete(prefixKey);
-      this.note(prefixKey, false);
+      this.queueChange(prefixKey, false);
     }
   }
 
-  private note(prefixKey: string, isStored: boolean): void {
+  private queueChange(prefixKey: string, isStored: boolean): void {
     const dueAt = performance.now() + this.lagMilliseconds;
     this.pending.push({dueAt, isStored, prefixKey});
   }
--- a/test/standins/referenceModel.ts
+++ b/test/standins/referenceModel.ts
@@ -1,55 +1,55 @@
 /**
- * The model that engine stand-ins compute. Every position carries a hash through the layers; each layer
- * mixes it with a running hash over all earlier positions, which is its KV cache. A layer left out,
- * applied twice or out of order, or a wrong cache, changes all tokens that follow.
+ * The model that engine stand-ins compute. Each position carries a hash through the layers; each layer mixes it with a
+ * running hash over all earlier positions, which is its KV cache. A layer that is skipped, applied twice or out of
+ * order, or a wrong cache, changes all following tokens.
  */
 
 /** The KV cache of one layer: a running hash at each position. */
 export type LayerCache = number[];
 
-/** What a first stage knows of the reply. */
+/** Lengths of prompt and reply in tokens, as computed by a first stage. */
 export interface ReplyPlan {
   readonly promptLength: number;
   readonly replyLength: number;
 }
 
-/** A whole right answer. */
+/** The correct reply to a prompt. */
 export interface ExpectedReply {
   readonly tokens: readonly string[];
   readonly finishReason: 'stop' | 'length';
 }
 
-/** An activation between stages. */
+/** An activation passed between stages. */
 interface Activation {
-  /** Tokens of the reply still to come, the next one included. */
+  /** Reply tokens still to be generated, including the next one. */
   readonly remaining: number;
-  /** One hash for each position. */
+  /** One hash per position. */
   readonly hashes: readonly number[];
 }
 
 const CACHE_SEED = 0x51ed270b;
 const HASH_START = 0x811c9dc5;
 const HASH_PRIME = 0x01000193;
-const SHORTEST_REPLY = 8;
-const REPLY_SPREAD = 24;
+const MIN_REPLY_TOKENS = 8;
+const REPLY_LENGTH_RANGE_TOKENS = 24;
 const CONSONANTS = 'bdfgklmnprstvzjh';
 const VOWELS = 'aeio';
 const SYLLABLES = 5;
 const SYLLABLE_BITS = 6;
-const HEX_DIGITS = 8;
+const HEX_DIGITS_PER_HASH = 8;
 
-/** Sets the length of a reply from within its prompt, for example `[reply:20]`. */
+/** Prompt token that sets the reply length, for example `[reply:20]`. */
 const LENGTH_MARKER = /^\[reply:(\d+)\]$/;
 
-/** The form of the model's own tokens, for example `ka-lo-vi-ta-be`. */
+/** Format of the tokens that the model generates, for example `ka-lo-vi-ta-be`. */
 const REPLY_TOKEN = /^[a-z]{2}(-[a-z]{2}){4}$/;
 
-/** Prompt tokens of a text. */
+/** Splits a prompt into tokens at whitespace. */
 export function tokenize(text: string): readonly string[] {
   return text.split(/\s+/).filter(word => word.length > 0);
 }
 
-/** The hash that enters the first layer. */
+/** The hash of a token that enters the first layer. */
 export function embed(token: string): number {
   let hash = HASH_START;
   for (let index = 0; index < token.length; index++) {
@@ -58,7 +58,7 @@
   return hash >>> 0;
 }
 
-/** Applies one layer to positions from `from` on; cuts its cache there, then extends it. */
+/** Applies one layer to the positions from `from` on; truncates its cache there and extends it. */
 export function applyLayer(
   layer: number,
   cache: LayerCache,
@@ -74,7 +74,7 @@
   });
 }
 
-/** The token that follows a position. */
+/** The generated token for the last layer's hash of a position. */
 export function tokenOf(hash: number): string {
   const syllables = [];
   for (let index = 0; index < SYLLABLES; index++) {
@@ -84,7 +84,7 @@
   return syllables.join('-');
 }
 
-/** Where the prompt ends (its last token is not one of the model's own) and how long the reply is. */
+/** Computes prompt and reply length; the prompt ends at the last token that the model did not generate. */
 export function planReply(tokens: readonly string[]): ReplyPlan {
   let promptLength = tokens.length;
   while (promptLength > 0 && isReplyToken(tokens[promptLength - 1] ?? '')) {
@@ -94,7 +94,7 @@
   return {promptLength, replyLength: replyLengthOf(prompt)};
 }
 
-/** Whether a plan still holds when tokens are added: one of the model's own never changes it. */
+/** Whether a token has the format of generated tokens; appending such a token never changes a reply plan. */
 export function isReplyToken(token: string): boolean {
   return REPLY_TOKEN.test(token);
 }
@@ -106,40 +106,44 @@
       return Math.max(1, Number(marked[1]));
     }
   }
-  return SHORTEST_REPLY + (embed(prompt.join(' ')) % REPLY_SPREAD);
+  return (
+    MIN_REPLY_TOKENS + (embed(prompt.join(' ')) % REPLY_LENGTH_RANGE_TOKENS)
+  );
 }
 
-/** Tokens still to come after the given ones, the next included. */
+/** Reply tokens still to be generated at a position, including the next one. */
 export function remainingTokens(plan: ReplyPlan, position: number): number {
   return plan.replyLength - (position - plan.promptLength);
 }
 
-/** The form in which an activation travels. */
+/** Encodes an activation for transfer as `remaining:hashes`, with eight hexadecimal digits per hash. */
 export function encodeActivation(activation: Activation): string {
   const digits = activation.hashes.map(hash =>
-    hash.toString(16).padStart(HEX_DIGITS, '0'),
+    hash.toString(16).padStart(HEX_DIGITS_PER_HASH, '0'),
   );
   return `${activation.remaining}:${digits.join('')}`;
 }
 
-/** Reads an activation; undefined when it is malformed or has another number of positions. */
+/** Decodes an activation; undefined when it is malformed or its number of positions differs. */
 export function decodeActivation(
   data: string,
   positions: number,
 ): Activation | undefined {
   const separator = data.indexOf(':');
   const digits = data.slice(separator + 1);
-  if (separator < 1 || digits.length !== positions * HEX_DIGITS) {
+  if (separator < 1 || digits.length !== positions * HEX_DIGITS_PER_HASH) {
     return undefined;
   }
   const hashes = [];
-  for (let index = 0; index < digits.length; index += HEX_DIGITS) {
-    hashes.push(Number.parseInt(digits.slice(index, index + HEX_DIGITS), 16));
+  for (let index = 0; index < digits.length; index += HEX_DIGITS_PER_HASH) {
+    hashes.push(
+      Number.parseInt(digits.slice(index, index + HEX_DIGITS_PER_HASH), 16),
+    );
   }
   return {remaining: Number(data.slice(0, separator)), hashes};
 }
 
-/** The right reply to a prompt. */
+/** Computes the correct reply to a prompt. */
 export function expectedReply(
   promptTokens: readonly string[],
   layerCount: number,
@@ -149,16 +153,16 @@
   const caches: LayerCache[] = Array.from({length: layerCount}, () => []);
   const tokens: string[] = [];
   let from = 0;
-  let fresh = promptTokens;
+  let newTokens = promptTokens;
   while (tokens.length < maximumOutputTokens) {
-    const hash = runLayers(caches, from, fresh);
+    const hash = runLayers(caches, from, newTokens);
     const token = tokenOf(hash);
     tokens.push(token);
-    from += fresh.length;
+    from += newTokens.length;
     if (remainingTokens(plan, from) <= 1) {
       return {tokens, finishReason: 'stop'};
     }
-    fresh = [token];
+    newTokens = [token];
   }
   return {tokens, finishReason: 'length'};
 }
--- a/test/standins/sequences.ts
+++ b/test/standins/sequences.ts
@@ -1,28 +1,28 @@
 import {LayerRange} from '../../src/infrastructure/engine/common/engineConnection.js';
 import {LayerCache, ReplyPlan} from './referenceModel.js';
 
-/** Steps that may wait for a slot; more are refused as overloaded. */
+/** Maximum number of steps waiting for a slot; further ones are refused as overloaded. */
 const WAITING_LIMIT = 1000;
 
-/** A request's KV cache, which holds one of the engine's slots. */
+/** The KV cache of a request; occupies one of the engine's slots. */
 export class Sequence {
   readonly caches = new Map<number, LayerCache>();
-  /** Token texts, at first stages only. */
+  /** Tokens of prompt and reply; first stages only. */
   readonly tokens: string[] = [];
-  /** Of the tokens; undefined until a first stage has computed it. */
+  /** Reply plan for `tokens`; undefined until a first stage has computed it. */
   plan: ReplyPlan | undefined;
   runningSteps = 0;
   lastUsed = performance.now();
-  /** Its slot is given up when the last running step ends. */
-  isEnding = false;
-  /** How much its last timer overshot; taken off the next. */
-  overshoot = 0;
-  private tail: Promise<void> = Promise.resolve();
+  /** Whether the slot is to be freed when the last running step ends. */
+  isFreePending = false;
+  /** Time by which the last timer overshot; subtracted from the next wait. */
+  overshootMilliseconds = 0;
+  private lastTurn: Promise<void> = Promise.resolve();
 
   constructor(readonly requestId: string) {}
 
-  /** Positions that the caches of all these layers cover. */
-  coveredTo(layers: LayerRange): number {
+  /** Number of positions that are cached in all of these layers. */
+  coveredPositions(layers: LayerRange): number {
     let covered = Number.POSITIVE_INFINITY;
     for (let layer = layers.from; layer < layers.to; layer++) {
       covered = Math.min(covered, this.caches.get(layer)?.length ?? 0);
@@ -30,7 +30,7 @@
     return Number.isFinite(covered) ? covered : 0;
   }
 
-  cacheOf(layer: number): LayerCache {
+  getOrCreateCache(layer: number): LayerCache {
     const existing = this.caches.get(layer);
     if (existing !== undefined) {
       return existing;
@@ -40,14 +40,14 @@
     return created;
   }
 
-  /** Runs steps of one sequence one after the other. */
-  async inTurn<T>(run: () => Promise<T>): Promise<T> {
-    const before = this.tail;
+  /** Runs the steps of this sequence one at a time, in order of arrival. */
+  async runExclusively<T>(run: () => Promise<T>): Promise<T> {
+    const previousTurn = this.lastTurn;
     let finish = (): void => undefined;
-    this.tail = new Promise(resolve => {
+    this.lastTurn = new Promise(resolve => {
       finish = resolve;
     });
-    await before;
+    await previousTurn;
     try {
       return await run();
     } finally {
@@ -64,7 +64,7 @@
   readonly settle: (sequence: Sequence | undefined) => void;
 }
 
-/** The sequences resident at an engine and those that wait, by priority then arrival. */
+/** The resident sequences of an engine and the steps waiting for a slot, ordered by priority, then arrival. */
 export class SequenceSlots {
   private readonly resident = new Map<string, Sequence>();
   private waiters: Waiter[] = [];
@@ -88,45 +88,47 @@
     return this.resident.get(requestId);
   }
 
-  /** Waits for a slot; undefined when it stopped waiting for one. */
+  /** Waits for a slot; undefined when cancelled, disconnected or cleared. */
   acquire(
     requestId: string,
     epoch: number,
     priority: number,
-    onDidGo: (stop: () => void) => void,
+    onDidDisconnect: (stop: () => void) => void,
   ): Promise<Sequence | undefined> {
     return new Promise(resolve => {
       this.arrivals++;
       const arrival = this.arrivals;
       const waiter = {requestId, epoch, priority, arrival, settle: resolve};
       this.waiters.push(waiter);
-      onDidGo(() => this.stopWaiting(candidate => candidate === waiter));
+      onDidDisconnect(() =>
+        this.stopWaiting(candidate => candidate === waiter),
+      );
       this.admit();
     });
   }
 
-  /** Ends the waiting of a request at this and lower epochs. */
-  stopRequest(requestId: string, epoch: number): void {
+  /** Stops waiting steps of a request at this and lower epochs. */
+  cancelWaiters(requestId: string, epoch: number): void {
     this.stopWaiting(
       waiter => waiter.requestId === requestId && waiter.epoch <= epoch,
     );
   }
 
-  /** Frees the slot of a request, at once or after its running step. */
+  /** Frees the slot of a request, at once or after its running steps. */
   free(requestId: string): void {
     const sequence = this.resident.get(requestId);
     if (sequence === undefined) {
       return;
     }
     if (sequence.runningSteps > 0) {
-      sequence.isEnding = true;
+      sequence.isFreePending = true;
       return;
     }
     this.resident.delete(requestId);
     this.admit();
   }
 
-  /** Frees sequences without steps since a time. */
+  /** Frees sequences that are idle since before `before` (monotonic milliseconds). */
   freeIdle(before: number): void {
     for (const sequence of [...this.resident.values()]) {
       if (sequence.runningSteps === 0 && sequence.lastUsed < before) {
@@ -135,7 +137,7 @@
     }
   }
 
-  /** Drops everything; those that wait are told so. */
+  /** Removes all sequences; waiting steps resolve with undefined. */
   clear(): void {
     this.resident.clear();
     this.stopWaiting(() => true);
@@ -148,19 +150,19 @@
   }
 
   private admit(): void {
-    for (let next = this.nextAdmitted(); next; next = this.nextAdmitted()) {
+    for (let next = this.findNextWaiter(); next; next = this.findNextWaiter()) {
       const admitted = next;
       this.waiters = this.waiters.filter(waiter => waiter !== admitted);
       admitted.settle(this.makeResident(admitted.requestId));
     }
   }
 
-  private nextAdmitted(): Waiter | undefined {
-    const hasRoom = this.resident.size < this.limit;
+  private findNextWaiter(): Waiter | undefined {
+    const hasFreeSlot = this.resident.size < this.limit;
     let best: Waiter | undefined;
     for (const waiter of this.waiters) {
-      const mayRun = hasRoom || this.resident.has(waiter.requestId);
-      if (mayRun && (best === undefined || comesBefore(waiter, best))) {
+      const canRun = hasFreeSlot || this.resident.has(waiter.requestId);
+      if (canRun && (best === undefined || precedes(waiter, best))) {
         best = waiter;
       }
     }
@@ -174,7 +176,7 @@
   }
 }
 
-function comesBefore(left: Waiter, right: Waiter): boolean {
+function precedes(left: Waiter, right: Waiter): boolean {
   if (left.priority !== right.priority) {
     return left.priority < right.priority;
   }
--- a/test/standins/service.test.ts
+++ b/test/standins/service.test.ts
@@ -57,19 +57,22 @@
   [{kind: 'crossed'}, 'mismatch', 1],
 ];
 
-it.each(cases)('%j is %s and executes %i times', async (fault, kind, count) => {
-  if (fault !== undefined) {
-    await standIn.setFault({fault, times: 1});
-  }
-  const result = await call();
-  const outcome = result.ok
-    ? `answered ${result.value.status}`
-    : result.error.kind;
-  expect(outcome).toBe(kind);
-  expect(standIn.executions()).toHaveLength(count);
-  if (fault === undefined && result.ok) {
-    const body = expectedServiceBody('dispatch', 'POST', '/orders', BODY);
-    expect(JSON.parse(result.value.body)).toEqual(body);
-    expect(standIn.executions()[0]).toMatchObject({key: 'order-1'});
-  }
-});
+it.each(cases)(
+  'a request under fault %j has the outcome %s and executes %i times',
+  async (fault, kind, count) => {
+    if (fault !== undefined) {
+      await standIn.setFault({fault, times: 1});
+    }
+    const result = await call();
+    const outcome = result.ok
+      ? `answered ${result.value.status}`
+      : result.error.kind;
+    expect(outcome).toBe(kind);
+    expect(standIn.executions()).toHaveLength(count);
+    if (fault === undefined && result.ok) {
+      const body = expectedServiceBody('dispatch', 'POST', '/orders', BODY);
+      expect(JSON.parse(result.value.body)).toEqual(body);
+      expect(standIn.executions()[0]).toMatchObject({key: 'order-1'});
+    }
+  },
+);
--- a/test/standins/serviceStandIn.ts
+++ b/test/standins/serviceStandIn.ts
@@ -3,9 +3,13 @@
 import {DisposableOwner} from '../../src/base/common/lifecycle.js';
 import {FaultList} from './faultList.js';
 import {Ledger} from './ledger.js';
-import {controlHandler, seenBy} from './standInControl.js';
+import {controlHandler, readLedgerOffset} from './standInControl.js';
 import {runAsProgram} from './standInMain.js';
-import {StandInAnswer, StandInCall, StandInServer} from './standInServer.js';
+import {
+  StandInResponse,
+  StandInRequest,
+  StandInServer,
+} from './standInServer.js';
 import {sleep} from '../support/sleep.js';
 
 /** Settings of a plain service stand-in; addresses are `IP:port`. */
@@ -14,30 +18,30 @@
   readonly service: string;
   readonly address: string;
   readonly faultAddress: string;
-  /** Time of one call. */
+  /** Execution time of one request. */
   readonly milliseconds?: number;
   readonly ledgerFile?: string;
 }
 
-/** What goes wrong with calls. */
+/** A fault of the service. */
 export type ServiceFault =
-  /** The port is closed. */
+  /** Closes the port. */
   | {readonly kind: 'down'}
-  /** Cut before anything was done. */
+  /** Closes the connection before execution. */
   | {readonly kind: 'requestLost'}
-  /** Done, then cut. */
+  /** Executes, then closes the connection. */
   | {readonly kind: 'answerLost'}
-  /** Done, never answered. */
+  /** Executes, but never responds. */
   | {readonly kind: 'silent'}
-  /** Done at once, answered late. */
+  /** Executes without delay, then delays the response. */
   | {readonly kind: 'late'; readonly milliseconds: number}
-  /** Done late. */
+  /** Delays the execution. */
   | {readonly kind: 'slow'; readonly milliseconds: number}
-  /** Status 503 that says `executed: no`. */
+  /** Status 503 with the header `redwing-executed: no`. */
   | {readonly kind: 'refuse'}
-  /** Status 500 after it was done. */
+  /** Executes, then responds with status 500. */
   | {readonly kind: 'failed'}
-  /** Answered with the id of another request. */
+  /** Executes, then responds with the id of another request. */
   | {readonly kind: 'crossed'};
 
 /** Body of `POST /fault`. */
@@ -46,24 +50,24 @@
   readonly times?: number;
 }
 
-/** One execution. */
+/** A ledger entry: one executed request. */
 export interface ServiceLedgerEntry {
   readonly upstream: string;
   readonly requestId: string;
-  /** The business key: the body's `key`, if it has one. */
+  /** The business key: the string `key` of a JSON body, if any. */
   readonly key: string | undefined;
   readonly method: string;
   readonly path: string;
-  /** Wall milliseconds at which the call came; it was executed later. */
+  /** Wall-clock milliseconds at which the request arrived; it is executed later. */
   readonly receivedAt: number;
 }
 
-const DEFAULT_MILLISECONDS = 2;
-/** Calls at once; more are refused. */
+const DEFAULT_EXECUTION_MILLISECONDS = 2;
+/** Maximum number of concurrent requests; further ones are refused. */
 const CONCURRENCY_LIMIT = 64;
 const REFUSAL_RETRY_MILLISECONDS = 200;
 
-/** One replica of a plain service: it executes every call that it takes and writes it down. */
+/** One replica of a plain service; records each request that it executes in its ledger. */
 export class ServiceStandIn extends DisposableOwner {
   private readonly faults = new FaultList<ServiceFault>();
   private readonly ledger: Ledger<ServiceLedgerEntry>;
@@ -75,14 +79,16 @@
     super();
     this.ledger = this.register(new Ledger(settings.ledgerFile));
     this.server = this.register(
-      new StandInServer(settings.address, call => this.serve(call)),
+      new StandInServer(settings.address, request => this.serve(request)),
     );
     this.faultServer = this.register(
       new StandInServer(
         settings.faultAddress,
         controlHandler({
-          'POST /fault': call => this.setFault(JSON.parse(call.text)),
-          'GET /ledger': call => ({entries: this.executions(seenBy(call))}),
+          'POST /fault': request => this.setFault(JSON.parse(request.text)),
+          'GET /ledger': request => ({
+            entries: this.executions(readLedgerOffset(request)),
+          }),
         }),
       ),
     );
@@ -93,7 +99,7 @@
     await this.faultServer.start();
   }
 
-  /** Puts a fault in force, or ends all. */
+  /** Activates a fault, or clears all. */
   async setFault(command: ServiceFaultCommand): Promise<void> {
     switch (command.fault.kind) {
       case 'clear':
@@ -106,79 +112,81 @@
     }
   }
 
-  /** What it executed. */
+  /** Ledger entries after a sequence number. */
   executions(after = 0): readonly ServiceLedgerEntry[] {
     return this.ledger.after(after);
   }
 
-  private async serve(call: StandInCall): Promise<StandInAnswer> {
+  private async serve(request: StandInRequest): Promise<StandInResponse> {
     const fault = this.faults.strike({});
     if (fault?.kind === 'requestLost') {
-      return {kind: 'cut'};
+      return {kind: 'disconnect'};
     }
     if (fault?.kind === 'refuse' || this.running >= CONCURRENCY_LIMIT) {
-      return refused();
+      return refusedResponse();
     }
     this.running++;
     try {
-      return await this.run(call, fault);
+      return await this.run(request, fault);
     } finally {
       this.running--;
     }
   }
 
   private async run(
-    call: StandInCall,
+    request: StandInRequest,
     fault: ServiceFault | undefined,
-  ): Promise<StandInAnswer> {
-    const requestId = String(call.headers['redwing-request-id'] ?? '');
+  ): Promise<StandInResponse> {
+    const requestId = String(request.headers['redwing-request-id'] ?? '');
     const receivedAt = Date.now();
-    const extra = fault?.kind === 'slow' ? fault.milliseconds : 0;
-    await sleep((this.settings.milliseconds ?? DEFAULT_MILLISECONDS) + extra);
+    const delay = fault?.kind === 'slow' ? fault.milliseconds : 0;
+    await sleep(
+      (this.settings.milliseconds ?? DEFAULT_EXECUTION_MILLISECONDS) + delay,
+    );
     this.ledger.add({
       upstream: this.settings.id,
       requestId,
-      key: keyOf(call.text),
-      method: call.method,
-      path: call.path,
+      key: readBusinessKey(request.text),
+      method: request.method,
+      path: request.path,
       receivedAt,
     });
-    return this.answer(call, requestId, fault);
+    return this.createResponse(request, requestId, fault);
   }
 
-  private async answer(
-    call: StandInCall,
+  private async createResponse(
+    request: StandInRequest,
     requestId: string,
     fault: ServiceFault | undefined,
-  ): Promise<StandInAnswer> {
+  ): Promise<StandInResponse> {
     const body = expectedServiceBody(
       this.settings.service,
-      call.method,
-      call.path,
-      call.text,
+      request.method,
+      request.path,
+      request.text,
     );
     const headers = {'redwing-request-id': requestId};
     switch (fault?.kind) {
       case 'answerLost':
-        return {kind: 'cut'};
+        return {kind: 'disconnect'};
       case 'silent':
-        return {kind: 'silence'};
+        return {kind: 'noResponse'};
       case 'failed':
-        return {kind: 'answer', status: 500, body: {failed: true}, headers};
+        return {kind: 'response', status: 500, body: {failed: true}, headers};
       case 'crossed': {
         const crossed = {'redwing-request-id': `other-than-${requestId}`};
-        return {kind: 'answer', status: 200, body, headers: crossed};
+        return {kind: 'response', status: 200, body, headers: crossed};
       }
       case 'late':
         await sleep(fault.milliseconds);
-        return {kind: 'answer', status: 200, body, headers};
+        return {kind: 'response', status: 200, body, headers};
       default:
-        return {kind: 'answer', status: 200, body, headers};
+        return {kind: 'response', status: 200, body, headers};
     }
   }
 }
 
-/** The right answer of a plain service to a call. */
+/** The correct response body of a plain service to a request. */
 export function expectedServiceBody(
   service: string,
   method: string,
@@ -186,10 +194,10 @@
   body: string,
 ): unknown {
   const digest = createHash('sha256').update(body).digest('hex').slice(0, 16);
-  return {service, method, path, digest, key: keyOf(body)};
+  return {service, method, path, digest, key: readBusinessKey(body)};
 }
 
-function keyOf(body: string): string | undefined {
+function readBusinessKey(body: string): string | undefined {
   try {
     const parsed = JSON.parse(body) as {key?: unknown} | null;
     return typeof parsed?.key === 'string' ? parsed.key : undefined;
@@ -198,9 +206,9 @@
   }
 }
 
-function refused(): StandInAnswer {
+function refusedResponse(): StandInResponse {
   return {
-    kind: 'answer',
+    kind: 'response',
     status: 503,
     body: {error: {kind: 'refused'}},
     headers: {
--- a/test/standins/standInControl.ts
+++ b/test/standins/standInControl.ts
@@ -1,21 +1,21 @@
-import {answerOk, StandInCall, StandInHandler} from './standInServer.js';
+import {okResponse, StandInRequest, StandInHandler} from './standInServer.js';
 
-/** Calls at a fault address by `METHOD /path`; what they give is the body of the answer. */
+/** Handlers of a fault address by `METHOD /path`; each returns the response body. */
 export type ControlRoutes = Readonly<
-  Record<string, (call: StandInCall) => unknown>
+  Record<string, (request: StandInRequest) => unknown>
 >;
 
-/** Serves the fault address of a stand-in; other paths than these are answered with 404. */
+/** Serves the fault address of a stand-in; responds to unknown paths with status 404. */
 export function controlHandler(routes: ControlRoutes): StandInHandler {
-  return async call => {
-    const route = routes[`${call.method} ${call.path}`];
+  return async request => {
+    const route = routes[`${request.method} ${request.path}`];
     return route === undefined
-      ? {kind: 'answer', status: 404, body: {}}
-      : answerOk((await route(call)) ?? {});
+      ? {kind: 'response', status: 404, body: {}}
+      : okResponse((await route(request)) ?? {});
   };
 }
 
-/** The sequence number that a reader of a ledger has seen already. */
-export function seenBy(call: StandInCall): number {
-  return Number(call.query.get('after') ?? 0);
+/** The sequence number up to which a reader already has the ledger. */
+export function readLedgerOffset(request: StandInRequest): number {
+  return Number(request.query.get('after') ?? 0);
 }
--- a/test/standins/standInMain.ts
+++ b/test/standins/standInMain.ts
@@ -3,7 +3,7 @@
 
 import {Disposable} from '../../src/base/common/lifecycle.js';
 
-/** Starts a stand-in when its module is the program, with the settings file named on the command line. */
+/** Starts a stand-in with the settings file named on the command line, if its module is the main program. */
 export async function runAsProgram<Settings>(
   moduleUrl: string,
   start: (settings: Settings) => Promise<Disposable>,
--- a/test/standins/standInServer.ts
+++ b/test/standins/standInServer.ts
@@ -7,50 +7,49 @@
 const BODY_LIMIT_BYTES = 16 * 1024 * 1024;
 const KEEP_ALIVE_MILLISECONDS = 60_000;
 
-/** A call as the stand-ins see it. */
-export interface StandInCall {
+/** A request to a stand-in, with its whole body. */
+export interface StandInRequest {
   readonly method: string;
   readonly path: string;
   readonly query: URLSearchParams;
   readonly headers: IncomingMessage['headers'];
   readonly text: string;
   readonly socket: Socket;
-  /** Fires when the caller goes away. */
-  onDidGo(listener: () => void): void;
+  /** Calls the listener when the connection closes or the response is complete. */
+  onDidDisconnect(listener: () => void): void;
 }
 
-/** An answer, or the connection cut, or no answer ever. */
-export type StandInAnswer =
+/** A response, a closed connection, or no response at all. */
+export type StandInResponse =
   | {
-      readonly kind: 'answer';
+      readonly kind: 'response';
       readonly status: number;
       readonly body: unknown;
       readonly headers?: Readonly<Record<string, string>>;
-      /** Bytes of the same answer are sent again before the next one on the connection. */
-      readonly twice?: boolean;
+      /** Whether to send the same bytes again before the next response on the connection. */
+      readonly sendTwice?: boolean;
     }
-  | {readonly kind: 'cut'}
-  | {readonly kind: 'silence'};
+  | {readonly kind: 'disconnect'}
+  | {readonly kind: 'noResponse'};
 
-/** Handles one call. */
-export type StandInHandler = (call: StandInCall) => Promise<StandInAnswer>;
+export type StandInHandler = (call: StandInRequest) => Promise<StandInResponse>;
 
-/** An answer with status 200. */
-export function answerOk(body: unknown): StandInAnswer {
-  return {kind: 'answer', status: 200, body};
+/** A response with status 200. */
+export function okResponse(body: unknown): StandInResponse {
+  return {kind: 'response', status: 200, body};
 }
 
-/** A small HTTP server of a stand-in; it can stop and start again at the same address. */
+/** The HTTP server of a stand-in; can stop and start again at the same address. */
 export class StandInServer implements Disposable {
   private server: Server | undefined;
-  private readonly strayAnswers = new WeakMap<Socket, string>();
+  private readonly duplicateResponses = new WeakMap<Socket, string>();
 
   constructor(
     readonly address: string,
     private readonly handler: StandInHandler,
   ) {}
 
-  /** Listens; does nothing when it listens already. */
+  /** Starts to listen; does nothing when already listening. */
   async start(): Promise<void> {
     if (this.server !== undefined) {
       return;
@@ -67,7 +66,7 @@
     });
   }
 
-  /** Closes the port and cuts all connections. */
+  /** Closes the port and all connections. */
   stop(): void {
     this.server?.close();
     this.server?.closeAllConnections();
@@ -82,49 +81,55 @@
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.sendStrayAnswer(request.socket);
+    this.sendDuplicateResponse(request.socket);
     try {
       const text = await readText(request);
-      const answer = await this.handler(toCall(request, response, text));
-      this.send(request.socket, response, answer);
+      const reply = await this.handler(
+        toStandInRequest(request, response, text),
+      );
+      this.send(request.socket, response, reply);
     } catch (error) {
       const detail = error instanceof Error ? error.message : 'failed';
       const body = {error: {kind: 'failed', detail}};
-      this.send(request.socket, response, {kind: 'answer', status: 500, body});
+      this.send(request.socket, response, {
+        kind: 'response',
+        status: 500,
+        body,
+      });
     }
   }
 
   private send(
     socket: Socket,
     response: ServerResponse,
-    answer: StandInAnswer,
+    reply: StandInResponse,
   ): void {
-    if (answer.kind === 'silence') {
+    if (reply.kind === 'noResponse') {
       return;
     }
-    if (answer.kind === 'cut') {
+    if (reply.kind === 'disconnect') {
       socket.destroy();
       return;
     }
-    const body = Buffer.from(JSON.stringify(answer.body));
-    response.writeHead(answer.status, {
+    const body = Buffer.from(JSON.stringify(reply.body));
+    response.writeHead(reply.status, {
       'content-type': 'application/json',
       'content-length': String(body.length),
-      ...answer.headers,
+      ...reply.headers,
     });
     response.end(body);
-    if (answer.twice === true) {
-      const head = `HTTP/1.1 ${answer.status} OK\r\ncontent-type: application/json`;
+    if (reply.sendTwice === true) {
+      const head = `HTTP/1.1 ${reply.status} OK\r\ncontent-type: application/json`;
       const raw = `${head}\r\ncontent-length: ${body.length}\r\n\r\n${body.toString()}`;
-      this.strayAnswers.set(socket, raw);
+      this.duplicateResponses.set(socket, raw);
     }
   }
 
-  private sendStrayAnswer(socket: Socket): void {
-    const stray = this.strayAnswers.get(socket);
-    if (stray !== undefined) {
-      this.strayAnswers.delete(socket);
-      socket.write(stray);
+  private sendDuplicateResponse(socket: Socket): void {
+    const duplicate = this.duplicateResponses.get(socket);
+    if (duplicate !== undefined) {
+      this.duplicateResponses.delete(socket);
+      socket.write(duplicate);
     }
   }
 }
@@ -143,11 +148,11 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-function toCall(
+function toStandInRequest(
   request: IncomingMessage,
   response: ServerResponse,
   text: string,
-): StandInCall {
+): StandInRequest {
   const url = new URL(request.url ?? '/', 'http://stand-in');
   return {
     method: request.method ?? 'GET',
@@ -156,6 +161,6 @@
     headers: request.headers,
     text,
     socket: request.socket,
-    onDidGo: listener => void response.once('close', listener),
+    onDidDisconnect: listener => void response.once('close', listener),
   };
 }
--- a/test/standins/stepComputation.ts
+++ b/test/standins/stepComputation.ts
@@ -15,16 +15,16 @@
 } from './referenceModel.js';
 import {Sequence} from './sequences.js';
 
-/** What steps compute, apart from when and where. */
+/** The computation of a step, without scheduling and timing. */
 
-const KEY_WORD = '[key:';
+const BUSINESS_KEY_PREFIX = '[key:';
 
-/** Carries out a step on its sequence's caches. */
-export function compute(step: StepRequest, sequence: Sequence): StepOutput {
+/** Computes the output of a step; updates the KV caches of its sequence. */
+export function computeStep(step: StepRequest, sequence: Sequence): StepOutput {
   const {layers, positions} = step;
   let hashes: readonly number[] = inputHashes(step) ?? [];
   for (let layer = layers.from; layer < layers.to; layer++) {
-    const cache = sequence.cacheOf(layer);
+    const cache = sequence.getOrCreateCache(layer);
     hashes = applyLayer(layer, cache, positions.from, hashes);
   }
   const remaining = remainingAfter(step, sequence);
@@ -44,15 +44,15 @@
   }
   const {tokens, plan} = sequence;
   tokens.splice(positions.from, tokens.length, ...input.tokens);
-  const planHolds =
+  const isPlanValid =
     plan !== undefined &&
     positions.from >= plan.promptLength &&
     input.tokens.every(isReplyToken);
-  sequence.plan = planHolds ? plan : planReply(tokens);
+  sequence.plan = isPlanValid ? plan : planReply(tokens);
   return remainingTokens(sequence.plan, positions.to);
 }
 
-/** The hashes that a step starts from; undefined when its input doesn't fit it. */
+/** The hashes that enter the first layer of a step; undefined when the input does not match its layers or positions. */
 export function inputHashes(step: StepRequest): readonly number[] | undefined {
   const {input, positions} = step;
   const count = positions.to - positions.from;
@@ -66,14 +66,14 @@
   return input.tokens.length === count ? input.tokens.map(embed) : undefined;
 }
 
-/** Whether a step reads a prompt rather than making the next token. */
+/** Whether a step is prefill rather than decode. */
 export function isPrefill(step: StepRequest): boolean {
   const {from, to} = step.positions;
   return from === 0 || to - from > 1;
 }
 
-/** Whether an engine of a role takes a step; rebuilding is open to all. */
-export function roleFits(
+/** Whether an engine of a role runs a step; engines of all roles run rebuild steps. */
+export function roleAccepts(
   role: EngineSettings['role'],
   step: StepRequest,
 ): boolean {
@@ -83,7 +83,7 @@
   return (role === 'prefill') === isPrefill(step);
 }
 
-/** What the ledger says of a step. */
+/** The fields of a step that are recorded in the ledger. */
 export function ledgerFields(step: StepRequest) {
   const {requestId, epoch, layers, positions, rebuild, version} = step;
   const key = businessKey(step);
@@ -94,6 +94,8 @@
   if (step.input.kind !== 'tokens') {
     return undefined;
   }
-  const word = step.input.tokens.find(token => token.startsWith(KEY_WORD));
-  return word?.slice(KEY_WORD.length, -1);
+  const word = step.input.tokens.find(token =>
+    token.startsWith(BUSINESS_KEY_PREFIX),
+  );
+  return word?.slice(BUSINESS_KEY_PREFIX.length, -1);
 }
