--- a/test/standins/engine.ts
+++ b/test/standins/engine.ts
@@ -289,7 +289,7 @@
     if (step.positions.from > coveredTo) {
       return {kind: 'cacheMissing', coveredTo};
     }
-    if (sequence === undefined && this.slots.isFull) {
+    if (sequence === undefined && this.slots.isQueueFull) {
       return overloaded();
     }
     return undefined;
--- a/test/standins/engineStandIn.ts
+++ b/test/standins/engineStandIn.ts
@@ -229,7 +229,7 @@
     receipt: StepReceipt,
     fault: StepFault | undefined,
   ): Promise<StandInResponse> {
-    const earlier = this.lastReceipt;
+    const previousReceipt = this.lastReceipt;
     this.lastReceipt = receipt;
     // Runs after the response has been handed to the socket.
     setImmediate(() => this.dieAtPoint('answered'));
@@ -240,7 +240,7 @@
         await sleep(fault.milliseconds);
         return okResponse(receipt);
       case 'crossed':
-        return okResponse(receiptOfOtherRequest(receipt, earlier));
+        return okResponse(receiptOfOtherRequest(receipt, previousReceipt));
       case 'twice':
         return {kind: 'response', status: 200, body: receipt, sendTwice: true};
       default:
@@ -362,10 +362,13 @@
 
 function receiptOfOtherRequest(
   receipt: StepReceipt,
-  earlier: StepReceipt | undefined,
+  previousReceipt: StepReceipt | undefined,
 ): StepReceipt {
-  if (earlier !== undefined && earlier.requestId !== receipt.requestId) {
-    return earlier;
+  if (
+    previousReceipt !== undefined &&
+    previousReceipt.requestId !== receipt.requestId
+  ) {
+    return previousReceipt;
   }
   return {...receipt, requestId: `other-than-${receipt.requestId}`};
 }
--- a/test/standins/fleet/rowStore.ts
+++ b/test/standins/fleet/rowStore.ts
@@ -42,7 +42,7 @@
 export class RowStore implements Disposable {
   private readonly rows = new Map<string, Row>();
   private readonly history: Row[] = [];
-  private readonly waiting = new Set<() => void>();
+  private readonly changeListeners = new Set<() => void>();
   private readonly server: StandInServer;
   private version = 0;
   private forgottenVersion = 0;
@@ -73,14 +73,14 @@
       Value: text,
       Ver: this.version,
     });
-    this.notifyWaiters();
+    this.notifyListeners();
   }
 
   /** Deletes a row on behalf of the operator or a replica. */
   remove(table: string, key: string): void {
     this.version++;
     this.deleteRow(table, '', key);
-    this.notifyWaiters();
+    this.notifyListeners();
   }
 
   /** Sorted keys of a table. */
@@ -174,7 +174,7 @@
     return new Promise(resolve => {
       const finish = (): void => {
         clearTimeout(timer);
-        this.waiting.delete(check);
+        this.changeListeners.delete(check);
         resolve();
       };
       const check = (): void => {
@@ -183,7 +183,7 @@
         }
       };
       const timer = setTimeout(finish, milliseconds);
-      this.waiting.add(check);
+      this.changeListeners.add(check);
       onDidDisconnect(finish);
     });
   }
@@ -208,7 +208,7 @@
     for (const {Table, part = '', Key} of change.Deletes ?? []) {
       this.deleteRow(Table, part, Key);
     }
-    this.notifyWaiters();
+    this.notifyListeners();
     return this.createOkResponse({});
   }
 
@@ -237,8 +237,8 @@
     });
   }
 
-  private notifyWaiters(): void {
-    for (const check of [...this.waiting]) {
+  private notifyListeners(): void {
+    for (const check of [...this.changeListeners]) {
       check();
     }
   }
--- a/test/standins/prefixCache.ts
+++ b/test/standins/prefixCache.ts
@@ -4,7 +4,7 @@
   readonly prefixKey: string;
 }
 
-/** LRU cache of prompt prefixes. Reports list its keys with a delay, as real engines do. */
+/** LRU cache of prompt prefixes. Reports list its keys with a delay. */
 export class PrefixCache {
   private readonly inputs = new Map<string, string>();
   private readonly reported = new Set<string>();
--- a/test/standins/sequences.ts
+++ b/test/standins/sequences.ts
@@ -2,7 +2,7 @@
 import {LayerCache, ReplyPlan} from './referenceModel.js';
 
 /** Maximum number of steps waiting for a slot; further ones are refused as overloaded. */
-const WAITING_LIMIT = 1000;
+const WAITER_LIMIT = 1000;
 
 /** The KV cache of a request; occupies one of the engine's slots. */
 export class Sequence {
@@ -80,8 +80,8 @@
     return new Set(this.waiters.map(waiter => waiter.requestId)).size;
   }
 
-  get isFull(): boolean {
-    return this.waiters.length >= WAITING_LIMIT;
+  get isQueueFull(): boolean {
+    return this.waiters.length >= WAITER_LIMIT;
   }
 
   get(requestId: string): Sequence | undefined {
@@ -103,7 +103,7 @@
       onDidDisconnect(() =>
         this.stopWaiting(candidate => candidate === waiter),
       );
-      this.admit();
+      this.admitWaiters();
     });
   }
 
@@ -125,10 +125,10 @@
       return;
     }
     this.resident.delete(requestId);
-    this.admit();
+    this.admitWaiters();
   }
 
-  /** Frees sequences that are idle since before `before` (monotonic milliseconds). */
+  /** Frees sequences last used before a time (monotonic milliseconds). */
   freeIdle(before: number): void {
     for (const sequence of [...this.resident.values()]) {
       if (sequence.runningSteps === 0 && sequence.lastUsed < before) {
@@ -149,7 +149,7 @@
     stopped.forEach(waiter => waiter.settle(undefined));
   }
 
-  private admit(): void {
+  private admitWaiters(): void {
     for (let next = this.findNextWaiter(); next; next = this.findNextWaiter()) {
       const admitted = next;
       this.waiters = this.waiters.filter(waiter => waiter !== admitted);
--- a/test/standins/standInServer.ts
+++ b/test/standins/standInServer.ts
@@ -32,7 +32,9 @@
   | {readonly kind: 'disconnect'}
   | {readonly kind: 'noResponse'};
 
-export type StandInHandler = (call: StandInRequest) => Promise<StandInResponse>;
+export type StandInHandler = (
+  request: StandInRequest,
+) => Promise<StandInResponse>;
 
 /** A response with status 200. */
 export function okResponse(body: unknown): StandInResponse {
