--- a/test/support/exampleSystem.ts
+++ b/test/support/exampleSystem.ts
@@ -2,7 +2,7 @@
 import {hashKey} from './launcher.js';
 import {SystemOptions} from './systemOptions.js';
 
-/** The system that the demo and the golden sessions run on: two client accounts, a model, two plain services. */
+/** The example system of the demo and the golden sessions: two client accounts, one model and two plain services. */
 
 /** A client account and its bearer key. */
 export interface ExampleAccount {
@@ -10,13 +10,13 @@
   readonly bearerKey: string;
 }
 
-/** The accounts by the name that sessions use. */
+/** Client accounts, keyed by the name that the sessions refer to. */
 export const exampleAccounts = {
   concrete: {name: 'concrete-orders', bearerKey: 'concrete-orders-example'},
   pellets: {name: 'pellet-orders', bearerKey: 'pellet-orders-example'},
 } as const satisfies Readonly<Record<string, ExampleAccount>>;
 
-/** Two instances in two data centres, three replicas of three stages. */
+/** Two instances in two data centres; three model replicas with three stages each. */
 export const exampleOptions: Partial<SystemOptions> = {
   instances: 2,
   dataCentres: [
@@ -41,8 +41,8 @@
 };
 
 /**
- * Classes, accounts, the model and the services. Targets are wide, so that what is answered does not
- * depend on how fast the machine is.
+ * Configuration of the request classes, client accounts, model and services. Latency targets are generous so that
+ * responses do not depend on the speed of the machine.
  */
 export const exampleOperations: readonly ConfigurationOperation[] = [
   {
--- a/test/support/fakeClock.ts
+++ b/test/support/fakeClock.ts
@@ -7,7 +7,7 @@
   readonly callback: () => void;
 }
 
-/** A clock that moves only when told to; timers run in order of their due time. */
+/** A clock that advances only on request and runs timers in order of due time. */
 export class FakeClock extends Clock {
   private readonly timers = new Set<PendingTimer>();
   private now = 0;
@@ -36,44 +36,44 @@
     return toDisposable(() => this.timers.delete(timer));
   }
 
-  /** Timers that wait. */
+  /** Number of timers that have not run yet. */
   get pendingTimers(): number {
     return this.timers.size;
   }
 
-  /** Moves the wall clock alone, as an operator or a time service would. */
+  /** Shifts the wall clock but not the monotonic clock, as a manual or NTP adjustment does. */
   shiftWall(milliseconds: number): void {
     this.wallOffset += milliseconds;
   }
 
-  /** Moves time on; promises between timers are not awaited. */
+  /** Advances time and runs due timers without yielding to promise callbacks between them. */
   advance(milliseconds: number): void {
     const end = this.now + milliseconds;
-    while (this.runNext(end)) {
-      // Each pass runs one timer.
+    while (this.runNextTimer(end)) {
+      // Each iteration runs one timer.
     }
     this.now = end;
   }
 
-  /** Moves time on and lets promise callbacks run after each timer. */
+  /** Advances time and lets promise callbacks run after each timer. */
   async advanceAsync(milliseconds: number): Promise<void> {
     const end = this.now + milliseconds;
     await settle();
-    while (this.runNext(end)) {
+    while (this.runNextTimer(end)) {
       await settle();
     }
     this.now = end;
     await settle();
   }
 
-  /** Makes the process look paused: time passes and all due timers run only afterwards. */
+  /** Simulates a suspended process: time passes first, and all due timers run late, at the end. */
   pause(milliseconds: number): void {
     this.now += milliseconds;
     this.advance(0);
   }
 
-  private runNext(end: number): boolean {
-    const timer = this.earliest();
+  private runNextTimer(end: number): boolean {
+    const timer = this.earliestTimer();
     if (timer === undefined || timer.dueAt > end) {
       return false;
     }
@@ -83,10 +83,10 @@
     return true;
   }
 
-  private earliest(): PendingTimer | undefined {
+  private earliestTimer(): PendingTimer | undefined {
     let found: PendingTimer | undefined;
     for (const timer of this.timers) {
-      if (found === undefined || isBefore(timer, found)) {
+      if (found === undefined || isDueBefore(timer, found)) {
         found = timer;
       }
     }
@@ -94,14 +94,14 @@
   }
 }
 
-function isBefore(left: PendingTimer, right: PendingTimer): boolean {
+function isDueBefore(left: PendingTimer, right: PendingTimer): boolean {
   if (left.dueAt !== right.dueAt) {
     return left.dueAt < right.dueAt;
   }
   return left.sequence < right.sequence;
 }
 
-/** Lets promise callbacks and immediates that are ready run. */
+/** Yields until pending promise callbacks and already queued immediates have run. */
 export function settle(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/test/support/inMemoryPlatform.ts
+++ b/test/support/inMemoryPlatform.ts
@@ -27,42 +27,42 @@
 import {FaultList} from '../standins/faultList.js';
 import {TableRows} from './tableRows.js';
 
-/** In-memory stand-ins of the platform's services, for unit tests; several instances share one. */
+/** In-memory fakes of the platform services for unit tests; several instances can share one platform. */
 
-/** The services that fail apart. */
+/** The platform services, which can fail independently. */
 export type PlatformPart = 'table' | 'objects' | 'membership' | 'weights';
 
-/** What goes wrong with a call. */
+/** A fault to inject into a call. */
 export type PlatformFault =
-  /** Refused before sending: `unavailable`. */
+  /** The call fails before it is sent, with `unavailable`. */
   | {readonly kind: 'down'}
-  /** Takes effect only after the delay, also when the caller gave up before. */
+  /** The call takes effect after the delay, even if the caller has cancelled it by then. */
   | {readonly kind: 'slow'; readonly milliseconds: number}
-  /** Takes effect, then `outcomeUnknown`. */
+  /** The call takes effect but fails with `outcomeUnknown`. */
   | {readonly kind: 'answerLost'}
-  /** `outcomeUnknown` without effect. */
+  /** The call fails with `outcomeUnknown` and has no effect. */
   | {readonly kind: 'requestLost'}
   | {readonly kind: 'rateLimited'; readonly retryAfterMilliseconds: number};
 
-/** Where a fault applies. */
+/** The calls to which a fault applies. */
 export interface FaultScope {
-  /** All parts when undefined. */
+  /** All services when undefined. */
   readonly part?: PlatformPart;
   /** All instances when undefined. */
   readonly instance?: string;
   /** Only writes or only reads; both when undefined. */
   readonly access?: 'read' | 'write';
-  /** Calls that it still strikes; without limit when undefined. */
+  /** Number of matching calls that the fault affects; unlimited when undefined. */
   readonly times?: number;
 }
 
-type PlatformSite = {
+type PlatformCall = {
   readonly part: PlatformPart;
   readonly instance: string;
   readonly access: 'read' | 'write';
 };
 
-/** The ports of one instance. */
+/** The platform services as one instance sees them. */
 export interface PlatformPorts {
   readonly table: TableService;
   readonly objects: ObjectStore;
@@ -70,19 +70,19 @@
   readonly weights: WeightStore;
 }
 
-/** The shared state, its faults and the ports of each instance. */
+/** The state that instances share, the faults injected into it and the services of each instance. */
 export class InMemoryPlatform {
   readonly rows = new TableRows();
   readonly objects = new Map<string, string>();
   readonly manifests: WeightManifest[] = [];
   members: readonly Member[] = [];
-  /** Calls that took effect. */
+  /** Number of calls that took effect. */
   readonly counts = {reads: 0, writes: 0};
   private readonly faults = new FaultList<PlatformFault>();
 
   constructor(private readonly clock: Clock = new SystemClock()) {}
 
-  /** Ports over the shared state; the name decides which faults strike. */
+  /** Services over the shared state for one instance; its name selects the faults that apply. */
   portsOf(instance = 'instance'): PlatformPorts {
     return {
       table: new InMemoryTable(this, instance),
@@ -92,66 +92,66 @@
     };
   }
 
-  /** Adds a fault; the first that matches a call strikes. */
+  /** Adds a fault. If several faults match a call, the one added first applies. */
   addFault(fault: PlatformFault, scope: FaultScope = {}): void {
-    const {times, ...site} = scope;
-    this.faults.add(fault, site, times);
+    const {times, ...matchedCalls} = scope;
+    this.faults.add(fault, matchedCalls, times);
   }
 
-  /** Ends all faults, or those of one part. */
+  /** Removes all faults, or those of one service only. */
   clearFaults(part?: PlatformPart): void {
     this.faults.clear(part === undefined ? {} : {part});
   }
 
-  /** Runs a call under the faults that strike it. */
+  /** Runs a call, subject to the first fault that matches it. */
   async run<T>(
-    site: PlatformSite,
+    call: PlatformCall,
     token: CancellationToken,
     effect: () => T,
   ): Promise<Result<T, StorageError>> {
     if (token.isCancelled) {
       return failure({kind: 'unavailable', detail: 'cancelled before sending'});
     }
-    const fault = this.faults.strike(site);
-    const counted = (): T => {
-      this.count(site.access);
+    const fault = this.faults.strike(call);
+    const countAndApply = (): T => {
+      this.countCall(call.access);
       return effect();
     };
     switch (fault?.kind) {
       case undefined:
         await Promise.resolve();
-        return success(counted());
+        return success(countAndApply());
       case 'down':
-        return failure({kind: 'unavailable', detail: `${site.part} is down`});
+        return failure({kind: 'unavailable', detail: `${call.part} is down`});
       case 'rateLimited':
         return failure(fault);
       case 'requestLost':
         return failure({kind: 'outcomeUnknown', detail: 'request lost'});
       case 'answerLost':
-        counted();
-        return failure({kind: 'outcomeUnknown', detail: 'answer lost'});
+        countAndApply();
+        return failure({kind: 'outcomeUnknown', detail: 'response lost'});
       case 'slow':
-        return this.runSlowly(fault.milliseconds, token, counted);
+        return this.runDelayed(fault.milliseconds, token, countAndApply);
     }
   }
 
-  private runSlowly<T>(
+  private runDelayed<T>(
     milliseconds: number,
     token: CancellationToken,
     effect: () => T,
   ): Promise<Result<T, StorageError>> {
     return new Promise(resolve => {
-      const cancelled = token.onDidCancel(() =>
+      const cancelListener = token.onDidCancel(() =>
         resolve(failure({kind: 'outcomeUnknown', detail: 'cancelled'})),
       );
       this.clock.setTimer(milliseconds, () => {
-        cancelled.dispose();
+        cancelListener.dispose();
         resolve(success(effect()));
       });
     });
   }
 
-  private count(access: 'read' | 'write'): void {
+  private countCall(access: 'read' | 'write'): void {
     if (access === 'read') {
       this.counts.reads++;
     } else {
@@ -160,7 +160,7 @@
   }
 }
 
-/** The table port of one instance. */
+/** The transactional table as one instance sees it. */
 class InMemoryTable extends TableService {
   constructor(
     private readonly platform: InMemoryPlatform,
@@ -173,7 +173,7 @@
     keys: readonly string[],
     token: CancellationToken = neverCancelled,
   ): Promise<Result<ReadonlyArray<TableRow | undefined>, StorageError>> {
-    return this.platform.run(this.site('read'), token, () =>
+    return this.platform.run(this.describeCall('read'), token, () =>
       this.platform.rows.read(keys),
     );
   }
@@ -184,7 +184,7 @@
     limit: number,
     token: CancellationToken = neverCancelled,
   ): Promise<Result<readonly TableRow[], StorageError>> {
-    return this.platform.run(this.site('read'), token, () =>
+    return this.platform.run(this.describeCall('read'), token, () =>
       this.platform.rows.scan(prefix, after, limit),
     );
   }
@@ -195,17 +195,17 @@
     token: CancellationToken = neverCancelled,
   ): Promise<Result<readonly WriteOutcome[], StorageError>> {
     checkTransaction(writes);
-    return this.platform.run(this.site('write'), token, () =>
+    return this.platform.run(this.describeCall('write'), token, () =>
       this.platform.rows.transact(writes, mode),
     );
   }
 
-  private site(access: 'read' | 'write'): PlatformSite {
+  private describeCall(access: 'read' | 'write'): PlatformCall {
     return {part: 'table', instance: this.instance, access};
   }
 }
 
-/** The object store port of one instance. */
+/** The object store as one instance sees it. */
 class InMemoryObjects extends ObjectStore {
   constructor(
     private readonly platform: InMemoryPlatform,
@@ -218,7 +218,7 @@
     name: string,
     token: CancellationToken = neverCancelled,
   ): Promise<Result<string | undefined, StorageError>> {
-    return this.platform.run(this.site('read'), token, () =>
+    return this.platform.run(this.describeCall('read'), token, () =>
       this.platform.objects.get(name),
     );
   }
@@ -228,7 +228,7 @@
     body: string,
     token: CancellationToken = neverCancelled,
   ): Promise<Result<void, StorageError>> {
-    return this.platform.run(this.site('write'), token, () => {
+    return this.platform.run(this.describeCall('write'), token, () => {
       this.platform.objects.set(name, body);
     });
   }
@@ -237,7 +237,7 @@
     prefix: string,
     token: CancellationToken = neverCancelled,
   ): Promise<Result<readonly string[], StorageError>> {
-    return this.platform.run(this.site('read'), token, () =>
+    return this.platform.run(this.describeCall('read'), token, () =>
       [...this.platform.objects.keys()]
         .filter(name => name.startsWith(prefix))
         .sort(),
@@ -248,17 +248,17 @@
     name: string,
     token: CancellationToken = neverCancelled,
   ): Promise<Result<void, StorageError>> {
-    return this.platform.run(this.site('write'), token, () => {
+    return this.platform.run(this.describeCall('write'), token, () => {
       this.platform.objects.delete(name);
     });
   }
 
-  private site(access: 'read' | 'write'): PlatformSite {
+  private describeCall(access: 'read' | 'write'): PlatformCall {
     return {part: 'objects', instance: this.instance, access};
   }
 }
 
-/** The membership port of one instance. */
+/** The membership list as one instance sees it. */
 class InMemoryMembership extends MembershipList {
   constructor(
     private readonly platform: InMemoryPlatform,
@@ -270,18 +270,18 @@
   override read(
     token: CancellationToken = neverCancelled,
   ): Promise<Result<MembershipSnapshot, StorageError>> {
-    const site: PlatformSite = {
+    const call: PlatformCall = {
       part: 'membership',
       instance: this.instance,
       access: 'read',
     };
-    return this.platform.run(site, token, () => ({
+    return this.platform.run(call, token, () => ({
       members: this.platform.members,
     }));
   }
 }
 
-/** The weight store port of one instance. */
+/** The weight store as one instance sees it. */
 class InMemoryWeights extends WeightStore {
   constructor(
     private readonly platform: InMemoryPlatform,
@@ -295,12 +295,12 @@
     version: string,
     token: CancellationToken = neverCancelled,
   ): Promise<Result<WeightManifest | undefined, StorageError>> {
-    const site: PlatformSite = {
+    const call: PlatformCall = {
       part: 'weights',
       instance: this.instance,
       access: 'read',
     };
-    return this.platform.run(site, token, () =>
+    return this.platform.run(call, token, () =>
       this.platform.manifests.find(
         manifest => manifest.model === model && manifest.version === version,
       ),
--- a/test/support/launcher.test.ts
+++ b/test/support/launcher.test.ts
@@ -20,7 +20,7 @@
   system = undefined;
 });
 
-it('spreads stand-ins over data centres and lists them', async () => {
+it('distributes stand-ins over data centres and registers them in the membership list', async () => {
   system = await LaunchedSystem.launch({
     instances: 0,
     dataCentres: [
@@ -37,10 +37,10 @@
   const list = new HttpMembershipList(address, 'test');
   const snapshot = await list.read(neverCancelled);
   list.dispose();
-  const places = snapshot.ok
+  const listedMembers = snapshot.ok
     ? snapshot.value.members.map(member => `${member.id} ${member.dataCentre}`)
     : [];
-  expect(places).toEqual([
+  expect(listedMembers).toEqual([
     'engine-0-0 west-1',
     'engine-0-1 west-1',
     'engine-1-0 west-2',
@@ -69,7 +69,7 @@
   ]);
 });
 
-it('kills and restarts one engine; its ledger outlives it', async () => {
+it('keeps the ledger of an engine that is killed and restarted', async () => {
   system = await LaunchedSystem.launch({
     instances: 0,
     replicas: 1,
@@ -103,7 +103,7 @@
   expect(ledger).toMatchObject([{kind: 'cancelled', epoch: 3}]);
 });
 
-it('starts instances that serve a model, and stops one as planned', async () => {
+it('starts instances that serve a model and shuts one down gracefully', async () => {
   const operations: readonly ConfigurationOperation[] = [
     {
       kind: 'setModel',
@@ -132,28 +132,28 @@
   const [first, second] = system.instances;
   const content = '[reply:6] pour twelve metres';
   const url = `http://${first!.member.callerAddress}/v1/chat/completions`;
-  const answer = await callJson(
+  const response = await callJson(
     'POST',
     url,
     {model: 'assistant', messages: [{role: 'user', content}], max_tokens: 20},
     {authorization: 'Bearer site-key', 'redwing-class': 'quote'},
   );
-  expect(answer.status).toBe(200);
+  expect(response.status).toBe(200);
   const ledgers = await Promise.all(
     system.engines.map(engine => engine.ledger()),
   );
-  const made = ledgers
+  const generatedTokens = ledgers
     .flat()
     .flatMap(entry => (entry.kind === 'completed' ? (entry.token ?? []) : []));
-  const text = JSON.stringify(answer.body);
-  expect(made).toHaveLength(6);
-  expect(text).toContain(made.join(' '));
+  const text = JSON.stringify(response.body);
+  expect(generatedTokens).toHaveLength(6);
+  expect(text).toContain(generatedTokens.join(' '));
   expect(await system.stopInstance(second!)).toEqual([0, 0]);
   await first!.entry.kill();
   expect(await first!.isReady()).toBe(false);
 });
 
-it('leaves no process behind when its own process is killed', async () => {
+it('leaves no child process or directory behind when the launching process is killed', async () => {
   const launcher = join(repositoryRoot(), 'dist/test/support/launcher.js');
   const script = `
     import {LaunchedSystem} from ${JSON.stringify(launcher)};
@@ -177,7 +177,7 @@
   await expect.poll(() => existsSync(directory)).toBe(false);
 });
 
-/** A process that has ended and waits to be reaped has the state Z. */
+/** Whether a process runs; a zombie (state Z), which has exited but is not reaped yet, does not. */
 function isRunning(pid: number): boolean {
   try {
     const state = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1];
--- a/test/support/launcher.ts
+++ b/test/support/launcher.ts
@@ -44,19 +44,22 @@
 } from './systemSettings.js';
 import {sleep} from './sleep.js';
 
-const READY_MILLISECONDS = 20_000;
-const POLL_MILLISECONDS = 50;
-const OPERATOR = 'operator-1';
+const READY_TIMEOUT_MILLISECONDS = 20_000;
+const POLL_INTERVAL_MILLISECONDS = 50;
+const OPERATOR_NAME = 'operator-1';
 
-/** Hex SHA-256 of a key, as configurations and settings hold it. */
+/** SHA-256 of a key in hexadecimal, the form that configurations and settings store. */
 export function hashKey(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
-/** Stand-ins and programs as child processes on loopback, for tests, the demo and measures. */
+/**
+ * A system of stand-ins and router programs that run as child processes on loopback, for tests, the demo and
+ * benchmarks.
+ */
 export class LaunchedSystem {
   readonly options: SystemOptions;
-  /** Settings, logs and ledgers. */
+  /** Temporary directory of the settings, logs and ledgers. */
   readonly directory = mkdtempSync(join(tmpdir(), 'redwing-'));
   readonly operatorKey = randomBytes(16).toString('hex');
   private readonly peerKey = randomBytes(16).toString('hex');
@@ -67,7 +70,7 @@
   private instanceList: readonly InstanceHandle[] = [];
   private platformHandle: PlatformHandle | undefined;
   private platformAddresses: PlatformSettings | undefined;
-  private instanceNumber = 0;
+  private nextInstanceNumber = 0;
 
   private constructor(options: Partial<SystemOptions>) {
     this.options = {...defaultSystemOptions, ...options};
@@ -75,22 +78,22 @@
   }
 
   /**
-   * Starts everything, applies the operations and waits until all instances take work. Without
-   * operations there is nothing to serve: configure with `administer`, then `awaitReady`.
-   * After a failure everything started is ended.
+   * Starts all programs, applies the configuration operations and waits until all instances are ready.
+   * Without operations, the instances have nothing to serve and are not waited for: the caller then configures
+   * the system and waits for readiness. If the launch fails, all started programs are killed.
    */
   static async launch(
     options: Partial<SystemOptions> = {},
     operations: readonly ConfigurationOperation[] = [],
   ): Promise<LaunchedSystem> {
-    // Before anything is made that would have to be removed again.
+    // Checked before anything is created that would need cleanup.
     requireBuild();
     const system = new LaunchedSystem(options);
     try {
       await system.start(operations);
       return system;
     } catch (error) {
-      const logs = system.tailOfLogs();
+      const logs = system.logTails();
       await system.dispose();
       throw new Error(`${String(error)}\n${logs}`);
     }
@@ -98,15 +101,15 @@
 
   get platform(): PlatformHandle {
     if (this.platformHandle === undefined) {
-      throw new Error('not started');
+      throw new Error('system is not started');
     }
     return this.platformHandle;
   }
 
-  /** Where the platform's services are. */
+  /** Addresses of the platform services. */
   get platformSettings(): PlatformSettings {
     if (this.platformAddresses === undefined) {
-      throw new Error('not started');
+      throw new Error('system is not started');
     }
     return this.platformAddresses;
   }
@@ -123,18 +126,18 @@
     return this.instanceList;
   }
 
-  /** Starts a further instance and shows it in the list; does not wait until it is ready. */
+  /** Starts another instance and adds it to the membership list, without waiting until it is ready. */
   async startInstance(dataCentre?: DataCentreOptions): Promise<InstanceHandle> {
-    const number = this.instanceNumber;
-    this.instanceNumber++;
-    const place = dataCentre ?? this.settings.dataCentreOf(number);
+    const number = this.nextInstanceNumber;
+    this.nextInstanceNumber++;
+    const location = dataCentre ?? this.settings.dataCentreOf(number);
     const [callerAddress, entryPeerAddress, controlAddress] =
       await freeAddresses(3);
     const member: InstanceMember = {
       role: 'instance',
       id: `instance-${number}`,
-      dataCentre: place.name,
-      region: place.region,
+      dataCentre: location.name,
+      region: location.region,
       callerAddress: callerAddress ?? '',
       entryPeerAddress: entryPeerAddress ?? '',
       controlAddress: controlAddress ?? '',
@@ -157,8 +160,8 @@
   }
 
   /**
-   * Stops an instance as planned: the list shows it leaving, its entry program finishes its requests,
-   * then its control program stops. Answers the exit codes.
+   * Shuts an instance down gracefully: marks it as leaving in the membership list, lets its entry program
+   * finish its requests, then stops its control program. Returns the exit codes of entry and control program.
    */
   async stopInstance(
     instance: InstanceHandle,
@@ -170,23 +173,23 @@
     return [entryCode, controlCode];
   }
 
-  /** Kills both programs of an instance; the list goes on showing it until told. */
+  /** Kills both programs of an instance; the membership list keeps it until it is removed. */
   async killInstance(instance: InstanceHandle): Promise<void> {
     await Promise.all([instance.entry.kill(), instance.control.kill()]);
   }
 
-  /** Takes an instance off the list. */
+  /** Removes an instance from the membership list. */
   async removeInstance(instance: InstanceHandle): Promise<void> {
     this.instanceList = this.instanceList.filter(other => other !== instance);
     await this.platform.setMembers({remove: [instance.id]});
   }
 
-  /** Shows a member as live or leaving. */
+  /** Sets the state of a member in the membership list. */
   setMemberState(member: Member, state: MemberState): Promise<void> {
     return this.platform.setMembers({set: [{...member, state}]});
   }
 
-  /** Waits until an instance takes new work. */
+  /** Waits until instances accept new requests; all instances by default. */
   async awaitReady(
     instances: readonly InstanceHandle[] = this.instanceList,
   ): Promise<void> {
@@ -197,7 +200,7 @@
     );
   }
 
-  /** Proposes a change of the configuration; refused connections are tried again while programs start. */
+  /** Proposes a configuration change, and retries refused connections and status 503 while programs start. */
   async administer(
     operations: readonly ConfigurationOperation[],
     instance: InstanceHandle | undefined = this.instanceList[0],
@@ -205,32 +208,34 @@
     const address = instance?.member.controlAddress ?? '';
     const url = `http://${address}/v1/configuration/revisions`;
     const headers = {authorization: `Bearer ${this.operatorKey}`};
-    let answer: JsonAnswer | undefined;
-    await this.until('the change is answered', async () => {
-      answer = await post(url, {operations}, headers);
-      return answer !== undefined && answer.status !== 503;
+    let response: JsonAnswer | undefined;
+    await this.until('the configuration change gets a response', async () => {
+      response = await postJson(url, {operations}, headers);
+      return response !== undefined && response.status !== 503;
     });
-    return answer ?? {status: 0, body: undefined};
+    return response ?? {status: 0, body: undefined};
   }
 
-  /** Ends everything it started. */
+  /** Kills all started programs and removes the directory. */
   async dispose(): Promise<void> {
     await this.supervisor.dispose();
     rmSync(this.directory, {recursive: true, force: true});
   }
 
-  /** Waits for a condition; throws with its name when it takes too long. */
+  /** Polls until a condition holds; throws an error that names the condition after the timeout. */
   async until(
-    what: string,
+    description: string,
     condition: () => Promise<boolean>,
-    milliseconds = READY_MILLISECONDS,
+    timeoutMilliseconds = READY_TIMEOUT_MILLISECONDS,
   ): Promise<void> {
-    const end = performance.now() + milliseconds;
+    const deadline = performance.now() + timeoutMilliseconds;
     while (!(await condition())) {
-      if (performance.now() > end) {
-        throw new Error(`waited ${milliseconds} ms until ${what}`);
+      if (performance.now() > deadline) {
+        throw new Error(
+          `timed out after ${timeoutMilliseconds} ms waiting until ${description}`,
+        );
       }
-      await sleep(POLL_MILLISECONDS);
+      await sleep(POLL_INTERVAL_MILLISECONDS);
     }
   }
 
@@ -238,7 +243,7 @@
     operations: readonly ConfigurationOperation[],
   ): Promise<void> {
     this.writeFile(PEER_KEY_FILE, this.peerKey);
-    const hashes = {[OPERATOR]: hashKey(this.operatorKey)};
+    const hashes = {[OPERATOR_NAME]: hashKey(this.operatorKey)};
     this.writeFile(OPERATORS_FILE, JSON.stringify(hashes));
     await this.startPlatform();
     await this.startEngines();
@@ -253,18 +258,20 @@
       await this.startInstance();
     }
     if (operations.length > 0) {
-      await this.configure(operations);
+      await this.applyOperations(operations);
       await this.awaitReady();
     }
   }
 
-  private async configure(
+  private async applyOperations(
     operations: readonly ConfigurationOperation[],
   ): Promise<void> {
-    const answer = await this.administer(operations);
-    if (answer.status >= 300) {
-      const body = JSON.stringify(answer.body);
-      throw new Error(`the change was refused: ${answer.status} ${body}`);
+    const response = await this.administer(operations);
+    if (response.status >= 300) {
+      const body = JSON.stringify(response.body);
+      throw new Error(
+        `configuration change was rejected with status ${response.status}: ${body}`,
+      );
     }
   }
 
@@ -303,24 +310,24 @@
       faultAddress,
       settings.ledgerFile,
     );
-    await this.standInReady(faultAddress);
+    await this.waitForStandIn(faultAddress);
   }
 
   private async startEngines(): Promise<void> {
     const {replicas, stagesPerReplica, enginesPerProcess} = this.options;
     const count = replicas * stagesPerReplica;
-    const processes = Math.ceil(count / enginesPerProcess);
-    const addresses = await freeAddresses(count + processes);
+    const processCount = Math.ceil(count / enginesPerProcess);
+    const addresses = await freeAddresses(count + processCount);
     const engines = Array.from({length: count}, (_, index) =>
       this.settings.engine(index, addresses[index] ?? ''),
     );
-    for (let process = 0; process < processes; process++) {
+    for (let process = 0; process < processCount; process++) {
       const faultAddress = addresses[count + process] ?? '';
       const first = process * enginesPerProcess;
       const hosted = engines.slice(first, first + enginesPerProcess);
       this.startEngineProcess(`engines-${process}`, faultAddress, hosted);
     }
-    await Promise.all(addresses.slice(count).map(a => this.standInReady(a)));
+    await Promise.all(addresses.slice(count).map(a => this.waitForStandIn(a)));
   }
 
   private startEngineProcess(
@@ -347,7 +354,7 @@
     for (let replica = 0; replica < service.replicas; replica++) {
       const [address, fault] = await freeAddresses(2);
       const id = `${service.name}-${replica}`;
-      const place = this.settings.dataCentreOf(replica);
+      const location = this.settings.dataCentreOf(replica);
       const settings: ServiceStandInSettings = {
         id,
         service: service.name,
@@ -361,8 +368,8 @@
       const member: UpstreamMember = {
         role: 'service',
         id,
-        dataCentre: place.name,
-        region: place.region,
+        dataCentre: location.name,
+        region: location.region,
         address: settings.address,
         group: service.name,
         state: 'live',
@@ -375,7 +382,7 @@
           settings.ledgerFile,
         ),
       );
-      await this.standInReady(settings.faultAddress);
+      await this.waitForStandIn(settings.faultAddress);
     }
   }
 
@@ -389,11 +396,11 @@
     return this.supervisor.start(name, program, join(this.directory, file));
   }
 
-  /** A stand-in answers at its fault port only after all its ports listen. */
-  private standInReady(faultAddress: string): Promise<void> {
-    return this.until(`${faultAddress} answers`, async () => {
+  /** Waits for the fault port of a stand-in, which responds only once all its ports listen. */
+  private waitForStandIn(faultAddress: string): Promise<void> {
+    return this.until(`${faultAddress} responds`, async () => {
       const url = `http://${faultAddress}/ready`;
-      return (await get(url)) !== undefined;
+      return (await getJson(url)) !== undefined;
     });
   }
 
@@ -401,25 +408,26 @@
     writeFileSync(join(this.directory, name), text, {mode: 0o600});
   }
 
-  private tailOfLogs(): string {
+  private logTails(): string {
     return this.supervisor.tails();
   }
 }
 
-/** Undefined while the connection is refused. */
-async function get(url: string): Promise<JsonAnswer | undefined> {
-  return callJson('GET', url).catch(ignoreRefused);
+/** Returns undefined if the connection is refused. */
+async function getJson(url: string): Promise<JsonAnswer | undefined> {
+  return callJson('GET', url).catch(ignoreConnectionRefused);
 }
 
-async function post(
+/** Returns undefined if the connection is refused. */
+async function postJson(
   url: string,
   body: unknown,
   headers: Readonly<Record<string, string>>,
 ): Promise<JsonAnswer | undefined> {
-  return callJson('POST', url, body, headers).catch(ignoreRefused);
+  return callJson('POST', url, body, headers).catch(ignoreConnectionRefused);
 }
 
-function ignoreRefused(error: unknown): undefined {
+function ignoreConnectionRefused(error: unknown): undefined {
   if ((error as NodeJS.ErrnoException).code !== 'ECONNREFUSED') {
     throw error;
   }
--- a/test/support/managedProcess.ts
+++ b/test/support/managedProcess.ts
@@ -5,44 +5,44 @@
 
 const LOG_TAIL_BYTES = 256 * 1024;
 const LOG_TAIL_LINES = 5;
-const WATCHDOG = 'test/support/watchdog.js';
+const WATCHDOG_PROGRAM = 'test/support/watchdog.js';
 
-/** The root of the repository, from the sources or from the build. */
+/** Finds the root of the repository, both from the sources and from the build output. */
 export function repositoryRoot(): string {
   let directory = dirname(fileURLToPath(import.meta.url));
   while (!existsSync(join(directory, 'package-lock.json'))) {
     const parent = dirname(directory);
     if (parent === directory) {
-      throw new Error('no tsconfig.json above the build');
+      throw new Error('no package-lock.json in any parent directory');
     }
     directory = parent;
   }
   return directory;
 }
 
-/** Starts built programs and sees to it that none outlives this process. */
+/** Starts built programs and ensures, with a watchdog process, that none outlives this process. */
 export class ProcessSupervisor {
   private readonly watchdog: ChildProcess;
   private readonly processes = new Set<ManagedProcess>();
 
   constructor(private readonly directory: string) {
-    const script = builtProgram(WATCHDOG);
+    const script = builtProgramPath(WATCHDOG_PROGRAM);
     this.watchdog = spawn(process.execPath, [script, directory], {
       stdio: ['pipe', 'ignore', 'ignore'],
       detached: true,
       env: {},
     });
-    // It may be gone when the last lines are written.
+    // The watchdog may have exited when the last lines are written.
     this.watchdog.stdin?.on('error', () => undefined);
     this.watchdog.unref();
   }
 
-  /** Starts a program of `dist` with a settings file. */
+  /** Starts a program from `dist` with a settings file. */
   start(name: string, program: string, settingsFile: string): ManagedProcess {
     const logFile = join(this.directory, `${name}.log`);
     const started = new ManagedProcess(
       name,
-      [builtProgram(program), settingsFile],
+      [builtProgramPath(program), settingsFile],
       logFile,
       line => this.watchdog.stdin?.write(`${line}\n`),
     );
@@ -50,7 +50,7 @@
     return started;
   }
 
-  /** The last lines of every log, for the error of a failed start. */
+  /** Last lines of each log, for the error message of a failed start. */
   tails(): string {
     const tail = (started: ManagedProcess): string =>
       started.log().split('\n').slice(-LOG_TAIL_LINES).join('\n');
@@ -59,7 +59,7 @@
       .join('\n');
   }
 
-  /** Kills everything it started; resolves when all have ended. */
+  /** Kills all started programs; resolves when all have exited. */
   async dispose(): Promise<void> {
     await Promise.all([...this.processes].map(started => started.kill()));
     this.processes.clear();
@@ -67,20 +67,20 @@
   }
 }
 
-/** One started program. */
+/** A program that runs as a child process. */
 export class ManagedProcess {
   private child: ChildProcess;
   private ended: Promise<number | undefined>;
-  private hasEnded = false;
+  private hasExited = false;
 
   constructor(
     readonly name: string,
     private readonly commandLine: readonly string[],
     readonly logFile: string,
-    private readonly notify: (line: string) => void,
+    private readonly notifyWatchdog: (line: string) => void,
   ) {
     this.child = this.spawn();
-    this.ended = this.watchEnd(this.child);
+    this.ended = this.waitForExit(this.child);
   }
 
   get pid(): number {
@@ -88,79 +88,79 @@
   }
 
   get isRunning(): boolean {
-    return !this.hasEnded;
+    return !this.hasExited;
   }
 
-  /** Stops it in its tracks, as a pause of its machine would. */
+  /** Suspends the process, as a paused machine would. */
   freeze(): void {
     this.signal('SIGSTOP');
   }
 
-  /** Lets it go on. */
+  /** Resumes the process after `freeze`. */
   resume(): void {
     this.signal('SIGCONT');
   }
 
-  /** Kills it at once; resolves when it has ended. */
+  /** Kills the process with SIGKILL; resolves when it has exited. */
   async kill(): Promise<void> {
     this.signal('SIGKILL');
     await this.ended;
   }
 
-  /** Asks it to stop; resolves with its exit code when it has ended. */
+  /** Requests a graceful stop with SIGTERM; resolves with the exit code, undefined if a signal ended the process. */
   terminate(): Promise<number | undefined> {
     this.signal('SIGTERM');
     return this.ended;
   }
 
-  /** Starts it again with the same settings, after it ended. */
+  /** Kills the process and starts it again with the same command line and log file. */
   async restart(): Promise<void> {
     await this.kill();
     this.child = this.spawn();
-    this.hasEnded = false;
-    this.ended = this.watchEnd(this.child);
+    this.hasExited = false;
+    this.ended = this.waitForExit(this.child);
   }
 
-  /** The end of what it wrote. */
+  /** End of the output, at most `LOG_TAIL_BYTES`. */
   log(): string {
     return readFileSync(this.logFile).subarray(-LOG_TAIL_BYTES).toString();
   }
 
-  /** Its JSON log lines, of the end of what it wrote. */
+  /** JSON log lines within the end of the output that `log` returns. */
   logLines(): ReadonlyArray<Readonly<Record<string, unknown>>> {
-    return this.log().split('\n').flatMap(parseLine);
+    return this.log().split('\n').flatMap(parseLogLine);
   }
 
   private signal(signal: NodeJS.Signals): void {
-    if (!this.hasEnded) {
+    if (!this.hasExited) {
       this.child.kill(signal);
     }
   }
 
   private spawn(): ChildProcess {
-    // A file and no pipe: a program must not wait for whoever reads its log.
+    // A file rather than a pipe: the program must not block on a slow reader of its log.
     const log = openSync(this.logFile, 'a');
     const child = spawn(process.execPath, this.commandLine, {
       stdio: ['ignore', log, log],
       env: {},
     });
     closeSync(log);
-    this.notify(`+${child.pid}`);
+    this.notifyWatchdog(`+${child.pid}`);
     return child;
   }
 
-  private watchEnd(child: ChildProcess): Promise<number | undefined> {
+  private waitForExit(child: ChildProcess): Promise<number | undefined> {
     return new Promise(resolve => {
       child.once('exit', code => {
-        this.hasEnded = true;
-        this.notify(`-${child.pid}`);
+        this.hasExited = true;
+        this.notifyWatchdog(`-${child.pid}`);
         resolve(code ?? undefined);
       });
     });
   }
 }
 
-function parseLine(line: string): Array<Record<string, unknown>> {
+function parseLogLine(line: string): Array<Record<string, unknown>> {
   try {
     return line.startsWith('{') ? [JSON.parse(line)] : [];
   } catch {
@@ -168,15 +168,15 @@
   }
 }
 
-/** Throws when the programs are not built. */
+/** Throws an error if the programs are not built. */
 export function requireBuild(): void {
-  builtProgram(WATCHDOG);
+  builtProgramPath(WATCHDOG_PROGRAM);
 }
 
-function builtProgram(path: string): string {
+function builtProgramPath(path: string): string {
   const program = join(repositoryRoot(), 'dist', path);
   if (!existsSync(program)) {
-    throw new Error(`dist/${path} is missing: run npm run build first`);
+    throw new Error(`dist/${path} is missing; run npm run build first`);
   }
   return program;
 }
--- a/test/support/members.ts
+++ b/test/support/members.ts
@@ -3,7 +3,7 @@
   MemberState,
 } from '../../src/infrastructure/membership/common/membershipList.js';
 
-/** An instance as the platform's list shows it; its addresses are its id with the ports 1 to 3. */
+/** A membership list entry of an instance; the addresses are the id as host name with the ports 1 to 3. */
 export function instanceMember(
   id: string,
   state: MemberState = 'live',
--- a/test/support/ports.ts
+++ b/test/support/ports.ts
@@ -2,59 +2,61 @@
 
 const HOST = '127.0.0.1';
 
-/** Below the range from which the system gives ports to outgoing connections. */
+/** The range lies below the ephemeral ports, which the operating system assigns to outgoing connections. */
 const FIRST_PORT = 10_000;
 const LAST_PORT = 31_999;
 const BLOCK_SIZE = 200;
 const BLOCK_COUNT = Math.floor((LAST_PORT - FIRST_PORT) / BLOCK_SIZE);
 
 /**
- * Ports that no other test process gets: a process holds the first port of each block that it uses
- * for as long as it lives.
+ * Allocates ports that no other test process allocates. A process reserves a block of ports by listening on the
+ * first port of the block until it exits.
  */
-class PortBlocks {
-  private next = 0;
-  private end = 0;
+class PortAllocator {
+  private nextPort = 0;
+  private blockEnd = 0;
 
-  /** The next free port of the blocks of this process. */
-  async take(): Promise<number> {
+  /** Returns the next free port of the reserved block; reserves a new block when it is used up. */
+  async allocate(): Promise<number> {
     for (;;) {
-      if (this.next >= this.end) {
-        await this.claimBlock();
+      if (this.nextPort >= this.blockEnd) {
+        await this.reserveBlock();
       }
-      const port = this.next++;
+      const port = this.nextPort++;
       const server = await tryListen(port);
       if (server !== undefined) {
-        await close(server);
+        await closeServer(server);
         return port;
       }
     }
   }
 
-  private async claimBlock(): Promise<void> {
+  private async reserveBlock(): Promise<void> {
     const offset = Math.floor(Math.random() * BLOCK_COUNT);
-    for (let tried = 0; tried < BLOCK_COUNT; tried++) {
-      const block = (offset + tried) % BLOCK_COUNT;
+    for (let attempt = 0; attempt < BLOCK_COUNT; attempt++) {
+      const block = (offset + attempt) % BLOCK_COUNT;
       const first = FIRST_PORT + block * BLOCK_SIZE;
-      const holder = await tryListen(first);
-      if (holder !== undefined) {
-        holder.unref();
-        this.next = first + 1;
-        this.end = first + BLOCK_SIZE;
+      const reservation = await tryListen(first);
+      if (reservation !== undefined) {
+        reservation.unref();
+        this.nextPort = first + 1;
+        this.blockEnd = first + BLOCK_SIZE;
         return;
       }
     }
-    throw new Error('all blocks of ports are in use');
+    throw new Error(
+      'no free block of ports: all blocks are reserved by running processes',
+    );
   }
 }
 
-const blocks = new PortBlocks();
+const portAllocator = new PortAllocator();
 
-/** Free loopback addresses `IP:port`, all different and never given twice to running processes. */
+/** Allocates distinct free loopback addresses `IP:port` that no other running test process has allocated. */
 export async function freeAddresses(count: number): Promise<readonly string[]> {
   const addresses: string[] = [];
   while (addresses.length < count) {
-    addresses.push(`${HOST}:${await blocks.take()}`);
+    addresses.push(`${HOST}:${await portAllocator.allocate()}`);
   }
   return addresses;
 }
@@ -67,6 +69,6 @@
   });
 }
 
-function close(server: Server): Promise<void> {
+function closeServer(server: Server): Promise<void> {
   return new Promise(resolve => server.close(() => resolve()));
 }
--- a/test/support/sleep.ts
+++ b/test/support/sleep.ts
@@ -1,4 +1,3 @@
-/** Waits. */
 export function sleep(milliseconds: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
--- a/test/support/systemOptions.ts
+++ b/test/support/systemOptions.ts
@@ -6,29 +6,28 @@
 import {PlatformStandInSettings} from '../standins/platformStandIn.js';
 import {ServiceStandInSettings} from '../standins/serviceStandIn.js';
 
-/** A data centre and its region. */
 export interface DataCentreOptions {
   readonly name: string;
   readonly region: string;
 }
 
-/** A kind of accelerator and its speed. */
+/** A kind of accelerator with its simulated decode and prefill times. */
 export interface AcceleratorOptions {
   readonly kind: string;
   readonly decodeMilliseconds: number;
   readonly prefillMillisecondsPerToken: number;
 }
 
-/** A plain service and its replicas. */
+/** A plain service, which has `replicas` stand-ins. */
 export interface ServiceOptions {
   readonly name: string;
   readonly replicas: number;
   readonly settings?: Partial<ServiceStandInSettings>;
 }
 
-/** What to launch. Instances, replicas and services are spread over the data centres in turn. */
+/** Options of a launched system. Instances and replicas, also of services, are assigned to data centres round-robin. */
 export interface SystemOptions {
-  /** 0 launches the stand-ins alone. */
+  /** Number of instances; 0 launches only the stand-ins. */
   readonly instances: number;
   readonly dataCentres: readonly DataCentreOptions[];
   readonly model: string;
@@ -37,30 +36,30 @@
   readonly layerCount: number;
   readonly replicas: number;
   readonly stagesPerReplica: number;
-  /** Given to replicas in turn. */
+  /** Assigned to the model replicas round-robin. */
   readonly accelerators: readonly AcceleratorOptions[];
   readonly sequenceLimit: number;
-  /** Engines of every second replica ignore fencing numbers. */
+  /** Whether the engines of every second replica ignore fencing numbers. */
   readonly mixedFencing: boolean;
-  /** One way between engines of one data centre, and to engines from callers. */
+  /** One-way latency between engines of the same data centre, and from callers to engines. */
   readonly linkMilliseconds: number;
-  /** One way between engines of two data centres. */
+  /** One-way latency between engines of different data centres. */
   readonly farLinkMilliseconds: number;
-  /** Engines hosted by one process; 1 makes them separately killable. */
+  /** Number of engines that share a process; with 1, each engine can be killed on its own. */
   readonly enginesPerProcess: number;
   readonly services: readonly ServiceOptions[];
   readonly policy: EntrySettings['policy'];
   readonly cellSize: number;
-  /** Whether stand-ins write their ledgers to files too, so that those outlive a killed process. */
+  /** Whether stand-ins also write their ledgers to files, which remain when a process is killed. */
   readonly ledgerFiles: boolean;
-  /** Further settings, over those derived from the above. */
+  /** These settings override those derived from the options above. */
   readonly engineSettings: Partial<EngineSettings>;
   readonly platformSettings: Partial<PlatformStandInSettings>;
   readonly entrySettings: Partial<EntrySettings>;
   readonly controlSettings: Partial<ControlSettings>;
 }
 
-/** A small system: two instances, two replicas of two stages, one plain service. */
+/** Default options: two instances, two model replicas with two stages each and one plain service. */
 export const defaultSystemOptions: SystemOptions = {
   instances: 2,
   dataCentres: [{name: 'west-1', region: 'west'}],
--- a/test/support/systemParts.ts
+++ b/test/support/systemParts.ts
@@ -24,35 +24,35 @@
 } from '../standins/serviceStandIn.js';
 import {ManagedProcess} from './managedProcess.js';
 
-/** Handles on the parts of a launched system. */
+/** Handles for controlling and inspecting the processes of a launched system. */
 
-const CALL_MILLISECONDS = 5000;
+const CALL_TIMEOUT_MILLISECONDS = 5000;
 
-/** An answer with a JSON body. */
+/** Status and parsed body of an HTTP response; the body is text if it is not valid JSON. */
 export interface JsonAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Makes a call with JSON bodies. */
+/** Sends an HTTP request with an optional JSON body. */
 export async function callJson(
   method: 'GET' | 'POST',
   url: string,
   body?: unknown,
   headers: Readonly<Record<string, string>> = {},
 ): Promise<JsonAnswer> {
-  const answer = await request(url, {
+  const response = await request(url, {
     method,
     headers: {'content-type': 'application/json', ...headers},
     body: body === undefined ? undefined : JSON.stringify(body),
-    headersTimeout: CALL_MILLISECONDS,
-    bodyTimeout: CALL_MILLISECONDS,
+    headersTimeout: CALL_TIMEOUT_MILLISECONDS,
+    bodyTimeout: CALL_TIMEOUT_MILLISECONDS,
   });
-  const text = await answer.body.text();
-  return {status: answer.statusCode, body: parse(text)};
+  const text = await response.body.text();
+  return {status: response.statusCode, body: parseJsonOrText(text)};
 }
 
-function parse(text: string): unknown {
+function parseJsonOrText(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
@@ -60,14 +60,16 @@
   }
 }
 
-async function command(url: string, body: unknown): Promise<void> {
-  const answer = await callJson('POST', url, body);
-  if (answer.status !== 200) {
-    throw new Error(`${url}: ${answer.status} ${JSON.stringify(answer.body)}`);
+async function sendCommand(url: string, body: unknown): Promise<void> {
+  const response = await callJson('POST', url, body);
+  if (response.status !== 200) {
+    throw new Error(
+      `${url} responded with status ${response.status}: ${JSON.stringify(response.body)}`,
+    );
   }
 }
 
-/** The platform stand-in. */
+/** Controls and inspects the platform stand-in through its fault port. */
 export class PlatformHandle {
   constructor(
     readonly process: ManagedProcess,
@@ -76,21 +78,24 @@
   ) {}
 
   setFault(fault: PlatformFaultCommand): Promise<void> {
-    return command(`http://${this.faultAddress}/fault`, fault);
+    return sendCommand(`http://${this.faultAddress}/fault`, fault);
   }
 
   setMembers(members: MembersCommand): Promise<void> {
-    return command(`http://${this.faultAddress}/members`, members);
+    return sendCommand(`http://${this.faultAddress}/members`, members);
   }
 
-  /** Reads and writes by service, for example `table write`. */
+  /** Call counts, keyed by service and access, for example `table write`. */
   async counts(): Promise<Readonly<Record<string, CallCounts>>> {
-    const answer = await callJson('GET', `http://${this.faultAddress}/counts`);
-    return answer.body as Record<string, CallCounts>;
+    const response = await callJson(
+      'GET',
+      `http://${this.faultAddress}/counts`,
+    );
+    return response.body as Record<string, CallCounts>;
   }
 
   resetCounts(): Promise<void> {
-    return command(`http://${this.faultAddress}/counts/reset`, {});
+    return sendCommand(`http://${this.faultAddress}/counts/reset`, {});
   }
 
   ledger(): Promise<ReadonlyArray<PlatformLedgerEntry & LedgerStamp>> {
@@ -98,7 +103,7 @@
   }
 }
 
-/** One engine; several may share a process. */
+/** Controls and inspects one engine; several engines may share a process. */
 export class EngineHandle {
   constructor(
     readonly settings: EngineSettings,
@@ -111,16 +116,16 @@
     return this.settings.id;
   }
 
-  /** Puts a fault in force at this engine only. */
+  /** Injects a fault into this engine only. */
   setFault(
     fault: EngineFaultCommand['fault'],
     scope: Omit<EngineFaultCommand, 'fault' | 'engine'> = {},
   ): Promise<void> {
     const body = {fault, ...scope, engine: this.id};
-    return command(`http://${this.faultAddress}/fault`, body);
+    return sendCommand(`http://${this.faultAddress}/fault`, body);
   }
 
-  /** What it executed, over all its incarnations when ledger files are on. */
+  /** The executions of the engine; with ledger files, those of all its incarnations. */
   ledger(): Promise<ReadonlyArray<EngineLedgerEntry & LedgerStamp>> {
     const file = this.settings.ledgerFile?.replace('{id}', this.id);
     return readLedger(
@@ -130,7 +135,7 @@
   }
 }
 
-/** One replica of a plain service. */
+/** Controls and inspects one replica of a plain service. */
 export class ServiceHandle {
   constructor(
     readonly member: UpstreamMember,
@@ -144,7 +149,7 @@
   }
 
   setFault(fault: ServiceFaultCommand['fault'], times?: number): Promise<void> {
-    return command(`http://${this.faultAddress}/fault`, {fault, times});
+    return sendCommand(`http://${this.faultAddress}/fault`, {fault, times});
   }
 
   ledger(): Promise<ReadonlyArray<ServiceLedgerEntry & LedgerStamp>> {
@@ -152,7 +157,7 @@
   }
 }
 
-/** One instance of the system: its two programs. */
+/** An instance of the system, which consists of an entry program and a control program. */
 export class InstanceHandle {
   constructor(
     readonly member: InstanceMember,
@@ -164,16 +169,16 @@
     return this.member.id;
   }
 
-  /** Whether its entry program takes new work; its answer must come within a second. */
+  /** Whether the entry program reports readiness for new requests within a second. */
   async isReady(): Promise<boolean> {
     try {
       const url = `http://${this.member.callerAddress}/v1/health`;
-      const answer = await request(url, {
+      const response = await request(url, {
         headersTimeout: 1000,
         bodyTimeout: 1000,
       });
-      await answer.body.dump();
-      return answer.statusCode === 200;
+      await response.body.dump();
+      return response.statusCode === 200;
     } catch {
       return false;
     }
@@ -190,6 +195,6 @@
       .filter(line => line.endsWith('}'))
       .map(line => JSON.parse(line) as Entry & LedgerStamp);
   }
-  const answer = await callJson('GET', url);
-  return (answer.body as {entries: Array<Entry & LedgerStamp>}).entries;
+  const response = await callJson('GET', url);
+  return (response.body as {entries: Array<Entry & LedgerStamp>}).entries;
 }
--- a/test/support/systemSettings.ts
+++ b/test/support/systemSettings.ts
@@ -15,25 +15,25 @@
 } from '../standins/engineSettings.js';
 import {DataCentreOptions, SystemOptions} from './systemOptions.js';
 
-/** Names of files in a launched system's directory. */
+/** Names of the key files in the directory of a launched system. */
 export const PEER_KEY_FILE = 'peer.key';
 export const OPERATORS_FILE = 'operators.json';
 
-/** Derives the settings of each part of a launched system from its options. */
+/** Derives the settings of each program of a launched system from its options. */
 export class SystemSettings {
   constructor(
     private readonly options: SystemOptions,
     private readonly directory: string,
   ) {}
 
-  /** Settings of an engine, counted through all replicas. */
+  /** Settings of an engine; the index counts the engines of all replicas, replica by replica. */
   engine(index: number, address: string): EngineSettings {
     const {options} = this;
     const {stagesPerReplica, layerCount, accelerators} = options;
     const replica = Math.floor(index / stagesPerReplica);
     const stage = index % stagesPerReplica;
-    const boundary = (number: number): number =>
-      Math.round((number * layerCount) / stagesPerReplica);
+    const firstLayerOf = (stageIndex: number): number =>
+      Math.round((stageIndex * layerCount) / stagesPerReplica);
     const accelerator = accelerators[replica % accelerators.length];
     return {
       ...defaultEngineSettings,
@@ -43,36 +43,36 @@
       model: options.model,
       version: options.version,
       adapters: options.adapters,
-      layers: {from: boundary(stage), to: boundary(stage + 1)},
+      layers: {from: firstLayerOf(stage), to: firstLayerOf(stage + 1)},
       checksFencing: !(options.mixedFencing && replica % 2 === 1),
       sequenceLimit: options.sequenceLimit,
       decodeMilliseconds: accelerator?.decodeMilliseconds ?? 5,
       prefillMillisecondsPerToken:
         accelerator?.prefillMillisecondsPerToken ?? 0.2,
       callerLinkMilliseconds: options.linkMilliseconds,
-      linkMilliseconds: this.linksOf(replica),
+      linkMilliseconds: this.crossDataCentreLinks(replica),
       defaultLinkMilliseconds: options.linkMilliseconds,
       ledgerFile: this.ledgerFile('{id}'),
       ...options.engineSettings,
     };
   }
 
-  /** How the platform's list shows an engine. */
+  /** The membership list entry of an engine. */
   engineMember(engine: EngineSettings): UpstreamMember {
     const replica = Number(engine.id.split('-')[1]);
-    const place = this.dataCentreOf(replica);
+    const location = this.dataCentreOf(replica);
     return {
       role: 'engine',
       id: engine.id,
-      dataCentre: place.name,
-      region: place.region,
+      dataCentre: location.name,
+      region: location.region,
       address: engine.address,
       group: `replica-${replica}`,
       state: 'live',
     };
   }
 
-  /** Settings of an instance's entry program. */
+  /** Settings of the entry program of an instance. */
   entry(member: InstanceMember, platform: PlatformSettings): EntrySettings {
     const {id, region, dataCentre} = member;
     return {
@@ -93,7 +93,7 @@
     };
   }
 
-  /** Settings of an instance's control program. */
+  /** Settings of the control program of an instance. */
   control(member: InstanceMember, platform: PlatformSettings): ControlSettings {
     const {id, region, dataCentre} = member;
     return {
@@ -113,33 +113,40 @@
     };
   }
 
-  /** The data centre of an instance or replica, given in turn. */
+  /** The data centre of an instance or replica; data centres are assigned round-robin. */
   dataCentreOf(index: number): DataCentreOptions {
     const {dataCentres} = this.options;
     const found = dataCentres[index % dataCentres.length];
     if (found === undefined) {
-      throw new Error('options.dataCentres is empty');
+      throw new Error(
+        'options.dataCentres is empty; at least one data centre is required',
+      );
     }
     return found;
   }
 
-  /** Where a stand-in writes its ledger; undefined when it keeps it in memory only. */
+  /** Path of the ledger file of a stand-in; undefined if it keeps its ledger only in memory. */
   ledgerFile(name: string): string | undefined {
     return this.options.ledgerFiles
       ? join(this.directory, `${name}.ledger`)
       : undefined;
   }
 
-  /** Links from engines of other data centres, where they differ from the default. */
-  private linksOf(replica: number): Readonly<Record<string, number>> {
+  /**
+   * One-way latencies in milliseconds from the engines of other data centres, keyed by engine id; empty if they equal
+   * the default.
+   */
+  private crossDataCentreLinks(
+    replica: number,
+  ): Readonly<Record<string, number>> {
     const {options} = this;
     const links: Record<string, number> = {};
     if (options.farLinkMilliseconds === options.linkMilliseconds) {
       return links;
     }
-    const place = this.dataCentreOf(replica);
+    const location = this.dataCentreOf(replica);
     for (let other = 0; other < options.replicas; other++) {
-      if (this.dataCentreOf(other) !== place) {
+      if (this.dataCentreOf(other) !== location) {
         for (let stage = 0; stage < options.stagesPerReplica; stage++) {
           links[engineId(other, stage)] = options.farLinkMilliseconds;
         }
--- a/test/support/tableRows.ts
+++ b/test/support/tableRows.ts
@@ -6,10 +6,10 @@
   WriteOutcome,
 } from '../../src/infrastructure/table/common/tableService.js';
 
-/** The rules of the transactional table, shared by the in-memory fake and the stand-in. */
+/** Rows and transaction semantics of the transactional table, shared by the in-memory fake and the stand-in. */
 export class TableRows {
   private readonly rows = new Map<string, TableRow>();
-  /** Last version of each key, kept over deletions so that a version is never used twice. */
+  /** Last version of each key, kept after deletion so that no version is reused. */
   private readonly versions = new Map<string, number>();
 
   read(keys: readonly string[]): ReadonlyArray<TableRow | undefined> {
@@ -33,13 +33,13 @@
     writes: readonly RowWrite[],
     mode: TransactionMode,
   ): readonly WriteOutcome[] {
-    const allHold = writes.every(write => this.holds(write));
-    if (mode === 'all' && !allHold) {
-      // Rows whose own condition held are conflicts too: nothing was written.
+    const allConditionsMet = writes.every(write => this.isConditionMet(write));
+    if (mode === 'all' && !allConditionsMet) {
+      // Nothing is written, so rows whose own condition is met are reported as conflicts too.
       return writes.map(write => this.conflict(write.key));
     }
     return writes.map(write =>
-      this.holds(write) ? this.apply(write) : this.conflict(write.key),
+      this.isConditionMet(write) ? this.apply(write) : this.conflict(write.key),
     );
   }
 
@@ -47,8 +47,8 @@
     return {kind: 'conflict', current: this.rows.get(key)};
   }
 
-  private holds(write: RowWrite): boolean {
-    return conditionHolds(write.condition, this.rows.get(write.key));
+  private isConditionMet(write: RowWrite): boolean {
+    return matchesCondition(write.condition, this.rows.get(write.key));
   }
 
   private apply(write: RowWrite): WriteOutcome {
@@ -63,7 +63,7 @@
   }
 }
 
-function conditionHolds(
+function matchesCondition(
   condition: RowCondition,
   row: TableRow | undefined,
 ): boolean {
--- a/test/support/watchdog.ts
+++ b/test/support/watchdog.ts
@@ -2,9 +2,9 @@
 import {createInterface} from 'node:readline';
 
 /**
- * Ends what a launcher left behind. Reads lines `+pid` and `-pid` from standard input; when that ends,
- * also because the launcher was killed, it kills the processes still listed, removes the directory named
- * on the command line, then exits.
+ * Cleans up after a launcher that exits or is killed. Reads `+pid` and `-pid` lines, for started and exited
+ * processes, from standard input. When standard input closes, kills the processes that still run, removes the
+ * directory given on the command line and exits.
  */
 const processes = new Set<number>();
 
@@ -29,6 +29,6 @@
   try {
     process.kill(pid, 'SIGKILL');
   } catch {
-    // It ended by itself.
+    // The process has already exited.
   }
 }
