--- a/test/support/inMemoryPlatform.ts
+++ b/test/support/inMemoryPlatform.ts
@@ -114,7 +114,7 @@
     }
     const fault = this.faults.strike(call);
     const countAndApply = (): T => {
-      this.countCall(call.access);
+      this.count(call.access);
       return effect();
     };
     switch (fault?.kind) {
@@ -151,7 +151,7 @@
     });
   }
 
-  private countCall(access: 'read' | 'write'): void {
+  private count(access: 'read' | 'write'): void {
     if (access === 'read') {
       this.counts.reads++;
     } else {
--- a/test/support/ports.ts
+++ b/test/support/ports.ts
@@ -14,12 +14,12 @@
  */
 class PortAllocator {
   private nextPort = 0;
-  private blockEnd = 0;
+  private end = 0;
 
   /** Returns the next free port of the reserved block; reserves a new block when it is used up. */
   async allocate(): Promise<number> {
     for (;;) {
-      if (this.nextPort >= this.blockEnd) {
+      if (this.nextPort >= this.end) {
         await this.reserveBlock();
       }
       const port = this.nextPort++;
@@ -40,7 +40,7 @@
       if (reservation !== undefined) {
         reservation.unref();
         this.nextPort = first + 1;
-        this.blockEnd = first + BLOCK_SIZE;
+        this.end = first + BLOCK_SIZE;
         return;
       }
     }
