--- a/demo/decisionLog.ts
+++ b/demo/decisionLog.ts
@@ -23,7 +23,7 @@
 
   /** Waits for the outcome line of a request, which is logged last, and prints it with the decision lines. */
   async show(requestId: string): Promise<void> {
-    await this.system.until(
+    await this.system.waitUntil(
       `the log contains the outcome of request ${requestId}`,
       () => Promise.resolve(this.findLines(requestId).some(isRequestOutcome)),
       WAIT_MILLISECONDS,
--- a/demo/demoSteps.ts
+++ b/demo/demoSteps.ts
@@ -179,7 +179,7 @@
     await this.runCommand(['class', 'list'], 0);
     const call = createChatCall('urgent', 'Is the 6 am pour still on?');
     let response = await this.concrete.call(call);
-    await this.system.until('the class is active', async () => {
+    await this.system.waitUntil('the class is active', async () => {
       response = await this.concrete.call(call);
       return response.status === 200;
     });
--- a/measure/common/claimLoad.ts
+++ b/measure/common/claimLoad.ts
@@ -49,7 +49,7 @@
 }
 
 async function activateConfiguration({system}: MeasuredSystem): Promise<void> {
-  await system.administer([
+  await system.proposeConfiguration([
     {
       kind: 'setClass',
       value: {
--- a/measure/common/controlFleet.ts
+++ b/measure/common/controlFleet.ts
@@ -15,7 +15,7 @@
   ProcessSupervisor,
 } from '../../test/support/managedProcess.js';
 import {freeAddresses} from '../../test/support/ports.js';
-import {callJson} from '../../test/support/systemParts.js';
+import {callJson} from '../../test/support/systemHandles.js';
 import {
   ProcessUsage,
   computeUsageRates,
@@ -196,7 +196,7 @@
   ): Promise<void> {
     for (const {member} of this.members) {
       const url = `http://${member.controlAddress}/v1/health`;
-      await this.system.until(
+      await this.system.waitUntil(
         `${member.id} ${condition}`,
         async () => isReached(await fetchStatus(url)),
         READY_MILLISECONDS,
--- a/measure/common/directPipeline.ts
+++ b/measure/common/directPipeline.ts
@@ -3,7 +3,7 @@
 import {CancellationSource} from '../../src/base/common/cancellation.js';
 import {StepInput} from '../../src/infrastructure/engine/common/engineConnection.js';
 import {HttpEngineConnector} from '../../src/infrastructure/engine/node/httpEngineConnector.js';
-import {EngineHandle} from '../../test/support/systemParts.js';
+import {EngineHandle} from '../../test/support/systemHandles.js';
 
 /** Runs a pipeline directly on its engines, without a router, as the baseline for the router's overhead. */
 
--- a/measure/common/recoveryFaults.ts
+++ b/measure/common/recoveryFaults.ts
@@ -1,5 +1,8 @@
 import {LaunchedSystem} from '../../test/support/launcher.js';
-import {EngineHandle, InstanceHandle} from '../../test/support/systemParts.js';
+import {
+  EngineHandle,
+  InstanceHandle,
+} from '../../test/support/systemHandles.js';
 
 /** Faults for the recovery measurement. Each affects other replicas or instances, so that it doesn't mask the next. */
 
@@ -106,5 +109,5 @@
   for (const instance of instances) {
     await Promise.all([instance.control.restart(), instance.entry.restart()]);
   }
-  await system.awaitReady(instances);
+  await system.waitUntilReady(instances);
 }
--- a/measure/control.ts
+++ b/measure/control.ts
@@ -2,7 +2,7 @@
 
 import {LaunchedSystem} from '../test/support/launcher.js';
 import {SystemOptions} from '../test/support/systemOptions.js';
-import {callJson} from '../test/support/systemParts.js';
+import {callJson} from '../test/support/systemHandles.js';
 import {sleep} from '../test/support/sleep.js';
 import {
   ControlFleet,
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -5,7 +5,7 @@
 import {hashKey} from '../test/support/launcher.js';
 import {sleep} from '../test/support/sleep.js';
 import {SystemOptions} from '../test/support/systemOptions.js';
-import {InstanceHandle} from '../test/support/systemParts.js';
+import {InstanceHandle} from '../test/support/systemHandles.js';
 import {OfferedClass} from './common/throughputBound.js';
 import {Caller} from './common/caller.js';
 import {ClaimReport, measureClaims} from './common/claimLoad.js';
@@ -316,7 +316,7 @@
           keyHash: hashKey(`key-${next + index}`),
         },
       }));
-      await this.measured.system.administer(operations);
+      await this.measured.system.proposeConfiguration(operations);
     }
   }
 
--- a/src/features/claims/test/claimService.test.ts
+++ b/src/features/claims/test/claimService.test.ts
@@ -75,7 +75,7 @@
 function newTable() {
   const clock = new FakeClock();
   const platform = new InMemoryPlatform(clock);
-  return {clock, platform, table: platform.portsOf().table};
+  return {clock, platform, table: platform.servicesFor().table};
 }
 
 describe('grants', () => {
@@ -175,7 +175,7 @@
     const key = `${simulation.slots[0]!.service.issueGrant(ACCOUNT)}.a`;
     await claim(simulation, 0, key);
     await simulation.advance(6000);
-    simulation.slots[0]!.clock.shiftWall(-6000);
+    simulation.slots[0]!.clock.shiftWallClock(-6000);
     expect(await claim(simulation, 0, key)).toEqual(
       duplicateOf({kind: 'unknown'}),
     );
@@ -394,7 +394,7 @@
     settings,
     'inc',
   );
-  clock.shiftWall(1e9);
+  clock.shiftWallClock(1e9);
   let deleted = 0;
   for (let step = 0; step < 256; step++) {
     deleted += await sweeper.step();
@@ -426,7 +426,7 @@
     const simulation = newSimulation(2);
     const {platformClock: clock, platform} = simulation;
     const metrics = new SilentMetrics();
-    const {table} = platform.portsOf();
+    const {table} = platform.servicesFor();
     const limits = {queueCharacters: 10, aboveInstances: 1};
     const commit = {...testSettings.commit, ...limits};
     const direct = new GroupCommitter(table, clock, metrics, commit, () => 1);
--- a/src/features/claims/test/claimSimulation.ts
+++ b/src/features/claims/test/claimSimulation.ts
@@ -1,4 +1,7 @@
-import {FakeClock, settle} from '../../../../test/support/fakeClock.js';
+import {
+  FakeClock,
+  runPendingCallbacks,
+} from '../../../../test/support/fakeClock.js';
 import {
   InMemoryPlatform,
   PlatformFault,
@@ -166,7 +169,7 @@
     slot.signalResume = undefined;
     slot.clock.pause(slot.pausedMilliseconds);
     slot.pausedMilliseconds = 0;
-    await settle();
+    await runPendingCallbacks();
   }
 
   restart(slot: ProcessSlot): void {
@@ -193,7 +196,7 @@
       signalResume: undefined,
       pausedMilliseconds: 0,
     };
-    const platformTable = this.platform.portsOf(`slot${index}`).table;
+    const platformTable = this.platform.servicesFor(`slot${index}`).table;
     const table = this.mutation.table?.(platformTable) ?? platformTable;
     slot.service = new DefaultClaimService({
       table: new PausableTable(table, slot),
--- a/src/features/configuration/test/configurationProposer.test.ts
+++ b/src/features/configuration/test/configurationProposer.test.ts
@@ -26,7 +26,7 @@
 }
 
 function createOperator(name: string): Operator {
-  const ports = platform.portsOf(name);
+  const ports = platform.servicesFor(name);
   const store = new ConfigurationStore(ports.table, ports.objects);
   const replica = new ConfigurationReplica();
   const reader = new ConfigurationReader(store, replica, clock);
@@ -216,7 +216,7 @@
     const racing = propose(luz, 'luz', 'large');
     const head = JSON.stringify({revision: 1, firstRevision: 1});
     await platform
-      .portsOf('eva')
+      .servicesFor('eva')
       .table.transact(
         [{key: 'configuration/head', value: head, condition: {kind: 'any'}}],
         'all',
--- a/src/features/instances/test/upstreamListExchange.test.ts
+++ b/src/features/instances/test/upstreamListExchange.test.ts
@@ -112,7 +112,7 @@
     const peer = new UpstreamDirectory(peerClock, new SilentLogger());
     peer.replace([one]);
     // The peer's monotonic clock stops during the suspension.
-    peerClock.shiftWall(4000);
+    peerClock.shiftWallClock(4000);
     clock.advance(4000);
     requester.replace([leaving], momentBefore(currentMoment(clock), 600));
     const exchange = new UpstreamListExchange(requester);
--- a/src/features/layers/test/layerController.test.ts
+++ b/src/features/layers/test/layerController.test.ts
@@ -135,7 +135,7 @@
   private add(index: number): void {
     const logger = new SilentLogger();
     const {clock} = this;
-    const {table} = this.platform.portsOf(`i${index}`);
+    const {table} = this.platform.servicesFor(`i${index}`);
     const lease = new TableLease(
       'layers',
       `i${index}`,
--- a/src/features/membership/test/listReading.test.ts
+++ b/src/features/membership/test/listReading.test.ts
@@ -141,7 +141,7 @@
       limits,
     );
     const reader = new ListReader(
-      platform.portsOf().membership,
+      platform.servicesFor().membership,
       memberList,
       scheduler,
       clock,
--- a/src/features/pipeline/test/faultyEngine.ts
+++ b/src/features/pipeline/test/faultyEngine.ts
@@ -15,13 +15,13 @@
 import {
   applyLayer,
   decodeActivation,
-  embed,
+  hashToken,
   encodeActivation,
   LayerCache,
   planReply,
   remainingTokens,
   ReplyPlan,
-  tokenOf,
+  tokenFromHash,
 } from '../../../../test/standins/referenceModel.js';
 
 const FOREIGN_EPOCH = 50;
@@ -263,7 +263,7 @@
       if (positions.from === 0) {
         sequence.plan = planReply(input.tokens);
       }
-      hashes = input.tokens.map(embed);
+      hashes = input.tokens.map(hashToken);
       remaining = remainingTokens(sequence.plan as ReplyPlan, positions.to);
     } else {
       const activation = decodeActivation(input.data, count);
@@ -283,7 +283,7 @@
     if (endOfText) {
       this.sequences.delete(request.requestId);
     }
-    return {kind: 'token', token: tokenOf(hashes.at(-1) ?? 0), endOfText};
+    return {kind: 'token', token: tokenFromHash(hashes.at(-1) ?? 0), endOfText};
   }
 
   override async cancel(
--- a/src/features/pipeline/test/pipelineHarness.ts
+++ b/src/features/pipeline/test/pipelineHarness.ts
@@ -21,7 +21,10 @@
   StageObservation,
   WorkEstimate,
 } from '../../routing/common/routing.js';
-import {FakeClock, settle} from '../../../../test/support/fakeClock.js';
+import {
+  FakeClock,
+  runPendingCallbacks,
+} from '../../../../test/support/fakeClock.js';
 import {
   defaultPipelineSettings,
   PipelineSettings,
@@ -289,7 +292,7 @@
   /** Advances the clock until all runs have ended, and then until every frozen engine has resumed. */
   async finish(): Promise<void> {
     for (let round = 0; round < 2000; round++) {
-      await settle();
+      await runPendingCallbacks();
       if (this.runs.every(run => run.result !== undefined)) {
         break;
       }
--- a/src/features/placement/test/placementSimulation.ts
+++ b/src/features/placement/test/placementSimulation.ts
@@ -16,7 +16,10 @@
 import {SilentLogger} from '../../../infrastructure/logging/common/logger.js';
 import {UpstreamMember} from '../../../infrastructure/membership/common/membershipList.js';
 import {SilentMetrics} from '../../../infrastructure/metrics/common/metrics.js';
-import {FakeClock, settle} from '../../../../test/support/fakeClock.js';
+import {
+  FakeClock,
+  runPendingCallbacks,
+} from '../../../../test/support/fakeClock.js';
 import {InMemoryPlatform} from '../../../../test/support/inMemoryPlatform.js';
 import {Configuration} from '../../configuration/common/configuration.js';
 import {PlacementController} from '../common/placementController.js';
@@ -59,7 +62,7 @@
     this.deferredCallbacks = undefined;
     for (const callback of deferredCallbacks) {
       callback();
-      await settle();
+      await runPendingCallbacks();
     }
   }
 
@@ -213,7 +216,7 @@
     readonly name: string,
   ) {
     this.clock = new ProcessClock(simulation.clock);
-    const ports = simulation.platform.portsOf(name);
+    const ports = simulation.platform.servicesFor(name);
     let nonces = 0;
     this.controller = new PlacementController({
       dataCentre: 'd',
@@ -340,7 +343,7 @@
   async fencingInTable(): Promise<number> {
     const key = 'placement/lease/d';
     const rows = await this.platform
-      .portsOf('reader')
+      .servicesFor('reader')
       .table.read([key], neverCancelled);
     const text = rows.ok ? rows.value[0]?.value : undefined;
     return text === undefined ? 0 : JSON.parse(text).fencing;
--- a/src/features/placement/test/tableLease.test.ts
+++ b/src/features/placement/test/tableLease.test.ts
@@ -27,7 +27,7 @@
 
   constructor(count: number, settings = defaultLeaseSettings) {
     this.leases = Array.from({length: count}, (_, index) => {
-      const {table} = this.platform.portsOf(`p${index}`);
+      const {table} = this.platform.servicesFor(`p${index}`);
       const nonce = () => `n${this.nonces++}`;
       return new TableLease(
         KEY,
--- a/src/features/routing/test/brokerCluster.ts
+++ b/src/features/routing/test/brokerCluster.ts
@@ -4,7 +4,10 @@
   InstanceMember,
   UpstreamMember,
 } from '../../../infrastructure/membership/common/membershipList.js';
-import {FakeClock, settle} from '../../../../test/support/fakeClock.js';
+import {
+  FakeClock,
+  runPendingCallbacks,
+} from '../../../../test/support/fakeClock.js';
 import {
   CellAuthority,
   FailureMessage,
@@ -72,7 +75,7 @@
     let isDone = false;
     void promise.finally(() => (isDone = true));
     for (let passed = 0; passed < 10000 && !isDone; passed += 10) {
-      await settle();
+      await runPendingCallbacks();
       if (!isDone) {
         await this.clock.advanceAsync(10);
       }
--- a/src/features/services/test/serviceDispatcher.test.ts
+++ b/src/features/services/test/serviceDispatcher.test.ts
@@ -168,7 +168,7 @@
     expect(summary(result)).toBe(expected);
     expect(harness.sent).toBe(sent);
     expect(harness.released).toHaveLength(sent);
-    expect(harness.clock.pendingTimers).toBe(0);
+    expect(harness.clock.pendingTimerCount).toBe(0);
   },
 );
 
--- a/src/features/traffic/test/activeConfiguration.test.ts
+++ b/src/features/traffic/test/activeConfiguration.test.ts
@@ -72,7 +72,7 @@
     activeConfiguration.activateIfNewer(makeConfiguration());
     activeConfiguration.confirm(activeConfiguration.now());
     clock.advance(advance);
-    clock.shiftWall(shift);
+    clock.shiftWallClock(shift);
     expect(activeConfiguration.isConfirmed).toBe(isConfirmed);
   });
 
--- a/src/programs/control/test/controlCluster.ts
+++ b/src/programs/control/test/controlCluster.ts
@@ -68,7 +68,7 @@
   /** Starts an instance; replaces a running one, like a restart of the process. */
   start(id: string): ControlCore {
     this.cores.get(id)?.dispose();
-    const ports = this.platform.portsOf(id);
+    const ports = this.platform.servicesFor(id);
     const core = new ControlCore(id, this.timings, {
       ...ports,
       peers: this.connectionOf(id),
--- a/src/programs/control/test/memberFleet.ts
+++ b/src/programs/control/test/memberFleet.ts
@@ -110,7 +110,7 @@
     const spreader = new MemberGossip(state, peers, responder);
     const logger = new SilentLogger();
     const metrics = new SilentMetrics();
-    const list = this.platform.portsOf(id).membership;
+    const list = this.platform.servicesFor(id).membership;
     const tracker = new MemberTracker(
       {list, state, spreader, clock, random, logger, metrics},
       {
--- a/test/control/configurationInForce.test.ts
+++ b/test/control/configurationInForce.test.ts
@@ -2,7 +2,7 @@
 
 import {ConfigurationOperation} from '../../src/features/configuration/common/configuration.js';
 import {UpstreamMember} from '../../src/infrastructure/membership/common/membershipList.js';
-import {InstanceHandle} from '../support/systemParts.js';
+import {InstanceHandle} from '../support/systemHandles.js';
 import {LaunchedSystem} from '../support/launcher.js';
 
 /** Accepted changes must reach seven instances of real processes; prints the seconds until the last one has them. */
@@ -68,7 +68,7 @@
 ): Promise<void> {
   await Promise.all(
     system.instances.map(instance =>
-      system.until(
+      system.waitUntil(
         `${instance.id} serves revision ${revision}`,
         async () => {
           const status = await fetchStatus(instance);
@@ -98,7 +98,7 @@
   const begin = performance.now();
   await Promise.all(
     system.instances.map(instance =>
-      system.until(`${instance.id} shows ${id} ${state}`, async () => {
+      system.waitUntil(`${instance.id} shows ${id} ${state}`, async () => {
         const upstreams = (await fetchStatus(instance))?.upstreams ?? [];
         return upstreams.some(
           other => other.id === id && other.state === state,
@@ -200,7 +200,7 @@
   );
   let revision = 0;
   let sentAt = 0;
-  await system.until('a change is accepted again', async () => {
+  await system.waitUntil('a change is accepted again', async () => {
     const result = await proposeChange(system.instances[5]);
     ({revision, sentAt} = result);
     return result.status === 201;
--- a/test/placement/rollout.test.ts
+++ b/test/placement/rollout.test.ts
@@ -7,7 +7,7 @@
 import {TestClient} from '../prove/testClient.js';
 import {randomWork} from '../prove/work.js';
 import {LaunchedSystem} from '../support/launcher.js';
-import {callJson, EngineHandle} from '../support/systemParts.js';
+import {callJson, EngineHandle} from '../support/systemHandles.js';
 
 /** The real programs roll out a model version while callers send requests; prints seed, seconds and request count. */
 
@@ -103,7 +103,7 @@
       submitWhile(number, () => isLoadWanted),
     );
     const changedAt = Date.now();
-    const response = await system.administer([
+    const response = await system.proposeConfiguration([
       {
         kind: 'setModel',
         value: {
@@ -122,7 +122,11 @@
       return all.every(isServing => isServing);
     };
     await system
-      .until('version 2 is everywhere', isDone, ROLLOUT_TIMEOUT_MILLISECONDS)
+      .waitUntil(
+        'version 2 is everywhere',
+        isDone,
+        ROLLOUT_TIMEOUT_MILLISECONDS,
+      )
       .finally(() =>
         setTimeout(
           () => (isLoadWanted = false),
--- a/test/proofs/configuration.test.ts
+++ b/test/proofs/configuration.test.ts
@@ -95,7 +95,7 @@
   expect(await addAccountAt(0)).toBe(true);
   await system.platform.setFault({fault: {kind: 'down'}, part: 'table'});
   const newInstance = await system.startInstance();
-  await system.until('the new instance responds', async () => {
+  await system.waitUntil('the new instance responds', async () => {
     return (await operatorClient.sample(newInstance)) !== undefined;
   });
   const acceptedRevision = operatorClient.highestAcceptedRevision;
@@ -109,6 +109,6 @@
     expect(await isReadyWithOlderRevision()).toBe(false);
   }
   await system.platform.setFault({fault: {kind: 'clear'}});
-  await system.awaitReady([newInstance]);
+  await system.waitUntilReady([newInstance]);
   await expectInForce('one instance started during an outage');
 });
--- a/test/proofs/leaving.test.ts
+++ b/test/proofs/leaving.test.ts
@@ -48,7 +48,7 @@
       seed,
       arrivalIntervalMilliseconds: ARRIVAL_INTERVAL_MILLISECONDS,
     });
-    await system.until('the upstream is in use', async () => {
+    await system.waitUntil('the upstream is in use', async () => {
       ledgers.readNewEntries();
       return ledgers.index.arrivalTimesAt(id).length > 0;
     });
--- a/test/proofs/resubmissions.test.ts
+++ b/test/proofs/resubmissions.test.ts
@@ -30,7 +30,7 @@
       await entry.restart();
     }
   }
-  await system.awaitReady();
+  await system.waitUntilReady();
 });
 
 async function createKey(kind: KeyKind, work: Work): Promise<string> {
@@ -84,7 +84,7 @@
     await fixture.awaitBegun(otherWork);
     await first!.entry.kill();
     const exitCode = second!.entry.terminate();
-    await fixture.system.until('the instance refuses', async () => {
+    await fixture.system.waitUntil('the instance refuses', async () => {
       return !(await second!.isReady());
     });
     const refused = await fixture.submit(second!, work, key);
@@ -109,7 +109,7 @@
   );
   await fixture.awaitBegun(otherWork);
   const exitCode = first!.entry.terminate();
-  await fixture.system.until('the instance refuses', async () => {
+  await fixture.system.waitUntil('the instance refuses', async () => {
     return !(await first!.isReady());
   });
   const refused = await fixture.submit(first!, work, key);
@@ -169,7 +169,7 @@
     fixture.submit(second!, bound, boundKey),
     fixture.submit(second!, running, runningKey),
   ]);
-  await fixture.system.until('the pause is over', async () => {
+  await fixture.system.waitUntil('the pause is over', async () => {
     return Date.now() > pausedUntil;
   });
   first!.entry.resume();
--- a/test/proofs/stops.test.ts
+++ b/test/proofs/stops.test.ts
@@ -75,7 +75,7 @@
   fixture.addSubmissions(results.flatMap(({submissions}) => submissions));
   expect(fixture.violations()).toEqual([]);
   await stopping.entry.restart();
-  await fixture.system.awaitReady();
+  await fixture.system.waitUntilReady();
 });
 
 it('replacing all instances under load, no faster than callers refresh entrypoints, fails no work', async () => {
@@ -84,7 +84,7 @@
   const exitCodes: Array<number | undefined> = [];
   for (const previous of [...system.instances]) {
     const replacement = await system.startInstance();
-    await system.awaitReady([replacement]);
+    await system.waitUntilReady([replacement]);
     exitCodes.push(...(await system.stopInstance(previous)));
     await sleep(ENTRYPOINTS_MAXIMUM_AGE_MILLISECONDS);
   }
--- a/test/prove/faultInjectionRounds.ts
+++ b/test/prove/faultInjectionRounds.ts
@@ -226,7 +226,7 @@
     for (const fault of faults) {
       await fault.clear();
     }
-    await this.system.awaitReady();
+    await this.system.waitUntilReady();
     const unfinished = await Promise.all(runs);
     await sampling;
     return unfinished.flatMap(caller => caller ?? []);
--- a/test/prove/faultTestFixture.ts
+++ b/test/prove/faultTestFixture.ts
@@ -1,7 +1,7 @@
 import {LaunchedSystem} from '../support/launcher.js';
 import {sleep} from '../support/sleep.js';
 import {SystemOptions} from '../support/systemOptions.js';
-import {InstanceHandle} from '../support/systemParts.js';
+import {InstanceHandle} from '../support/systemHandles.js';
 import {checkLedgers} from './checks/checkLedgers.js';
 import {LedgerReader} from './ledgerReader.js';
 import {RecordedResponse, Submission, Work} from './observations.js';
@@ -108,7 +108,7 @@
 
   /** Resolves when an upstream has begun to run the work. */
   awaitBegun(work: Work): Promise<void> {
-    return this.system.until(
+    return this.system.waitUntil(
       `${work.businessKey} has begun`,
       async () => this.runCountOf(work) > 0,
       BEGIN_TIMEOUT_MILLISECONDS,
--- a/test/prove/faults.ts
+++ b/test/prove/faults.ts
@@ -7,7 +7,7 @@
 import {ServiceFault} from '../standins/serviceStandIn.js';
 import {LaunchedSystem} from '../support/launcher.js';
 import {ManagedProcess} from '../support/managedProcess.js';
-import {EngineHandle, ServiceHandle} from '../support/systemParts.js';
+import {EngineHandle, ServiceHandle} from '../support/systemHandles.js';
 import {LeavingWindow} from './observations.js';
 import {OperatorClient} from './operatorClient.js';
 
@@ -263,7 +263,7 @@
 ): Promise<void> {
   standIn.process.resume();
   await restartIfEnded(standIn.process);
-  await system.until(`${standIn.id} responds`, () =>
+  await system.waitUntil(`${standIn.id} responds`, () =>
     standIn.setFault({kind: 'clear'}).then(
       () => true,
       () => false,
--- a/test/prove/operatorClient.ts
+++ b/test/prove/operatorClient.ts
@@ -2,7 +2,7 @@
 
 import {Configuration} from '../../src/features/configuration/common/configuration.js';
 import {hashKey, LaunchedSystem} from '../support/launcher.js';
-import {callJson, InstanceHandle} from '../support/systemParts.js';
+import {callJson, InstanceHandle} from '../support/systemHandles.js';
 import {
   AcceptedChange,
   ConfigurationEvidence,
--- a/test/prove/systemUnderTest.ts
+++ b/test/prove/systemUnderTest.ts
@@ -26,7 +26,7 @@
     {kind: 'large', decodeMilliseconds: 3, prefillMillisecondsPerToken: 0.2},
     {kind: 'small', decodeMilliseconds: 6, prefillMillisecondsPerToken: 0.4},
   ],
-  mixedFencing: true,
+  hasMixedFencing: true,
   enginesPerProcess: 1,
   services: [{name: SERVICE, replicas: 2}],
 };
--- a/test/router/router.test.ts
+++ b/test/router/router.test.ts
@@ -3,8 +3,8 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {
-  KEY,
-  makeManifest,
+  API_KEY,
+  makeConfiguration,
   RouterInstance,
   StandInSystem,
   waitFor,
@@ -38,7 +38,7 @@
   path: string,
   {method = 'POST', headers = {}, body = ''}: RequestOptions = {},
 ): Promise<RecordedResponse> {
-  const [host, port] = instance.callers.split(':');
+  const [host, port] = instance.callerAddress.split(':');
   return new Promise((resolve, reject) => {
     const outgoing = request(
       {
@@ -52,7 +52,7 @@
           'request-id': `request-${++requestCount}`,
           'deadline-ms': '8000',
           'token-count': '100,60',
-          authorization: `Bearer ${KEY}`,
+          authorization: `Bearer ${API_KEY}`,
           ...headers,
         },
       },
@@ -119,7 +119,9 @@
       },
       body: 'body bytes',
     });
-    const lastRun = system.plain.flatMap(({runs}) => runs).at(-1)!;
+    const lastRun = system.plainReplicas
+      .flatMap(({executedRequests: runs}) => runs)
+      .at(-1)!;
     expect(response).toMatchObject({status: 200, isComplete: true});
     expect(response.headers['route-stamp']).toContain('plain-');
     expect(lastRun).toMatchObject({
@@ -180,13 +182,16 @@
   ] as const)(
     'answer $status when upstreams $behaviour on $path',
     async ({behaviour, path, status, runs}) => {
-      const runsBefore = system.plain.flatMap(replica => replica.runs).length;
-      system.plain.forEach(replica => (replica.behaviour = behaviour));
+      const runsBefore = system.plainReplicas.flatMap(
+        replica => replica.executedRequests,
+      ).length;
+      system.plainReplicas.forEach(replica => (replica.behaviour = behaviour));
       const response = await sendRequest(first, path);
-      system.plain.forEach(replica => (replica.behaviour = 'answer'));
+      system.plainReplicas.forEach(replica => (replica.behaviour = 'answer'));
       expect(response.status).toBe(status);
       expect(
-        system.plain.flatMap(replica => replica.runs).length - runsBefore,
+        system.plainReplicas.flatMap(replica => replica.executedRequests)
+          .length - runsBefore,
       ).toBe(runs);
       expect(response.headers['retry-after'] === undefined).toBe(
         status !== 503,
@@ -200,7 +205,10 @@
       WAIT_TIMEOUT_MILLISECONDS,
     );
     expect([...(await system.resolve(first, 'north'))].sort()).toEqual(
-      [system.instances[0]!.callers, system.instances[2]!.callers].sort(),
+      [
+        system.instances[0]!.callerAddress,
+        system.instances[2]!.callerAddress,
+      ].sort(),
     );
     expect(await system.resolve(first, 'south')).toHaveLength(3);
   });
@@ -226,7 +234,7 @@
   });
 
   it('apply a new configuration and refuse a revoked key', async () => {
-    const {Tenants: accounts, ...rest} = makeManifest(2);
+    const {Tenants: accounts, ...rest} = makeConfiguration(2);
     system.store.put('op', 'config', {
       ...rest,
       Tenants: [...accounts, {Name: 'account-2', ApiKeys: ['second-key']}],
@@ -237,7 +245,7 @@
         (await sendRequest(first, '/look/', {headers})).status === 200,
       WAIT_TIMEOUT_MILLISECONDS,
     );
-    system.store.put('op', 'config', makeManifest(3));
+    system.store.put('op', 'config', makeConfiguration(3));
     await waitFor(
       async () =>
         (await sendRequest(first, '/look/', {headers})).status === 401,
@@ -254,25 +262,25 @@
 
   it('keep the last valid configuration when a new one is malformed', async () => {
     system.store.put('op', 'config', {
-      ...makeManifest(4),
+      ...makeConfiguration(4),
       Routes: [{Name: 'broken'}],
     });
     await sleep(300);
     expect((await sendRequest(first, '/look/')).status).toBe(200);
     expect(first.process.log()).toContain('Routes.0.Host');
-    system.store.put('op', 'config', makeManifest(5));
+    system.store.put('op', 'config', makeConfiguration(5));
   });
 
   it('send no new requests to a leaving upstream', async () => {
-    const [leaving] = system.plain;
-    leaving!.list('draining');
+    const [leaving] = system.plainReplicas;
+    leaving!.publishRow('draining');
     await sleep(1_500);
-    const runsBefore = leaving!.runs.length;
+    const runsBefore = leaving!.executedRequests.length;
     for (let index = 0; index < 10; index++) {
       expect((await sendRequest(first, '/book/')).status).toBe(200);
     }
-    expect(leaving!.runs.length).toBe(runsBefore);
-    leaving!.list('ready');
+    expect(leaving!.executedRequests.length).toBe(runsBefore);
+    leaving!.publishRow('ready');
   });
 
   it.each(['crash', 'dark'])(
@@ -284,12 +292,14 @@
       await sleep(120);
       const failedEngine = system.engines.engines.find(
         engine =>
-          engine.isRunning && !engine.isDark && engine.holds({From: 5, To: 6}),
+          engine.isRunning &&
+          !engine.isUnresponsive &&
+          engine.holds({From: 5, To: 6}),
       );
       if (kind === 'crash') {
         failedEngine!.crash();
       } else {
-        failedEngine!.isDark = true;
+        failedEngine!.isUnresponsive = true;
       }
       for (const response of await Promise.all(requests)) {
         expect(response).toMatchObject({status: 200, isComplete: true});
@@ -306,7 +316,9 @@
     await sleep(120);
     const failedEngine = system.engines.engines.find(
       engine =>
-        engine.isRunning && !engine.isDark && engine.holds({From: 5, To: 6}),
+        engine.isRunning &&
+        !engine.isUnresponsive &&
+        engine.holds({From: 5, To: 6}),
     )!;
     const restarted = await failedEngine.restart();
     for (const response of await Promise.all(requests)) {
@@ -338,7 +350,9 @@
     expect(await exitCode).toBe(0);
     await waitFor(
       async () =>
-        !(await system.resolve(first, 'north')).includes(stopping.callers),
+        !(await system.resolve(first, 'north')).includes(
+          stopping.callerAddress,
+        ),
       WAIT_TIMEOUT_MILLISECONDS,
     );
     await waitFor(() => !stopping.process.isRunning, WAIT_TIMEOUT_MILLISECONDS);
@@ -363,12 +377,12 @@
   });
 
   it('apply changes after the store has discarded its change history', async () => {
-    system.store.forgetHistory();
+    system.store.discardHistory();
     system.store.put(
       'op',
       'config',
-      makeManifest(9, {
-        Tenants: [{Name: 'account-9', ApiKeys: [KEY, 'ninth']}],
+      makeConfiguration(9, {
+        Tenants: [{Name: 'account-9', ApiKeys: [API_KEY, 'ninth']}],
       }),
     );
     const headers = {authorization: 'Bearer ninth'};
--- a/test/standins/engineStandIn.ts
+++ b/test/standins/engineStandIn.ts
@@ -198,7 +198,7 @@
 
   private async step(request: StandInRequest): Promise<StandInResponse> {
     const step = JSON.parse(request.text) as StepRequest;
-    const fault = this.faults.strike(
+    const fault = this.faults.takeFault(
       {request: step.requestId},
       candidate => !candidate.kind.startsWith('import'),
     );
@@ -263,7 +263,7 @@
 
   private async importCache(request: StandInRequest): Promise<StandInResponse> {
     const {requestId, epoch, reference} = JSON.parse(request.text);
-    const fault = this.faults.strike({request: requestId}, candidate =>
+    const fault = this.faults.takeFault({request: requestId}, candidate =>
       candidate.kind.startsWith('import'),
     );
     if (fault?.kind === 'importStale') {
--- a/test/standins/faultList.ts
+++ b/test/standins/faultList.ts
@@ -30,7 +30,7 @@
   }
 
   /** The fault that applies to a request, if any; reduces its remaining count by one. */
-  strike(
+  takeFault(
     attributes: RequestAttributes,
     accept: (fault: F) => boolean = () => true,
   ): F | undefined {
--- a/test/standins/fleet/layeredEngine.ts
+++ b/test/standins/fleet/layeredEngine.ts
@@ -78,7 +78,7 @@
   private readonly startedAt = Date.now();
   isRunning = true;
   /** Accepts connections but sends no responses or events. */
-  isDark = false;
+  isUnresponsive = false;
   isLeaving = false;
 
   constructor(
@@ -153,7 +153,7 @@
     response: ServerResponse,
   ): Promise<void> {
     const body = await readBody(request);
-    if (this.isDark) {
+    if (this.isUnresponsive) {
       return;
     }
     const expected = request.headers['expect-instance'];
@@ -261,7 +261,10 @@
         clearInterval(timer);
         return;
       }
-      if (this.isDark || this.findFaultyAddress(stream.path) !== undefined) {
+      if (
+        this.isUnresponsive ||
+        this.findFaultyAddress(stream.path) !== undefined
+      ) {
         return;
       }
       response.write(`id: ${event}\ndata: piece ${event}\n\n`);
@@ -284,7 +287,7 @@
       if (
         hop.From !== layer ||
         engine === undefined ||
-        engine.isDark ||
+        engine.isUnresponsive ||
         !engine.holds(hop)
       ) {
         return hop.address;
--- a/test/standins/fleet/plainReplica.ts
+++ b/test/standins/fleet/plainReplica.ts
@@ -14,7 +14,7 @@
 
 /** A replica of a plain service that records the requests that it executes. */
 export class PlainReplica implements Disposable {
-  readonly runs: ExecutedRequest[] = [];
+  readonly executedRequests: ExecutedRequest[] = [];
   private readonly server: Server;
   /** How the replica handles requests: `refuse` does not execute them, `mute` executes but does not respond. */
   behaviour: 'answer' | 'fail' | 'refuse' | 'mute' = 'answer';
@@ -35,7 +35,7 @@
           response.writeHead(503, {'not-run': '1', 'request-id': id}).end();
           return;
         }
-        this.runs.push({
+        this.executedRequests.push({
           method: request.method ?? '',
           target: request.url ?? '',
           headers: request.rawHeaders,
@@ -56,11 +56,11 @@
     await new Promise<void>(resolve =>
       this.server.listen(port, host, () => resolve()),
     );
-    this.list('ready');
+    this.publishRow('ready');
   }
 
   /** Publishes the replica's row in the store. */
-  list(state: 'ready' | 'draining'): void {
+  publishRow(state: 'ready' | 'draining'): void {
     this.store.put('servers', this.id, {
       Service: this.service,
       Addr: this.address,
--- a/test/standins/fleet/rowStore.ts
+++ b/test/standins/fleet/rowStore.ts
@@ -92,7 +92,7 @@
   }
 
   /** Discards the change history; feeds that start before now get status 410. */
-  forgetHistory(): void {
+  discardHistory(): void {
     this.history.length = 0;
     this.forgottenVersion = this.version;
   }
--- a/test/standins/fleet/system.ts
+++ b/test/standins/fleet/system.ts
@@ -30,17 +30,17 @@
 /** A router instance in its own process; addresses are `IP:port`. */
 export interface RouterInstance {
   readonly name: string;
-  readonly callers: string;
-  readonly readiness: string;
-  readonly directory: string;
+  readonly callerAddress: string;
+  readonly readinessAddress: string;
+  readonly directoryAddress: string;
   readonly process: ManagedProcess;
 }
 
 /** The API key of the configured account. */
-export const KEY = 'good-key';
+export const API_KEY = 'good-key';
 
 /** The configuration that operators publish; `fields` replaces top-level fields. */
-export function makeManifest(
+export function makeConfiguration(
   version: number,
   fields: Readonly<Record<string, unknown>> = {},
 ) {
@@ -121,7 +121,7 @@
       HeaderTimeoutMs: 3000,
       IdleTimeoutMs: 15_000,
     },
-    Tenants: [{Name: 'account-1', ApiKeys: [KEY]}],
+    Tenants: [{Name: 'account-1', ApiKeys: [API_KEY]}],
     ...fields,
   };
 }
@@ -132,7 +132,7 @@
   private readonly directory = mkdtempSync(join(tmpdir(), 'redwing-router-'));
   private readonly supervisor = new ProcessSupervisor(this.directory);
   readonly instances: RouterInstance[] = [];
-  readonly plain: PlainReplica[] = [];
+  readonly plainReplicas: PlainReplica[] = [];
   readonly store: RowStore;
   readonly engines: EngineFleet;
 
@@ -200,9 +200,9 @@
     const started = this.supervisor.start(name, BUNDLED_ROUTER, file);
     const instance = {
       name,
-      callers: listen.Front,
-      readiness: listen.Ready,
-      directory: listen.Directory,
+      callerAddress: listen.Front,
+      readinessAddress: listen.Ready,
+      directoryAddress: listen.Directory,
       process: started,
     };
     this.instances.push(instance);
@@ -215,7 +215,7 @@
     zone: string,
   ): Promise<readonly string[]> {
     const answer = await fetch(
-      `http://${instance.directory}/resolve?Name=host.example&Region=region&Zone=${zone}`,
+      `http://${instance.directoryAddress}/resolve?Name=host.example&Region=region&Zone=${zone}`,
     );
     const body = (await answer.json()) as {Addrs?: readonly string[]};
     return body.Addrs ?? [];
@@ -224,7 +224,8 @@
   async isReady(instance: RouterInstance): Promise<boolean> {
     try {
       return (
-        (await fetch(`http://${instance.readiness}/readyz`)).status === 200
+        (await fetch(`http://${instance.readinessAddress}/readyz`)).status ===
+        200
       );
     } catch {
       return false;
@@ -233,7 +234,7 @@
 
   private async startAll(instanceCount: number): Promise<void> {
     await this.store.start();
-    this.store.put('op', 'config', makeManifest(1));
+    this.store.put('op', 'config', makeConfiguration(1));
     for (const zone of ['north', 'south']) {
       for (const [index, kind] of [
         'big',
@@ -255,7 +256,7 @@
         this.takeAddress(),
         zone,
       );
-      this.plain.push(this.owned.add(replica));
+      this.plainReplicas.push(this.owned.add(replica));
       await replica.start();
     }
     for (let index = 0; index < instanceCount; index++) {
@@ -264,7 +265,7 @@
     await waitFor(
       () => this.hasStarted(),
       START_MILLISECONDS,
-      () => this.supervisor.tails(),
+      () => this.supervisor.readLogTails(),
     );
     this.owned.add(toDisposable(() => undefined));
   }
--- a/test/standins/platform.test.ts
+++ b/test/standins/platform.test.ts
@@ -83,7 +83,7 @@
 
 describe('table transactions follow the same rules in memory and over HTTP', () => {
   const stores: ReadonlyArray<readonly [string, () => TableService]> = [
-    ['in memory', () => new InMemoryPlatform().portsOf().table],
+    ['in memory', () => new InMemoryPlatform().servicesFor().table],
     ['over HTTP', () => table],
   ];
   it.each(stores)('%s', async (name, create) => {
@@ -153,7 +153,7 @@
     'in memory: a write under fault %j has the outcome %s, then reads %s',
     async (fault, kind, value) => {
       const shared = new InMemoryPlatform();
-      const store = shared.portsOf('a').table;
+      const store = shared.servicesFor('a').table;
       shared.addFault(fault as MemoryFault, {instance: 'a', times: 1});
       const result = await store.transact(
         [put('k', 'v')],
@@ -161,7 +161,7 @@
         neverCancelled,
       );
       expect(!result.ok && result.error.kind).toBe(kind);
-      expect(await values(shared.portsOf('b').table, 'k')).toEqual([value]);
+      expect(await values(shared.servicesFor('b').table, 'k')).toEqual([value]);
     },
   );
 
--- a/test/standins/platformStandIn.ts
+++ b/test/standins/platformStandIn.ts
@@ -4,7 +4,7 @@
 } from '../../src/base/common/lifecycle.js';
 import {Member} from '../../src/infrastructure/membership/common/membershipList.js';
 import {WeightManifest} from '../../src/infrastructure/weights/common/weightStore.js';
-import {CallCounter} from './callCounter.js';
+import {RequestCounter} from './requestCounter.js';
 import {FaultList} from './faultList.js';
 import {Ledger} from './ledger.js';
 import {
@@ -85,7 +85,7 @@
   private readonly visibleMembers = new Map<string, Member>();
   private readonly faults = new FaultList<PlatformFault>();
   private readonly servers = new Map<PlatformServiceName, StandInServer>();
-  private readonly counters = new Map<string, CallCounter>();
+  private readonly counters = new Map<string, RequestCounter>();
   private readonly ledger: Ledger<PlatformLedgerEntry>;
   private readonly operations: PlatformOperations;
   private readonly faultServer: StandInServer;
@@ -190,7 +190,7 @@
     const isLimited = service === 'table' || service === 'objects';
     const limits = {write: WRITES_PER_SECOND, read: READS_PER_SECOND};
     for (const [access, limit] of Object.entries(limits)) {
-      const counter = new CallCounter(isLimited ? limit : Infinity);
+      const counter = new RequestCounter(isLimited ? limit : Infinity);
       this.counters.set(`${service} ${access}`, counter);
     }
   }
@@ -205,7 +205,7 @@
     }
     const instance = String(request.headers['redwing-instance'] ?? '');
     const {access} = operation;
-    const fault = this.faults.strike({part: service, instance, access});
+    const fault = this.faults.takeFault({part: service, instance, access});
     switch (fault?.kind) {
       case 'down':
       case 'requestLost':
--- a/test/standins/referenceModel.ts
+++ b/test/standins/referenceModel.ts
@@ -50,7 +50,7 @@
 }
 
 /** The hash of a token that enters the first layer. */
-export function embed(token: string): number {
+export function hashToken(token: string): number {
   let hash = HASH_START;
   for (let index = 0; index < token.length; index++) {
     hash = Math.imul(hash ^ token.charCodeAt(index), HASH_PRIME);
@@ -75,7 +75,7 @@
 }
 
 /** The generated token for the last layer's hash of a position. */
-export function tokenOf(hash: number): string {
+export function tokenFromHash(hash: number): string {
   const syllables = [];
   for (let index = 0; index < SYLLABLES; index++) {
     const bits = (hash >>> (index * SYLLABLE_BITS)) & 63;
@@ -107,7 +107,7 @@
     }
   }
   return (
-    MIN_REPLY_TOKENS + (embed(prompt.join(' ')) % REPLY_LENGTH_RANGE_TOKENS)
+    MIN_REPLY_TOKENS + (hashToken(prompt.join(' ')) % REPLY_LENGTH_RANGE_TOKENS)
   );
 }
 
@@ -156,7 +156,7 @@
   let newTokens = promptTokens;
   while (tokens.length < maximumOutputTokens) {
     const hash = runLayers(caches, from, newTokens);
-    const token = tokenOf(hash);
+    const token = tokenFromHash(hash);
     tokens.push(token);
     from += newTokens.length;
     if (remainingTokens(plan, from) <= 1) {
@@ -172,7 +172,7 @@
   from: number,
   tokens: readonly string[],
 ): number {
-  let hashes: readonly number[] = tokens.map(embed);
+  let hashes: readonly number[] = tokens.map(hashToken);
   caches.forEach((cache, layer) => {
     hashes = applyLayer(layer, cache, from, hashes);
   });
--- a/test/standins/callCounter.ts
+++ b/test/standins/requestCounter.ts
@@ -1,5 +1,5 @@
 /** Counts of the requests of one kind. */
-export interface CallCounts {
+export interface RequestCounts {
   readonly total: number;
   readonly peakPerSecond: number;
   /** Requests refused by the rate limit; not included in the total. */
@@ -7,7 +7,7 @@
 }
 
 /** Counts requests in windows of one second and enforces a rate limit. */
-export class CallCounter {
+export class RequestCounter {
   private total = 0;
   private peak = 0;
   private refused = 0;
@@ -33,7 +33,7 @@
     return true;
   }
 
-  get counts(): CallCounts {
+  get counts(): RequestCounts {
     const {total, peak, refused} = this;
     return {total, peakPerSecond: peak, refused};
   }
--- a/test/standins/serviceStandIn.ts
+++ b/test/standins/serviceStandIn.ts
@@ -118,7 +118,7 @@
   }
 
   private async serve(request: StandInRequest): Promise<StandInResponse> {
-    const fault = this.faults.strike({});
+    const fault = this.faults.takeFault({});
     if (fault?.kind === 'requestLost') {
       return {kind: 'disconnect'};
     }
--- a/test/standins/stepComputation.ts
+++ b/test/standins/stepComputation.ts
@@ -6,12 +6,12 @@
 import {
   applyLayer,
   decodeActivation,
-  embed,
+  hashToken,
   encodeActivation,
   isReplyToken,
   planReply,
   remainingTokens,
-  tokenOf,
+  tokenFromHash,
 } from './referenceModel.js';
 import {Sequence} from './sequences.js';
 
@@ -32,7 +32,7 @@
     const data = encodeActivation({remaining, hashes});
     return {kind: 'activation', data};
   }
-  const token = tokenOf(hashes.at(-1) ?? 0);
+  const token = tokenFromHash(hashes.at(-1) ?? 0);
   return {kind: 'token', token, endOfText: remaining <= 1};
 }
 
@@ -63,7 +63,9 @@
   if (input.kind === 'activation') {
     return decodeActivation(input.data, count)?.hashes;
   }
-  return input.tokens.length === count ? input.tokens.map(embed) : undefined;
+  return input.tokens.length === count
+    ? input.tokens.map(hashToken)
+    : undefined;
 }
 
 /** Whether a step is prefill rather than decode. */
--- a/test/support/fakeClock.test.ts
+++ b/test/support/fakeClock.test.ts
@@ -16,5 +16,5 @@
   clock.setTimer(1, recordAs('overdue'));
   clock.pause(50);
   expect(seen.slice(1)).toEqual(['late 20', 'overdue 70']);
-  expect(clock.pendingTimers).toBe(0);
+  expect(clock.pendingTimerCount).toBe(0);
 });
--- a/test/support/fakeClock.ts
+++ b/test/support/fakeClock.ts
@@ -37,12 +37,12 @@
   }
 
   /** Number of timers that have not run yet. */
-  get pendingTimers(): number {
+  get pendingTimerCount(): number {
     return this.timers.size;
   }
 
   /** Shifts the wall clock but not the monotonic clock, as a manual or NTP adjustment does. */
-  shiftWall(milliseconds: number): void {
+  shiftWallClock(milliseconds: number): void {
     this.wallOffset += milliseconds;
   }
 
@@ -58,12 +58,12 @@
   /** Advances time and lets promise callbacks run after each timer. */
   async advanceAsync(milliseconds: number): Promise<void> {
     const end = this.now + milliseconds;
-    await settle();
+    await runPendingCallbacks();
     while (this.runNextTimer(end)) {
-      await settle();
+      await runPendingCallbacks();
     }
     this.now = end;
-    await settle();
+    await runPendingCallbacks();
   }
 
   /** Simulates a suspended process: time passes first, and all due timers run late, at the end. */
@@ -102,6 +102,6 @@
 }
 
 /** Yields until pending promise callbacks and already queued immediates have run. */
-export function settle(): Promise<void> {
+export function runPendingCallbacks(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/test/support/inMemoryPlatform.ts
+++ b/test/support/inMemoryPlatform.ts
@@ -63,7 +63,7 @@
 };
 
 /** The platform services as one instance sees them. */
-export interface PlatformPorts {
+export interface PlatformServices {
   readonly table: TableService;
   readonly objects: ObjectStore;
   readonly membership: MembershipList;
@@ -83,7 +83,7 @@
   constructor(private readonly clock: Clock = new SystemClock()) {}
 
   /** Services over the shared state for one instance; its name selects the faults that apply. */
-  portsOf(instance = 'instance'): PlatformPorts {
+  servicesFor(instance = 'instance'): PlatformServices {
     return {
       table: new InMemoryTable(this, instance),
       objects: new InMemoryObjects(this, instance),
@@ -112,7 +112,7 @@
     if (token.isCancelled) {
       return failure({kind: 'unavailable', detail: 'cancelled before sending'});
     }
-    const fault = this.faults.strike(call);
+    const fault = this.faults.takeFault(call);
     const countAndApply = (): T => {
       this.count(call.access);
       return effect();
--- a/test/support/launcher.test.ts
+++ b/test/support/launcher.test.ts
@@ -11,7 +11,7 @@
 import {HttpMembershipList} from '../../src/infrastructure/membership/node/httpMembershipList.js';
 import {hashKey, LaunchedSystem} from './launcher.js';
 import {repositoryRoot} from './managedProcess.js';
-import {callJson} from './systemParts.js';
+import {callJson} from './systemHandles.js';
 
 let system: LaunchedSystem | undefined;
 
@@ -29,8 +29,8 @@
     ],
     layerCount: 5,
     replicas: 3,
-    farLinkMilliseconds: 7,
-    mixedFencing: true,
+    crossDataCentreLinkMilliseconds: 7,
+    hasMixedFencing: true,
     services: [{name: 'dispatch', replicas: 2}],
   });
   const address = system.platformSettings.membershipAddress;
@@ -87,7 +87,7 @@
   const down = await connection.report(neverCancelled);
   expect(down.ok).toBe(false);
   await engine!.process.restart();
-  await system.until('the engine is back', async () => {
+  await system.waitUntil('the engine is back', async () => {
     const report = await connection.report(neverCancelled);
     return report.ok;
   });
--- a/test/support/launcher.ts
+++ b/test/support/launcher.ts
@@ -20,7 +20,7 @@
 import {
   ManagedProcess,
   ProcessSupervisor,
-  requireBuild,
+  assertBuilt,
 } from './managedProcess.js';
 import {freeAddresses} from './ports.js';
 import {
@@ -33,10 +33,10 @@
   callJson,
   EngineHandle,
   InstanceHandle,
-  JsonAnswer,
+  JsonResponse,
   PlatformHandle,
   ServiceHandle,
-} from './systemParts.js';
+} from './systemHandles.js';
 import {
   OPERATORS_FILE,
   PEER_KEY_FILE,
@@ -87,7 +87,7 @@
     operations: readonly ConfigurationOperation[] = [],
   ): Promise<LaunchedSystem> {
     // Checked before anything is created that would need cleanup.
-    requireBuild();
+    assertBuilt();
     const system = new LaunchedSystem(options);
     try {
       await system.start(operations);
@@ -190,29 +190,32 @@
   }
 
   /** Waits until instances accept new requests; all instances by default. */
-  async awaitReady(
+  async waitUntilReady(
     instances: readonly InstanceHandle[] = this.instanceList,
   ): Promise<void> {
     await Promise.all(
       instances.map(instance =>
-        this.until(`${instance.id} is ready`, () => instance.isReady()),
+        this.waitUntil(`${instance.id} is ready`, () => instance.isReady()),
       ),
     );
   }
 
   /** Proposes a configuration change, and retries refused connections and status 503 while programs start. */
-  async administer(
+  async proposeConfiguration(
     operations: readonly ConfigurationOperation[],
     instance: InstanceHandle | undefined = this.instanceList[0],
-  ): Promise<JsonAnswer> {
+  ): Promise<JsonResponse> {
     const address = instance?.member.controlAddress ?? '';
     const url = `http://${address}/v1/configuration/revisions`;
     const headers = {authorization: `Bearer ${this.operatorKey}`};
-    let response: JsonAnswer | undefined;
-    await this.until('the configuration change gets a response', async () => {
-      response = await postJson(url, {operations}, headers);
-      return response !== undefined && response.status !== 503;
-    });
+    let response: JsonResponse | undefined;
+    await this.waitUntil(
+      'the configuration change gets a response',
+      async () => {
+        response = await postJson(url, {operations}, headers);
+        return response !== undefined && response.status !== 503;
+      },
+    );
     return response ?? {status: 0, body: undefined};
   }
 
@@ -223,7 +226,7 @@
   }
 
   /** Polls until a condition holds; throws an error that names the condition after the timeout. */
-  async until(
+  async waitUntil(
     description: string,
     condition: () => Promise<boolean>,
     timeoutMilliseconds = READY_TIMEOUT_MILLISECONDS,
@@ -259,14 +262,14 @@
     }
     if (operations.length > 0) {
       await this.applyOperations(operations);
-      await this.awaitReady();
+      await this.waitUntilReady();
     }
   }
 
   private async applyOperations(
     operations: readonly ConfigurationOperation[],
   ): Promise<void> {
-    const response = await this.administer(operations);
+    const response = await this.proposeConfiguration(operations);
     if (response.status >= 300) {
       const body = JSON.stringify(response.body);
       throw new Error(
@@ -398,7 +401,7 @@
 
   /** Waits for the fault port of a stand-in, which responds only once all its ports listen. */
   private waitForStandIn(faultAddress: string): Promise<void> {
-    return this.until(`${faultAddress} responds`, async () => {
+    return this.waitUntil(`${faultAddress} responds`, async () => {
       const url = `http://${faultAddress}/ready`;
       return (await getJson(url)) !== undefined;
     });
@@ -409,12 +412,12 @@
   }
 
   private logTails(): string {
-    return this.supervisor.tails();
+    return this.supervisor.readLogTails();
   }
 }
 
 /** Returns undefined if the connection is refused. */
-async function getJson(url: string): Promise<JsonAnswer | undefined> {
+async function getJson(url: string): Promise<JsonResponse | undefined> {
   return callJson('GET', url).catch(ignoreConnectionRefused);
 }
 
@@ -423,7 +426,7 @@
   url: string,
   body: unknown,
   headers: Readonly<Record<string, string>>,
-): Promise<JsonAnswer | undefined> {
+): Promise<JsonResponse | undefined> {
   return callJson('POST', url, body, headers).catch(ignoreConnectionRefused);
 }
 
--- a/test/support/managedProcess.ts
+++ b/test/support/managedProcess.ts
@@ -51,7 +51,7 @@
   }
 
   /** Last lines of each log, for the error message of a failed start. */
-  tails(): string {
+  readLogTails(): string {
     const tail = (started: ManagedProcess): string =>
       started.log().split('\n').slice(-LOG_TAIL_LINES).join('\n');
     return [...this.processes]
@@ -169,7 +169,7 @@
 }
 
 /** Throws an error if the programs are not built. */
-export function requireBuild(): void {
+export function assertBuilt(): void {
   builtProgramPath(WATCHDOG_PROGRAM);
 }
 
--- a/test/support/systemParts.ts
+++ b/test/support/systemHandles.ts
@@ -6,7 +6,7 @@
   InstanceMember,
   UpstreamMember,
 } from '../../src/infrastructure/membership/common/membershipList.js';
-import {CallCounts} from '../standins/callCounter.js';
+import {RequestCounts} from '../standins/requestCounter.js';
 import {
   EngineFaultCommand,
   EngineLedgerEntry,
@@ -29,7 +29,7 @@
 const CALL_TIMEOUT_MILLISECONDS = 5000;
 
 /** Status and parsed body of an HTTP response; the body is text if it is not valid JSON. */
-export interface JsonAnswer {
+export interface JsonResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -40,7 +40,7 @@
   url: string,
   body?: unknown,
   headers: Readonly<Record<string, string>> = {},
-): Promise<JsonAnswer> {
+): Promise<JsonResponse> {
   const response = await request(url, {
     method,
     headers: {'content-type': 'application/json', ...headers},
@@ -86,12 +86,12 @@
   }
 
   /** Call counts, keyed by service and access, for example `table write`. */
-  async counts(): Promise<Readonly<Record<string, CallCounts>>> {
+  async counts(): Promise<Readonly<Record<string, RequestCounts>>> {
     const response = await callJson(
       'GET',
       `http://${this.faultAddress}/counts`,
     );
-    return response.body as Record<string, CallCounts>;
+    return response.body as Record<string, RequestCounts>;
   }
 
   resetCounts(): Promise<void> {
--- a/test/support/systemOptions.ts
+++ b/test/support/systemOptions.ts
@@ -40,11 +40,11 @@
   readonly accelerators: readonly AcceleratorOptions[];
   readonly sequenceLimit: number;
   /** Whether the engines of every second replica ignore fencing numbers. */
-  readonly mixedFencing: boolean;
+  readonly hasMixedFencing: boolean;
   /** One-way latency between engines of the same data centre, and from callers to engines. */
   readonly linkMilliseconds: number;
   /** One-way latency between engines of different data centres. */
-  readonly farLinkMilliseconds: number;
+  readonly crossDataCentreLinkMilliseconds: number;
   /** Number of engines that share a process; with 1, each engine can be killed on its own. */
   readonly enginesPerProcess: number;
   readonly services: readonly ServiceOptions[];
@@ -77,9 +77,9 @@
     },
   ],
   sequenceLimit: 8,
-  mixedFencing: false,
+  hasMixedFencing: false,
   linkMilliseconds: 0,
-  farLinkMilliseconds: 0,
+  crossDataCentreLinkMilliseconds: 0,
   enginesPerProcess: 16,
   services: [{name: 'dispatch', replicas: 1}],
   policy: 'redwing',
--- a/test/support/systemSettings.ts
+++ b/test/support/systemSettings.ts
@@ -44,7 +44,7 @@
       version: options.version,
       adapters: options.adapters,
       layers: {from: firstLayerOf(stage), to: firstLayerOf(stage + 1)},
-      checksFencing: !(options.mixedFencing && replica % 2 === 1),
+      checksFencing: !(options.hasMixedFencing && replica % 2 === 1),
       sequenceLimit: options.sequenceLimit,
       decodeMilliseconds: accelerator?.decodeMilliseconds ?? 5,
       prefillMillisecondsPerToken:
@@ -141,14 +141,15 @@
   ): Readonly<Record<string, number>> {
     const {options} = this;
     const links: Record<string, number> = {};
-    if (options.farLinkMilliseconds === options.linkMilliseconds) {
+    if (options.crossDataCentreLinkMilliseconds === options.linkMilliseconds) {
       return links;
     }
     const location = this.dataCentreOf(replica);
     for (let other = 0; other < options.replicas; other++) {
       if (this.dataCentreOf(other) !== location) {
         for (let stage = 0; stage < options.stagesPerReplica; stage++) {
-          links[engineId(other, stage)] = options.farLinkMilliseconds;
+          links[engineId(other, stage)] =
+            options.crossDataCentreLinkMilliseconds;
         }
       }
     }
