--- a/src/features/fleet/common/suspicionTracker.ts
+++ b/src/features/fleet/common/suspicionTracker.ts
@@ -9,7 +9,7 @@
   | 'reset'
   | 'silent'
   | 'namedByUpstream'
-  /** It answers, but refused work or was named in a refusal as the upstream that cannot take it. */
+  /** The upstream responds, but refused work or was named in a refusal as the one that cannot take it. */
   | 'refusing'
   | 'misdirected'
   | 'toldByPeer';
--- a/src/features/fleet/common/upstreamLoadTracker.ts
+++ b/src/features/fleet/common/upstreamLoadTracker.ts
@@ -53,7 +53,7 @@
     this.updatePeerTotals(receivedAt);
   }
 
-  /** The load on an upstream from this instance and the peers heard of recently. */
+  /** The load on an upstream from this instance and the peers that reported recently. */
   totalOf(upstream: string): RequestLoad {
     const own = this.own.get(upstream) ?? NO_LOAD;
     const others = this.peerTotals.get(upstream) ?? NO_LOAD;
--- a/src/features/fleet/test/fleet.test.ts
+++ b/src/features/fleet/test/fleet.test.ts
@@ -128,23 +128,31 @@
   );
 
   it.each([
-    {reasons: ['refusing', 'silent'], told: ['refusing', 'silent'], lost: true},
-    {reasons: ['refusing', 'reset'], told: ['refusing', 'reset'], lost: true},
-    {reasons: ['refusing', 'refusing'], told: ['refusing'], lost: false},
-    {reasons: ['silent', 'refusing'], told: ['silent'], lost: true},
-    {reasons: ['silent', 'reset'], told: ['silent'], lost: true},
+    {
+      reasons: ['refusing', 'silent'],
+      notified: ['refusing', 'silent'],
+      lost: true,
+    },
+    {
+      reasons: ['refusing', 'reset'],
+      notified: ['refusing', 'reset'],
+      lost: true,
+    },
+    {reasons: ['refusing', 'refusing'], notified: ['refusing'], lost: false},
+    {reasons: ['silent', 'refusing'], notified: ['silent'], lost: true},
+    {reasons: ['silent', 'reset'], notified: ['silent'], lost: true},
   ] as const)(
-    'raised for $reasons in a row fire events for $told',
-    async ({reasons, told, lost}) => {
+    'raised for $reasons in a row fire events for $notified',
+    async ({reasons, notified, lost}) => {
       const suspicions = new SuspicionTracker(
         new FakeClock(),
         new SilentLogger(),
       );
-      const heard: string[] = [];
-      suspicions.onDidSuspect(({reason}) => heard.push(reason));
+      const notifiedReasons: string[] = [];
+      suspicions.onDidSuspect(({reason}) => notifiedReasons.push(reason));
       reasons.forEach(reason => suspicions.suspect('one', reason, {}));
       await flushMicrotasks();
-      expect(heard).toEqual(told);
+      expect(notifiedReasons).toEqual(notified);
       expect(suspicions.isLost('one')).toBe(lost);
     },
   );
@@ -180,7 +188,7 @@
     expect(load.totalOf('one')).toEqual({requests: 3, tokenLayers: 65});
   });
 
-  it('excludes peers that were not heard of recently', () => {
+  it('excludes peers that have not reported recently', () => {
     const load = new UpstreamLoadTracker();
     load.setPeerLoad(
       'a',
@@ -198,18 +206,18 @@
     () => new SlownessTracker(clock, new SilentLogger()),
   );
   peers[0]!.recordOwn('one', 12);
-  const talk = (): void => {
-    for (const teller of peers) {
+  const exchangeFactors = (): void => {
+    for (const sender of peers) {
       peers.forEach(peer =>
-        teller.own.forEach(news => peer.recordFromPeer(news)),
+        sender.own.forEach(reading => peer.recordFromPeer(reading)),
       );
     }
   };
-  talk();
+  exchangeFactors();
   expect(peers.map(peer => peer.isSlow('one'))).toEqual([true, true, true]);
   for (let passed = 0; passed < 12; passed++) {
     clock.advance(500);
-    talk();
+    exchangeFactors();
   }
   expect(peers.map(peer => peer.factorOf('one'))).toEqual([1, 1, 1]);
 });
--- a/src/features/forwarding/common/forwardingSettings.ts
+++ b/src/features/forwarding/common/forwardingSettings.ts
@@ -17,8 +17,8 @@
   readonly repathMilliseconds: number;
   /**
    * Silence after which a stream is restarted although other streams progress through all its upstreams:
-   * its connection may be dead without having been closed. Long, since streams also wait for room and for
-   * their turn.
+   * its connection may be dead without having been closed. Long, since streams also wait for capacity and
+   * for prefill.
    */
   readonly giveUpSilenceMilliseconds: number;
   /** Interval between checks for silent streams. */
--- a/src/features/forwarding/common/pathWait.ts
+++ b/src/features/forwarding/common/pathWait.ts
@@ -13,14 +13,14 @@
 }
 
 /**
- * Maximum wait of a request that may have been executed and of which its caller has received nothing. It
- * can only fail otherwise, and the layers of a lost upstream load in one to two seconds.
+ * Maximum wait of a request that may have been executed and of which its caller has received nothing. Without a
+ * path it can only fail, and the layers of a lost upstream load in one to two seconds.
  */
 const UNKNOWN_OUTCOME_WAIT_MILLISECONDS = 1_800;
 
 /**
  * Maximum wait of a request that was certainly not executed, as a share of the latency target. Streams end
- * constantly, so room appears within some ten milliseconds if load is merely uneven; under overload its
+ * constantly, so capacity appears within some ten milliseconds if load is merely uneven; under overload its
  * caller is better told at once when to retry.
  */
 const NOT_RUN_WAIT_SHARE = 1 / 8;
--- a/src/features/forwarding/common/retryAfter.ts
+++ b/src/features/forwarding/common/retryAfter.ts
@@ -8,7 +8,7 @@
   | 'noUpstream'
   /** At least one layer of the model is held by no usable upstream. */
   | 'noLayers'
-  /** No path has room. */
+  /** No path has capacity for the request. */
   | 'noRoom'
   /** Every upstream that was tried refused the request. */
   | 'refused'
@@ -21,7 +21,7 @@
  * Base delay for each reason, from the time until its cause ends. A confirmation is retried at once, and
  * calls to the store are limited to less than a second. A lost upstream is replaced or probed again after
  * half a second. The layers of one accelerator load in one to two seconds. A slot of a plain service is
- * free after a call or two, room on a path when some streams have ended. When this instance stops, another
+ * free after a call or two, capacity on a path when some streams have ended. When this instance stops, another
  * one takes the request at once.
  */
 const RETRY_AFTER_MILLISECONDS: Readonly<Record<NotRunReason, number>> = {
--- a/src/features/forwarding/common/silentStreams.ts
+++ b/src/features/forwarding/common/silentStreams.ts
@@ -35,7 +35,7 @@
 const SILENCE_GAP_FACTOR = 2;
 
 /**
- * Silence limit before the first event. Such streams wait for room and for prefill, so only a long wait
+ * Silence limit before the first event. Such streams wait for capacity and for prefill, so only a long wait
  * indicates a fault.
  */
 const FIRST_EVENT_SILENCE_MILLISECONDS = 350;
--- a/src/features/forwarding/node/entryUpstreams.ts
+++ b/src/features/forwarding/node/entryUpstreams.ts
@@ -24,9 +24,9 @@
    */
   choosePath(chooser: PathChooser): PathSearchResult {
     if (this.liveCount < this.limit) {
-      return chooser.whole(() => true);
+      return chooser.findWholePath(() => true);
     }
-    return chooser.whole(
+    return chooser.findWholePath(
       ({id, layers}) => this.sentTo.has(id) || (layers?.from ?? 0) > 0,
     );
   }
--- a/src/features/forwarding/node/pathChooser.ts
+++ b/src/features/forwarding/node/pathChooser.ts
@@ -21,11 +21,11 @@
   ) {}
 
   /** Finds a path over all layers. */
-  whole(isAllowed: (upstream: Upstream) => boolean): PathSearchResult {
+  findWholePath(isAllowed: (upstream: Upstream) => boolean): PathSearchResult {
     const {layers} = this.engine;
     const span =
       layers === undefined ? WHOLE_MODEL : {from: 0, to: layers.layerCount};
-    return findPath(this.buildQuestion(span, isAllowed));
+    return findPath(this.buildQuery(span, isAllowed));
   }
 
   /**
@@ -50,7 +50,7 @@
       to: path[lastIndex]!.range.to,
     };
     const detour = findPath({
-      ...this.buildQuestion(
+      ...this.buildQuery(
         span,
         upstream => !keptIds.has(upstream.id) && !lost.has(upstream.id),
       ),
@@ -68,12 +68,12 @@
     return {...detour, path: joined};
   }
 
-  private buildQuestion(
+  private buildQuery(
     span: LayerRange,
     isAllowed: (upstream: Upstream) => boolean,
   ): PathQuery {
     const {directory, linkLoad, load, mechanisms, suspicions} = this.services;
-    const {readingBacklog, slowness} = this.services;
+    const {prefillBacklog, slowness} = this.services;
     const linkMegabits = this.engine.layers?.pipeMegabits ?? 0;
     return {
       engine: this.engine,
@@ -86,7 +86,7 @@
       slownessOf: id =>
         mechanisms.slownessInPaths ? slowness.factorOf(id) : 1,
       prefillWaitOf: id =>
-        mechanisms.readingBacklog ? readingBacklog.waitOf(id) : 0,
+        mechanisms.readingBacklog ? prefillBacklog.waitOf(id) : 0,
       crossingCostFactor: mechanisms.boundedCrossings
         ? linkLoad.costFactor(linkMegabits)
         : 1,
--- a/src/features/forwarding/node/plainForwarder.ts
+++ b/src/features/forwarding/node/plainForwarder.ts
@@ -83,12 +83,12 @@
   }
 
   private sendTo(upstream: Upstream): void {
-    const {connector, load, settings, headerCodec: wire} = this.services;
+    const {connector, load, settings, headerCodec} = this.services;
     this.attempts++;
     this.attemptedUpstreams.add(upstream.id);
     load.add(upstream.id, 0);
     const buffer = new ResponseBuffer(
-      wire,
+      headerCodec,
       this.admitted.id,
       settings.heldAnswerBytes,
       outcome => this.onOutcome(upstream, outcome),
--- a/src/features/forwarding/node/requestHandler.ts
+++ b/src/features/forwarding/node/requestHandler.ts
@@ -67,7 +67,7 @@
   }
 
   /** Resolves once no request is in progress. */
-  idle(): Promise<void> {
+  whenIdle(): Promise<void> {
     return this.inProgress === 0
       ? Promise.resolve()
       : new Promise(resolve => (this.onIdle = resolve));
@@ -92,13 +92,13 @@
     );
     const initial = await this.admit(exchange, facts);
     if (initial.kind !== 'admitted') {
-      this.answer(exchange, facts, initial);
+      this.respond(exchange, facts, initial);
       return;
     }
     const {limits} = initial.table.configuration;
     const body = await exchange.readBody(limits.bodyBytes);
     if (body === undefined) {
-      this.answer(exchange, facts, {
+      this.respond(exchange, facts, {
         kind: 'answer',
         answer: {kind: 'rejected', status: 413, reason: 'body too long'},
       });
@@ -107,7 +107,7 @@
     // Reading the body may take long, so the configuration that is now in force decides.
     const admission = await this.admit(exchange, facts);
     if (admission.kind !== 'admitted') {
-      this.answer(exchange, facts, admission);
+      this.respond(exchange, facts, admission);
       return;
     }
     await this.forward(exchange, facts, admission, body);
@@ -176,7 +176,7 @@
     });
   }
 
-  private answer(
+  private respond(
     exchange: CallerExchange,
     facts: RequestMetadata,
     decision: Exclude<Admission, {kind: 'admitted'}>,
@@ -215,7 +215,7 @@
     const service = chooseTarget(route, this.services.random.next());
     if (service === undefined) {
       const reason = 'noUpstream';
-      this.answer(exchange, facts, {kind: 'refused', reason});
+      this.respond(exchange, facts, {kind: 'refused', reason});
       return;
     }
     this.services.budget.recordRequest(service);
--- a/src/features/forwarding/node/requestMetrics.ts
+++ b/src/features/forwarding/node/requestMetrics.ts
@@ -9,9 +9,9 @@
 export class RequestMetrics {
   private readonly ended: Counter<'kind' | 'outcome'>;
   private readonly retries: Counter<'cause'>;
-  private readonly first: Histogram<'kind'>;
-  private readonly pause: Histogram;
-  private readonly whole: Histogram<'kind'>;
+  private readonly firstOutputTime: Histogram<'kind'>;
+  private readonly longestPause: Histogram;
+  private readonly totalTime: Histogram<'kind'>;
 
   constructor(readonly registry: Registry) {
     const registers = [registry];
@@ -27,19 +27,19 @@
       labelNames: ['cause'],
       registers,
     });
-    this.first = createHistogram(
+    this.firstOutputTime = createHistogram(
       registers,
       'redwing_first_milliseconds',
       'Time to the first event of a stream or to a whole answer.',
       ['kind'],
     );
-    this.pause = createHistogram(
+    this.longestPause = createHistogram(
       registers,
       'redwing_pause_milliseconds',
       'Longest pause between two events of a stream.',
       [],
     );
-    this.whole = createHistogram(
+    this.totalTime = createHistogram(
       registers,
       'redwing_whole_milliseconds',
       'Time to the end of an answer.',
@@ -49,17 +49,17 @@
 
   recordEnd(kind: string, outcome: string, milliseconds: number): void {
     this.ended.inc({kind, outcome});
-    this.whole.observe({kind}, milliseconds);
+    this.totalTime.observe({kind}, milliseconds);
   }
 
   /** Records the time to the first event or to the complete response. */
   recordFirstOutput(kind: string, milliseconds: number): void {
-    this.first.observe({kind}, milliseconds);
+    this.firstOutputTime.observe({kind}, milliseconds);
   }
 
   /** Records the longest gap between two events of a stream that has ended. */
   recordLongestGap(milliseconds: number): void {
-    this.pause.observe(milliseconds);
+    this.longestPause.observe(milliseconds);
   }
 
   /** Counts a request that was sent again or moved. */
--- a/src/features/forwarding/node/responseBuffer.ts
+++ b/src/features/forwarding/node/responseBuffer.ts
@@ -31,7 +31,7 @@
   private isComplete = false;
 
   constructor(
-    private readonly wire: HeaderCodec,
+    private readonly headerCodec: HeaderCodec,
     private readonly requestId: string,
     private readonly limitBytes: number,
     private readonly onOutcome: (outcome: AttemptOutcome) => void,
@@ -46,7 +46,7 @@
   override onBody(chunk: Uint8Array): void {
     this.size += chunk.length;
     if (this.size > this.limitBytes) {
-      this.done({kind: 'lost', detail: 'response exceeds the buffer limit'});
+      this.finish({kind: 'lost', detail: 'response exceeds the buffer limit'});
       return;
     }
     this.chunks.push(chunk);
@@ -55,18 +55,18 @@
   override onEnd(isFramed: boolean): void {
     const {head} = this;
     if (head === undefined) {
-      this.done({kind: 'lost', detail: 'response ended without a head'});
+      this.finish({kind: 'lost', detail: 'response ended without a head'});
       return;
     }
-    const facts = this.wire.readResponse(head.status, head.headers);
+    const facts = this.headerCodec.readResponse(head.status, head.headers);
     const problem = findResponseProblem(head.status, facts, this.requestId);
     if (problem !== undefined) {
-      this.done({kind: 'lost', detail: problem});
+      this.finish({kind: 'lost', detail: problem});
       return;
     }
-    const headers = this.wire.callerHeaders(head.headers);
+    const headers = this.headerCodec.callerHeaders(head.headers);
     const body = Buffer.concat(this.chunks);
-    this.done({
+    this.finish({
       kind: 'answered',
       head: {...head, headers},
       facts,
@@ -77,10 +77,10 @@
 
   override onFailure(failure: ExchangeFailure): void {
     const kind = failure.wasSent ? 'lost' : 'notSent';
-    this.done({kind, detail: failure.detail});
+    this.finish({kind, detail: failure.detail});
   }
 
-  private done(outcome: AttemptOutcome): void {
+  private finish(outcome: AttemptOutcome): void {
     if (!this.isComplete) {
       this.isComplete = true;
       this.onOutcome(outcome);
--- a/src/features/forwarding/node/streamAttempt.ts
+++ b/src/features/forwarding/node/streamAttempt.ts
@@ -79,15 +79,15 @@
   }
 
   override onHead(status: number, reason: string, raw: RawHeaders): void {
-    const {headerCodec: wire} = this.services;
-    const facts = wire.readResponse(status, raw);
+    const {headerCodec} = this.services;
+    const facts = headerCodec.readResponse(status, raw);
     const problem = findResponseProblem(status, facts, this.requestId);
     if (problem !== undefined) {
       this.failAsLost(problem);
       return;
     }
     this.facts = facts;
-    this.head = {status, reason, headers: wire.callerHeaders(raw)};
+    this.head = {status, reason, headers: headerCodec.callerHeaders(raw)};
     this.isStream = status >= 200 && status < 300;
     if (this.isStream && !this.isDone) {
       this.events.onStreamHead(this.head);
--- a/src/features/forwarding/node/streamForwarder.ts
+++ b/src/features/forwarding/node/streamForwarder.ts
@@ -26,8 +26,8 @@
 import {StreamMonitor, WatchedStream} from './streamMonitor.js';
 
 /**
- * Maximum attempts per stream, whatever the budget allows: a stream that broke this often is unlucky or
- * harmful.
+ * Maximum attempts per stream, whatever the budget allows: a stream that broke this often may
+ * itself cause the failures.
  */
 const ATTEMPT_LIMIT = 10;
 
@@ -201,14 +201,17 @@
     this.scheduleRetry(() => this.startAttempt(cause));
   }
 
-  /** @param kept upstreams that already hold the stream's KV cache */
-  private usePath(path: Path, kept: ReadonlySet<string> = new Set()): void {
+  /** @param cachedIds upstreams that already hold the stream's KV cache */
+  private usePath(
+    path: Path,
+    cachedIds: ReadonlySet<string> = new Set(),
+  ): void {
     const {promptTokens} = this.held.size;
-    this.services.readingBacklog.recordPrompt(
+    this.services.prefillBacklog.recordPrompt(
       this.engine,
       path,
       promptTokens,
-      kept,
+      cachedIds,
     );
     this.held.replace(path);
     const activationBytes = this.engine.layers?.activationBytes ?? 0;
@@ -349,20 +352,20 @@
 
   /** A refusal names full, leaving and dead upstreams alike; only a probe tells them apart. */
   private suspectRefusing(faulty: Upstream, isMisdirected: boolean): void {
-    const {suspicions, prober: trials} = this.services;
+    const {suspicions, prober} = this.services;
     const evidence = {request: this.admitted.id};
     const reason = isMisdirected ? 'misdirected' : 'refusing';
     const isNewSuspicion = suspicions.suspect(faulty.id, reason, evidence);
     if (
       isNewSuspicion &&
       !isMisdirected &&
-      !trials.hasRecentlyResponded(faulty.id)
+      !prober.hasRecentlyResponded(faulty.id)
     ) {
-      void trials.probe(faulty, 'silent', evidence);
+      void prober.probe(faulty, 'silent', evidence);
     }
   }
 
-  /** Without budget for a retry, a stream that has begun waits for it; others end. */
+  /** Without budget for a retry, a stream that has begun waits until the budget allows one; others end. */
   private retryOrWait(cause: string, onExhausted: () => void): void {
     if (this.isDone) {
       return;
--- a/src/features/forwarding/node/streamMonitor.ts
+++ b/src/features/forwarding/node/streamMonitor.ts
@@ -197,7 +197,7 @@
     }
   }
 
-  /** Retries to move a stream that could not leave a lost upstream at once, for lack of budget or room. */
+  /** Retries to move a stream that could not leave a lost upstream at once, for lack of budget or capacity. */
   private retryLeaving(stream: WatchedStream | undefined): void {
     const lost = stream?.progress?.upstreams.find(id =>
       this.suspicions.isLost(id),
--- a/src/features/forwarding/test/forwarding.test.ts
+++ b/src/features/forwarding/test/forwarding.test.ts
@@ -135,7 +135,7 @@
     const caller = await harness.send('/safe/x');
     harness.configuration.confirm(harness.configuration.now());
     await harness.flushPromises();
-    harness.connector.last.answer();
+    harness.connector.last.respond();
     expect(caller.outcome).toBe('upstream 200');
   });
 
@@ -155,20 +155,20 @@
 }
 
 const refuse = (exchange: FakeUpstreamExchange): void =>
-  exchange.answer(503, ['notRun', '1']);
+  exchange.respond(503, ['notRun', '1']);
 const loseResponse = (exchange: FakeUpstreamExchange): void =>
   exchange.fail(true);
 const failUnsent = (exchange: FakeUpstreamExchange): void =>
   exchange.fail(false);
-const succeed = (exchange: FakeUpstreamExchange): void => exchange.answer();
+const succeed = (exchange: FakeUpstreamExchange): void => exchange.respond();
 const respondWithError = (exchange: FakeUpstreamExchange): void =>
-  exchange.answer(500);
+  exchange.respond(500);
 const succeedWithoutProof = (exchange: FakeUpstreamExchange): void =>
-  exchange.answer(200, []);
+  exchange.respond(200, []);
 const respondToOther = (exchange: FakeUpstreamExchange): void =>
-  exchange.answer(200, ['id', 'other', 'proof', 'p']);
+  exchange.respond(200, ['id', 'other', 'proof', 'p']);
 const respondEncoded = (exchange: FakeUpstreamExchange): void =>
-  exchange.answer(200, ['proof', 'p', 'encoded', '1']);
+  exchange.respond(200, ['proof', 'p', 'encoded', '1']);
 
 const plainCases: readonly PlainCase[] = [
   {
@@ -297,7 +297,7 @@
     const caller = await harness.send('/safe/');
     await harness.advance(110);
     expect(harness.connector.openedExchanges).toHaveLength(2);
-    harness.connector.last.answer();
+    harness.connector.last.respond();
     expect(caller.outcome).toBe('upstream 200');
     expect(harness.connector.openedExchanges[0]!.isDisposed).toBe(true);
   });
@@ -494,7 +494,7 @@
       layers: undefined,
     });
     harness.directory.replace([...plainUpstreams, ...engines, successor]);
-    exchange.answer(421, [
+    exchange.respond(421, [
       'notRun',
       '1',
       'misdirected',
@@ -747,7 +747,7 @@
     {boundedRooms: true, outcome: 'notRun'},
     {boundedRooms: false, outcome: 'open'},
   ])(
-    'is refused for lack of room only if rooms are bounded: $boundedRooms',
+    'is refused for lack of capacity only if capacity is bounded: $boundedRooms',
     async ({boundedRooms, outcome}) => {
       const harness = createHarness({boundedRooms});
       const {load} = harness.services;
@@ -799,13 +799,13 @@
       if (isUnreachable) {
         harness.control.unreachableIds.add(first!);
       }
-      other.answer(503, ['notRun', '1', 'faulty', address]);
+      other.respond(503, ['notRun', '1', 'faulty', address]);
       await harness.flushPromises();
       expect(running.isDisposed).toBe(isUnreachable);
     },
   );
 
-  it('is refused with a retry delay when no path has room', async () => {
+  it('is refused with a retry delay when no path has capacity', async () => {
     const harness = createHarness();
     for (const {id} of engines) {
       harness.services.load.add(id, 10_000_000);
--- a/src/features/forwarding/test/forwardingHarness.ts
+++ b/src/features/forwarding/test/forwardingHarness.ts
@@ -140,7 +140,7 @@
   }
 
   /** Sends a complete response, by default with a proof. */
-  answer(
+  respond(
     status = 200,
     extra: readonly string[] = ['proof', 'p'],
     body = 'body',
@@ -387,7 +387,7 @@
     const {directory, suspicions} = this;
     const settings = defaultForwardingSettings;
     const slowness = new SlownessTracker(clock, logger);
-    const trials = new UpstreamProber(
+    const prober = new UpstreamProber(
       clock,
       control,
       directory,
@@ -408,10 +408,10 @@
       configuration: this.configuration,
       directory,
       suspicions,
-      prober: trials,
+      prober,
       load: new UpstreamLoadTracker(),
       linkLoad: new LinkLoad(clock, () => 1),
-      readingBacklog: new PrefillBacklog(
+      prefillBacklog: new PrefillBacklog(
         clock,
         () => 1,
         () => 1,
@@ -429,7 +429,7 @@
       directory,
       suspicions,
       slowness,
-      trials,
+      prober,
       settings.watchPeriodMilliseconds,
       this.services.mechanisms.silenceWatch,
     );
--- a/src/features/forwarding/test/httpUpstreamExchange.test.ts
+++ b/src/features/forwarding/test/httpUpstreamExchange.test.ts
@@ -93,19 +93,19 @@
 
 const responseCases: ReadonlyArray<{
   name: string;
-  answer: (socket: Socket) => void;
+  respond: (socket: Socket) => void;
   outcome: string;
   body: string;
 }> = [
   {
     name: 'a complete response',
-    answer: socket => socket.write(`${HEAD}Content-Length: 2\r\n\r\nok`),
+    respond: socket => socket.write(`${HEAD}Content-Length: 2\r\n\r\nok`),
     outcome: 'end',
     body: 'ok',
   },
   {
     name: 'a chunked response',
-    answer: socket =>
+    respond: socket =>
       socket.write(
         `${HEAD}Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n`,
       ),
@@ -114,13 +114,13 @@
   },
   {
     name: 'an unframed response that ends with its connection',
-    answer: socket => socket.end(`${HEAD}Connection: close\r\n\r\nok`),
+    respond: socket => socket.end(`${HEAD}Connection: close\r\n\r\nok`),
     outcome: 'end of connection',
     body: 'ok',
   },
   {
     name: 'an unframed response whose connection is reset',
-    answer: socket =>
+    respond: socket =>
       socket.write(`${HEAD}Connection: close\r\n\r\no`, () =>
         setTimeout(() => socket.resetAndDestroy(), 20),
       ),
@@ -129,7 +129,7 @@
   },
   {
     name: 'a reset right after an unframed response',
-    answer: socket => {
+    respond: socket => {
       socket.write(`${HEAD}\r\no`);
       socket.resetAndDestroy();
     },
@@ -138,26 +138,26 @@
   },
   {
     name: 'a response that is shorter than its content length',
-    answer: socket => socket.end(`${HEAD}Content-Length: 9\r\n\r\nok`),
+    respond: socket => socket.end(`${HEAD}Content-Length: 9\r\n\r\nok`),
     outcome: 'lost',
     body: 'ok',
   },
   {
     name: 'a chunked response that breaks off',
-    answer: socket =>
+    respond: socket =>
       socket.end(`${HEAD}Transfer-Encoding: chunked\r\n\r\n9\r\nok`),
     outcome: 'lost',
     body: 'ok',
   },
   {
     name: 'bytes that are not an HTTP response',
-    answer: socket => socket.write('rubbish\r\n\r\n'),
+    respond: socket => socket.write('rubbish\r\n\r\n'),
     outcome: 'lost',
     body: '',
   },
   {
     name: 'a connection that is closed without a response',
-    answer: socket => socket.end(),
+    respond: socket => socket.end(),
     outcome: 'lost',
     body: '',
   },
@@ -168,8 +168,8 @@
   ({isAlone}) => {
     it.each(responseCases)(
       'with $name ends as "$outcome"',
-      async ({answer, outcome, body}) => {
-        const address = await startServer(socket => answer(socket));
+      async ({respond, outcome, body}) => {
+        const address = await startServer(socket => respond(socket));
         const recorder = open(makeConnector(), address, isAlone);
         expect(await recorder.ended).toBe(outcome);
         expect(recorder.body).toContain(body);
@@ -191,8 +191,8 @@
 
 it('an exchange does not use an unsolicited response to an earlier request', async () => {
   const address = await startServer((socket, count) => {
-    const answer = `${HEAD}Content-Length: 1\r\n\r\n${count}`;
-    socket.write(count === 1 ? `${answer}${answer}` : answer);
+    const response = `${HEAD}Content-Length: 1\r\n\r\n${count}`;
+    socket.write(count === 1 ? `${response}${response}` : response);
   });
   const connector = makeConnector();
   const first = open(connector, address, false);
--- a/src/features/instances/node/peerGossip.ts
+++ b/src/features/instances/node/peerGossip.ts
@@ -50,7 +50,7 @@
   readonly load: UpstreamLoadTracker;
   readonly slowness: SlownessTracker;
   readonly suspicions: SuspicionTracker;
-  readonly trials: UpstreamProber;
+  readonly prober: UpstreamProber;
   readonly lease: TableLease;
   readonly mechanisms: Mechanisms;
 }
@@ -112,7 +112,7 @@
   }
 
   /** Processes the message of a peer and returns the response. */
-  answer(request: GossipMessage): GossipMessage {
+  respond(request: GossipMessage): GossipMessage {
     this.applyMessage(request);
     return {
       ...this.composeMessage(),
@@ -124,13 +124,13 @@
     const isRegistryReadDue = this.round % ROUNDS_PER_REGISTRY_READ === 0;
     this.round++;
     if (isRegistryReadDue || !this.isRegistered) {
-      await this.list(token);
+      await this.syncWithRegistry(token);
     }
     const peers = this.choosePeers(this.dependencies.instances.peers);
     await Promise.all(peers.map(peer => this.exchangeWith(peer, token)));
   }
 
-  private async list(token: CancellationToken): Promise<void> {
+  private async syncWithRegistry(token: CancellationToken): Promise<void> {
     const {registry, instances} = this.dependencies;
     this.isRegistered ||= await registry.announce(this.own, token);
     const records = await registry.list(token);
@@ -243,13 +243,13 @@
     );
   }
 
-  /** Checks a peer's suspicion by a trial call, since the peer itself may be partitioned from the upstream. */
+  /** Checks a peer's suspicion by a probe, since the peer itself may be partitioned from the upstream. */
   private verifySuspicion(id: string, peer: string): void {
-    const {directory, suspicions, trials} = this.dependencies;
+    const {directory, suspicions, prober} = this.dependencies;
     const upstream = directory.find(id);
-    const isKnown = suspicions.isSuspect(id) || trials.hasRecentlyResponded(id);
+    const isKnown = suspicions.isSuspect(id) || prober.hasRecentlyResponded(id);
     if (upstream !== undefined && !isKnown) {
-      void trials.probe(upstream, 'toldByPeer', {peer});
+      void prober.probe(upstream, 'toldByPeer', {peer});
     }
   }
 
--- a/src/features/layers/common/closeGaps.ts
+++ b/src/features/layers/common/closeGaps.ts
@@ -36,9 +36,7 @@
 
 /**
  * Cost of halving the wanted KV-cache capacity, in squared layer loads: the upstream with the least capacity
- * limits the throughput of its data centre. About the cost of loading seven layers, which takes 1.2 s. Over seven
- * simulated days with losses, callers received a share of due results in time that was 0.011 higher than at 16
- * (-0.014 to 0.083 with many slow upstreams, -0.013 to 0.003 otherwise).
+ * limits the throughput of its data centre. About the cost of loading seven layers, which takes 1.2 s.
  */
 const CAPACITY_LOSS_COST = 48;
 
--- a/src/features/layers/common/layerController.ts
+++ b/src/features/layers/common/layerController.ts
@@ -39,7 +39,7 @@
 const PLAN_PERIOD_MILLISECONDS = 200;
 
 /**
- * Time after which a suspected upstream is replaced. Within it, a late answer to the probe that raised the suspicion
+ * Time after which a suspected upstream is replaced. Within it, a late response to the probe that raised the suspicion
  * (up to 250 ms) can still clear it. A needless replacement costs the load of some layers; each 100 ms of delay costs
  * the requests that the data centre could have served.
  */
@@ -86,7 +86,7 @@
 
 /** Detects when all upstreams of a service without any loaded layers have been added. */
 class ArrivalTracker {
-  private readonly seen = new Map<
+  private readonly arrivals = new Map<
     string,
     {readonly count: number; readonly firstAt: number; readonly lastAt: number}
   >();
@@ -100,11 +100,11 @@
       return true;
     }
     const count = upstreams.length;
-    const before = this.seen.get(service);
+    const before = this.arrivals.get(service);
     const isNew = before === undefined || count > before.count;
     const firstAt = before?.firstAt ?? now;
     const lastAt = isNew ? now : before.lastAt;
-    this.seen.set(service, {count, firstAt, lastAt});
+    this.arrivals.set(service, {count, firstAt, lastAt});
     return (
       now - lastAt >= SETTLE_MILLISECONDS ||
       now - firstAt >= SETTLE_LIMIT_MILLISECONDS
--- a/src/features/layers/common/rangeSizes.ts
+++ b/src/features/layers/common/rangeSizes.ts
@@ -20,9 +20,8 @@
 
 /**
  * Copies of the model in each data centre that can hold it alone, if enough KV-cache capacity remains. A second
- * holder of a layer saves streams a full restart after a loss. At 1, 1.15 and 1.3 copies, the share of due results
- * that callers received in time, less serving costs, averaged 0.693, 0.712 and 0.656 over five simulated days with
- * losses. At 1.3 too little capacity remains for the load of a data centre that is out.
+ * holder of a layer saves streams a full restart after a loss. At 1.3 copies, too little
+ * capacity remains for the load of a data centre that is out.
  */
 const COPIES_PER_DATA_CENTRE = 1.15;
 
--- a/src/features/layers/test/layerController.test.ts
+++ b/src/features/layers/test/layerController.test.ts
@@ -144,10 +144,10 @@
       () => `n${this.nonces++}`,
       LEASE,
     );
-    const keeper = new ActiveConfiguration(clock, logger, 4000);
+    const activeConfiguration = new ActiveConfiguration(clock, logger, 4000);
     const [service] = makeConfiguration().services;
     const engine = layeredEngine(LAYERS);
-    keeper.activateIfNewer(
+    activeConfiguration.activateIfNewer(
       makeConfiguration({services: [{...service!, engine}]}),
     );
     const directory = new UpstreamDirectory(clock, logger);
@@ -159,7 +159,7 @@
       logger,
       lease,
       this.engines,
-      keeper,
+      activeConfiguration,
       directory,
       new SuspicionTracker(clock, logger),
       this.slowness,
--- a/src/features/paths/common/pathCost.ts
+++ b/src/features/paths/common/pathCost.ts
@@ -36,9 +36,7 @@
 
 /**
  * Share of an upstream's KV-cache capacity that may be planned. Requests are planned at their full length but use
- * less until they end: a full upstream reported 908 tokens per stream where 995 were planned. At 0.95, 1.1 and 1.3,
- * the share of due results that callers received in time, less costs, averaged 0.696, 0.712 and 0.692 over five
- * simulated days with losses.
+ * less until they end: a full upstream reported 908 tokens per stream where 995 were planned.
  */
 const PLANNED_CAPACITY_SHARE = 1.1;
 
--- a/src/features/paths/common/pathSearch.ts
+++ b/src/features/paths/common/pathSearch.ts
@@ -71,30 +71,30 @@
 }
 
 /** Finds the path with the least cost among those that have capacity for the request. */
-export function findPath(question: PathQuery): PathSearchResult {
-  const usable = candidatesOf(question);
-  const found = searchPath(question, usable);
+export function findPath(query: PathQuery): PathSearchResult {
+  const usable = candidatesOf(query);
+  const found = searchPath(query, usable);
   if (found !== undefined) {
     return found;
   }
-  const layer = findUnheldLayer(question.span, usable);
+  const layer = findUnheldLayer(query.span, usable);
   return layer === undefined ? {kind: 'noRoom'} : {kind: 'noLayers', layer};
 }
 
-function candidatesOf(question: PathQuery): readonly Candidate[] {
-  const {engine, span} = question;
+function candidatesOf(query: PathQuery): readonly Candidate[] {
+  const {engine, span} = query;
   const candidates: Candidate[] = [];
-  for (const upstream of question.upstreams) {
+  for (const upstream of query.upstreams) {
     const range = engine.layers === undefined ? span : upstream.layers;
-    if (range === undefined || !question.isUsable(upstream)) {
+    if (range === undefined || !query.isUsable(upstream)) {
       continue;
     }
     if (range.to <= span.from || range.from >= span.to) {
       continue;
     }
-    const load = question.loadOf(upstream.id);
-    const slowness = question.slownessOf(upstream.id);
-    const prefillWaitMilliseconds = question.prefillWaitOf(upstream.id);
+    const load = query.loadOf(upstream.id);
+    const slowness = query.slownessOf(upstream.id);
+    const prefillWaitMilliseconds = query.prefillWaitOf(upstream.id);
     candidates.push({upstream, range, load, slowness, prefillWaitMilliseconds});
   }
   return candidates.sort(compareByFirstLayer);
@@ -121,16 +121,16 @@
 }
 
 function searchPath(
-  question: PathQuery,
+  query: PathQuery,
   candidates: readonly Candidate[],
 ): PathSearchResult | undefined {
-  const handOverLayers = handOverLayersOf(question.span, candidates);
-  const end = findBestEnd(question, candidates, handOverLayers);
+  const handOverLayers = handOverLayersOf(query.span, candidates);
+  const end = findBestEnd(query, candidates, handOverLayers);
   if (end !== undefined && isWithinPartLimit(end)) {
     return toFoundPath(end);
   }
   // Paths have fewer parts if each upstream runs up to the end of its range.
-  const plain = findBestEnd(question, candidates, new Set([question.span.to]));
+  const plain = findBestEnd(query, candidates, new Set([query.span.to]));
   return plain !== undefined && isWithinPartLimit(plain)
     ? toFoundPath(plain)
     : undefined;
@@ -147,15 +147,15 @@
 
 /** Expands nodes in the order of their layers, so that the cost of each is final before it is expanded. */
 function findBestEnd(
-  question: PathQuery,
+  query: PathQuery,
   candidates: readonly Candidate[],
   handOverLayers: ReadonlySet<number>,
 ): SearchNode | undefined {
-  const {span} = question;
+  const {span} = query;
   const nodes = new Map<number, Map<string, SearchNode>>();
   keepIfCheaper(nodes, {
     layer: span.from,
-    dataCentre: question.sourceDataCentre,
+    dataCentre: query.sourceDataCentre,
     cost: 0,
     lastIndex: -1,
     part: undefined,
@@ -163,14 +163,14 @@
   });
   for (let layer = span.from; layer < span.to; layer++) {
     for (const node of nodes.get(layer)?.values() ?? []) {
-      expandNode(question, candidates, handOverLayers, node, nodes);
+      expandNode(query, candidates, handOverLayers, node, nodes);
     }
   }
-  return cheapestEnd(question, nodes.get(span.to));
+  return cheapestEnd(query, nodes.get(span.to));
 }
 
 function expandNode(
-  question: PathQuery,
+  query: PathQuery,
   candidates: readonly Candidate[],
   handOverLayers: ReadonlySet<number>,
   node: SearchNode,
@@ -180,13 +180,13 @@
   // paths. No layer becomes unreachable: an upstream that starts earlier and ends later can run the previous part, too.
   for (let index = node.lastIndex + 1; index < candidates.length; index++) {
     const {range} = candidates[index]!;
-    const last = Math.min(range.to, question.span.to);
+    const last = Math.min(range.to, query.span.to);
     if (range.from > node.layer) {
       return;
     }
     for (let to = node.layer + 1; to <= last; to++) {
       if (to === last || handOverLayers.has(to)) {
-        const next = nextNode(question, candidates, index, node, to);
+        const next = nextNode(query, candidates, index, node, to);
         if (Number.isFinite(next.cost)) {
           keepIfCheaper(nodes, next);
         }
@@ -196,13 +196,13 @@
 }
 
 function nextNode(
-  question: PathQuery,
+  query: PathQuery,
   candidates: readonly Candidate[],
   index: number,
   node: SearchNode,
   to: number,
 ): SearchNode {
-  const {engine, size} = question;
+  const {engine, size} = query;
   const {upstream, load, slowness, prefillWaitMilliseconds} =
     candidates[index]!;
   const count = to - node.layer;
@@ -218,12 +218,12 @@
   );
   const wait = prefillWaitCost(engine, count, prefillWaitMilliseconds);
   const from = node.dataCentre ?? dataCentre;
-  const crossing = crossingCost(question, from, dataCentre);
+  const crossing = crossingCost(query, from, dataCentre);
   return {
     layer: to,
     dataCentre,
     cost:
-      question.isCapacityLimited && pressure > 1
+      query.isCapacityLimited && pressure > 1
         ? Infinity
         : node.cost + time + wait + crossing,
     lastIndex: index,
@@ -234,13 +234,13 @@
 
 /** Cost of a crossing; Infinity if crossings are not permitted. */
 function crossingCost(
-  {crossingCostFactor: crossingFactor, engine, size}: PathQuery,
+  {crossingCostFactor, engine, size}: PathQuery,
   from: string,
   to: string,
 ): number {
   return from === to
     ? 0
-    : weightedCrossingMilliseconds(engine, from, to, size) * crossingFactor;
+    : weightedCrossingMilliseconds(engine, from, to, size) * crossingCostFactor;
 }
 
 function keepIfCheaper(
@@ -257,14 +257,14 @@
 }
 
 function cheapestEnd(
-  question: PathQuery,
+  query: PathQuery,
   ends: ReadonlyMap<string, SearchNode> | undefined,
 ): SearchNode | undefined {
-  const {targetDataCentre: leavingTo} = question;
+  const {targetDataCentre} = query;
   let best: SearchNode | undefined;
   for (const node of ends?.values() ?? []) {
     const from = node.dataCentre ?? '';
-    const crossing = crossingCost(question, from, leavingTo ?? from);
+    const crossing = crossingCost(query, from, targetDataCentre ?? from);
     const cost = node.cost + crossing;
     if (!Number.isFinite(cost)) {
       continue;
--- a/src/features/paths/common/prefillBacklog.ts
+++ b/src/features/paths/common/prefillBacklog.ts
@@ -26,16 +26,16 @@
     private readonly slownessOf: (upstream: string) => number,
   ) {}
 
-  /** Records a prompt sent along a path, except for the upstreams in `kept`, which still have it in their KV cache. */
+  /** Records a prompt sent along a path. The upstreams in `cachedIds` still have it in their KV cache. */
   recordPrompt(
     engine: EngineSettings,
     path: Path,
     promptTokens: number,
-    kept: ReadonlySet<string>,
+    cachedIds: ReadonlySet<string>,
   ): void {
     const now = this.clock.monotonicMilliseconds();
     for (const {upstream} of path) {
-      if (!kept.has(upstream.id)) {
+      if (!cachedIds.has(upstream.id)) {
         const time =
           prefillMilliseconds(engine, upstream, promptTokens) *
           this.slownessOf(upstream.id);
--- a/src/features/paths/test/pathSearch.test.ts
+++ b/src/features/paths/test/pathSearch.test.ts
@@ -145,31 +145,35 @@
   ];
 
   it.each(cases)('$name', ({upstreams, fields, path}) => {
-    const answer = search(upstreams, fields);
-    expect(answer.kind === 'found' && formatPath(answer.path)).toBe(path);
+    const result = search(upstreams, fields);
+    expect(result.kind === 'found' && formatPath(result.path)).toBe(path);
   });
 
   it.each([
-    {name: 'no upstream', upstreams: [], answer: {kind: 'noLayers', layer: 0}},
+    {
+      name: 'no upstream',
+      upstreams: [],
+      expected: {kind: 'noLayers', layer: 0},
+    },
     {
       name: 'a gap',
       upstreams: [holder('a', 0, 3), holder('b', 4, 8)],
-      answer: {kind: 'noLayers', layer: 3},
+      expected: {kind: 'noLayers', layer: 3},
     },
     {
       name: 'a crossing beyond the capacity of the link',
       upstreams: [holder('a', 0, 4), holder('b', 4, 8, south)],
       fields: {crossingCostFactor: Infinity},
-      answer: {kind: 'noRoom'},
+      expected: {kind: 'noRoom'},
     },
     {
       name: 'a full upstream',
       upstreams: [holder('a', 0, 8)],
       fields: {loadOf: () => ({requests: 1, tokenLayers: 1_000_000})},
-      answer: {kind: 'noRoom'},
+      expected: {kind: 'noRoom'},
     },
-  ])('is not found with $name', ({upstreams, fields, answer}) => {
-    expect(search(upstreams, fields)).toEqual(answer);
+  ])('is not found with $name', ({upstreams, fields, expected}) => {
+    expect(search(upstreams, fields)).toEqual(expected);
   });
 
   it('covers every layer once and in order, on upstreams that hold it', () => {
@@ -185,15 +189,15 @@
         const upstreams = entries.map(([{from, to}, dataCentre], index) =>
           holder(`u${index}`, from, to, {dataCentre}),
         );
-        const answer = search(upstreams);
-        if (answer.kind !== 'found') {
+        const result = search(upstreams);
+        if (result.kind !== 'found') {
           // A path exists whenever each layer has a holder, whatever the ranges are.
-          expect(answer.kind).toBe('noLayers');
+          expect(result.kind).toBe('noLayers');
           return;
         }
         let layer = 0;
         const ids = new Set<string>();
-        for (const {upstream, range: part} of answer.path) {
+        for (const {upstream, range: part} of result.path) {
           expect(part.from).toBe(layer);
           expect(upstream.layers!.from).toBeLessThanOrEqual(part.from);
           expect(upstream.layers!.to).toBeGreaterThanOrEqual(part.to);
@@ -202,7 +206,7 @@
           layer = part.to;
         }
         expect(layer).toBe(LAYERS);
-        expect(countCrossings(answer.path)).toBeLessThan(answer.path.length);
+        expect(countCrossings(result.path)).toBeLessThan(result.path.length);
       }),
     );
   });
@@ -210,12 +214,12 @@
 
 it('a path of a service without layers is the least loaded upstream', () => {
   const engine = {...layeredEngine(LAYERS), layers: undefined};
-  const answer = search([makeUpstream({id: 'a'}), makeUpstream({id: 'b'})], {
+  const result = search([makeUpstream({id: 'a'}), makeUpstream({id: 'b'})], {
     engine,
     span: {from: 0, to: 1},
     loadOf: id => ({requests: 1, tokenLayers: id === 'a' ? 5000 : 0}),
   });
-  expect(answer.kind === 'found' && formatPath(answer.path)).toBe('b=0-1');
+  expect(result.kind === 'found' && formatPath(result.path)).toBe('b=0-1');
 });
 
 describe('the load of the link between data centres', () => {
--- a/src/features/paths/test/prefillBacklog.test.ts
+++ b/src/features/paths/test/prefillBacklog.test.ts
@@ -109,7 +109,7 @@
     holder('d', 4, 8, 'south'),
   ];
 
-  /** Share of streams on the busiest upstream. Each instance knows its own streams and the load before the loss. */
+  /** Share of streams on the busiest upstream. Instances know their own streams and the load before the loss. */
   function shareOfBusiest(usesBacklog: boolean): number {
     const clock = new FakeClock();
     const instances = Array.from({length: INSTANCES}, () => {
@@ -129,7 +129,7 @@
     const sent = new Map<string, number>();
     for (let stream = 0; stream < STREAMS; stream++) {
       const {backlog, load} = instances[stream % INSTANCES]!;
-      const answer = findPath({
+      const result = findPath({
         engine,
         upstreams,
         size,
@@ -143,11 +143,11 @@
         isCapacityLimited: true,
         isUsable: () => true,
       });
-      if (answer.kind !== 'found') {
+      if (result.kind !== 'found') {
         throw new Error('no path found despite free capacity');
       }
-      backlog.recordPrompt(engine, answer.path, size.promptTokens, new Set());
-      for (const id of upstreamIdsOf(answer.path)) {
+      backlog.recordPrompt(engine, result.path, size.promptTokens, new Set());
+      for (const id of upstreamIdsOf(result.path)) {
         load.add(id, totalTokensOf(size));
         sent.set(id, (sent.get(id) ?? 0) + 1);
       }
@@ -158,18 +158,18 @@
   it.each([
     {
       name: 'mostly choose the same path by capacity alone',
-      knows: false,
+      usesBacklog: false,
       least: 0.8,
       most: 1,
     },
     {
       name: 'spread over both paths by the prefill backlog',
-      knows: true,
+      usesBacklog: true,
       least: 0.5,
       most: 0.65,
     },
-  ])('$name', ({knows, least, most}) => {
-    const share = shareOfBusiest(knows);
+  ])('$name', ({usesBacklog, least, most}) => {
+    const share = shareOfBusiest(usesBacklog);
     expect(share).toBeGreaterThanOrEqual(least);
     expect(share).toBeLessThanOrEqual(most);
   });
--- a/src/features/placement/common/engineWatch.ts
+++ b/src/features/placement/common/engineWatch.ts
@@ -105,17 +105,17 @@
     }
     const {member} = watched;
     const startedAt = this.clock.monotonicMilliseconds();
-    const answer = await withDeadline(
+    const result = await withDeadline(
       this.clock,
       token,
       POLL_TIMEOUT_MILLISECONDS,
       call => this.connector.connect(id, member.address).report(call),
     );
     watched.polledAt = startedAt;
-    watched.reachable = answer.ok;
-    if (answer.ok) {
-      watched.report = answer.value;
-      watched.reportMadeAt = startedAt - answer.value.ageMilliseconds;
+    watched.reachable = result.ok;
+    if (result.ok) {
+      watched.report = result.value;
+      watched.reportMadeAt = startedAt - result.value.ageMilliseconds;
     }
   }
 }
--- a/src/features/placement/common/leaseObserver.ts
+++ b/src/features/placement/common/leaseObserver.ts
@@ -6,7 +6,7 @@
 export interface ObservedLease {
   readonly version: number;
   readonly record: LeaseRecord;
-  /** Monotonic milliseconds at which the first answer with this version arrived. */
+  /** Monotonic milliseconds at which the first response with this version arrived. */
   readonly since: number;
 }
 
@@ -18,7 +18,7 @@
 
 /** Observes a lease of other processes and determines when it may be acquired. */
 export class LeaseObserver {
-  private seen: ObservedLease | undefined;
+  private lastObserved: ObservedLease | undefined;
 
   constructor(
     private readonly clock: Clock,
@@ -28,35 +28,35 @@
 
   /** The row as last read; undefined if there is none. */
   get observed(): ObservedLease | undefined {
-    return this.seen;
+    return this.lastObserved;
   }
 
   /** Records a row that was just read. */
   recordRow(row: TableRow | undefined): void {
     const record = readLeaseRecord(row);
     if (row === undefined || record === undefined) {
-      this.seen = undefined;
-    } else if (row.version !== this.seen?.version) {
+      this.lastObserved = undefined;
+    } else if (row.version !== this.lastObserved?.version) {
       const since = this.clock.monotonicMilliseconds();
-      this.seen = {version: row.version, record, since};
+      this.lastObserved = {version: row.version, record, since};
     }
   }
 
   /** Whether there is no row, its holder released it or has ended, or it stayed unchanged for a whole duration. */
   get isAvailable(): boolean {
-    const {seen} = this;
-    if (seen === undefined || seen.record.released) {
+    const {lastObserved} = this;
+    if (lastObserved === undefined || lastObserved.record.released) {
       return true;
     }
-    if (this.hasEnded(seen.record.holder, seen.since)) {
+    if (this.hasEnded(lastObserved.record.holder, lastObserved.since)) {
       return true;
     }
-    const unchanged = this.clock.monotonicMilliseconds() - seen.since;
+    const unchanged = this.clock.monotonicMilliseconds() - lastObserved.since;
     return unchanged >= this.durationMilliseconds;
   }
 
   /** Discards earlier observations. */
   forget(): void {
-    this.seen = undefined;
+    this.lastObserved = undefined;
   }
 }
--- a/src/features/placement/common/manifestCache.ts
+++ b/src/features/placement/common/manifestCache.ts
@@ -46,14 +46,14 @@
       return;
     }
     this.askedAt.set(key, now);
-    const answer = await withDeadline(
+    const result = await withDeadline(
       this.clock,
       token,
       CALL_TIMEOUT_MILLISECONDS,
       call => this.store.manifest(name, version, call),
     );
-    if (answer.ok && answer.value !== undefined) {
-      this.found.set(key, answer.value);
+    if (result.ok && result.value !== undefined) {
+      this.found.set(key, result.value);
     }
   }
 
--- a/src/features/placement/common/tableLease.ts
+++ b/src/features/placement/common/tableLease.ts
@@ -235,7 +235,7 @@
     return this.resolveHolder(row.value, token);
   }
 
-  /** Determines the holder from the row after a conflict or a lost answer. */
+  /** Determines the holder from the row after a conflict or a lost response. */
   private resolveHolder(
     row: TableRow | undefined,
     token: CancellationToken,
--- a/src/features/placement/test/placementSimulation.ts
+++ b/src/features/placement/test/placementSimulation.ts
@@ -27,7 +27,7 @@
 const LOAD_MILLISECONDS = 2_000;
 const SEQUENCE_LIMIT = 8;
 
-/** Clock of one process. While the process is paused, its timers and answers are deferred. */
+/** Clock of one process. While the process is paused, its timers and responses are deferred. */
 class ProcessClock extends Clock {
   private deferredCallbacks: Array<() => void> | undefined;
 
--- a/src/features/placement/test/tableLease.test.ts
+++ b/src/features/placement/test/tableLease.test.ts
@@ -63,7 +63,7 @@
 }
 
 /** Faults of the first or second write of process 0, which holds the lease again two steps later. */
-const lostWrites: ReadonlyArray<readonly [PlatformFault, number]> = [
+const faultyWrites: ReadonlyArray<readonly [PlatformFault, number]> = [
   [{kind: 'answerLost'}, 0],
   [{kind: 'requestLost'}, 0],
   [{kind: 'slow', milliseconds: 3_000}, 0],
@@ -74,7 +74,7 @@
   [{kind: 'rateLimited', retryAfterMilliseconds: 100}, 1],
 ];
 
-it.each(lostWrites)(
+it.each(faultyWrites)(
   'a lease is held again after %o at write %i, without a new fencing number',
   async (fault, write) => {
     const simulation = new LeaseSimulation(1);
@@ -96,7 +96,7 @@
   {actsUnrenewed: true, lasting: DURATION},
   {actsUnrenewed: false, lasting: 0},
 ])(
-  'a lease that can not be renewed permits actions for $lasting ms if actsUnrenewed is $actsUnrenewed',
+  'a lease that cannot be renewed permits actions for $lasting ms if actsUnrenewed is $actsUnrenewed',
   async ({actsUnrenewed, lasting}) => {
     const simulation = new LeaseSimulation(1, {
       ...defaultLeaseSettings,
--- a/src/features/routing/common/cellCodec.ts
+++ b/src/features/routing/common/cellCodec.ts
@@ -45,16 +45,16 @@
 export type ReplanRow = z.input<typeof replanRowSchema>;
 /** A release, as sent on the wire. */
 export type ReleaseRow = z.input<typeof releaseRowSchema>;
-/** A stage's failure or first answer, as sent on the wire. */
+/** A stage's failure or first response, as sent on the wire. */
 export type FailureRow = z.input<typeof failureRowSchema>;
-/** An owner's answer, as sent on the wire. */
+/** An owner's response, as sent on the wire. */
 export type ResponseRow = z.input<typeof responseRowSchema>;
 /** A summary of one model in one cell, as sent on the wire. */
 export type SummaryRow = z.input<typeof summaryRowSchema>;
 
 /** Names in a call that its releases are front-coded against. */
 type ReleaseBase = Pick<ReserveRequest, 'cell' | 'reservationId'>;
-/** Names in a call that the summaries in its answer are front-coded against. */
+/** Names in a call that the summaries in its response are front-coded against. */
 type SummaryBase = Pick<ReserveRequest, 'cell' | 'model'>;
 
 const emptyBase: ReleaseBase & SummaryBase = {
@@ -154,7 +154,7 @@
   };
 }
 
-/** Encodes summaries; `base` is the call that they answer, if it names a cell and model. */
+/** Encodes summaries; `base` is the call that they respond to, if it names a cell and model. */
 export function encodeSummaries(
   summaries: readonly SummaryMessage[],
   base: SummaryBase = emptyBase,
@@ -170,7 +170,7 @@
   ]);
 }
 
-/** Decodes summaries; `base` is the call that they answer, if it names a cell and model. */
+/** Decodes summaries; `base` is the call that they respond to, if it names a cell and model. */
 export function decodeSummaries(
   rows: ReadonlyArray<z.output<typeof summaryRowSchema>>,
   base: SummaryBase = emptyBase,
@@ -186,17 +186,17 @@
   }));
 }
 
-/** Encodes an answer without the cell and the reservation id, which the requester knows from its call. */
+/** Encodes a response without the cell and the reservation id, which the requester knows from its call. */
 export function encodeResponse(
   call: ReserveRequest,
-  answer: ReserveResponse,
+  response: ReserveResponse,
 ): ResponseRow {
-  const summaries = encodeSummaries(answer.summaries, call);
-  if (answer.kind === 'refused') {
-    const reason = refusalReasons.indexOf(answer.reason);
-    return [1, reason, answer.retryAfterMilliseconds, summaries];
+  const summaries = encodeSummaries(response.summaries, call);
+  if (response.kind === 'refused') {
+    const reason = refusalReasons.indexOf(response.reason);
+    return [1, reason, response.retryAfterMilliseconds, summaries];
   }
-  const {stages, prediction, candidates, reason} = answer.reservation;
+  const {stages, prediction, candidates, reason} = response.reservation;
   return [
     0,
     encodeStages(stages),
@@ -207,7 +207,7 @@
   ];
 }
 
-/** Decodes the answer to `call`, which supplies the omitted fields. */
+/** Decodes the response to `call`, which supplies the omitted fields. */
 export function decodeResponse(
   call: ReserveRequest,
   row: z.output<typeof responseRowSchema>,
--- a/src/features/routing/common/cellMessages.ts
+++ b/src/features/routing/common/cellMessages.ts
@@ -39,7 +39,7 @@
   readonly replaces: string;
 }
 
-/** The owner's answer to a request for capacity. */
+/** The owner's response to a request for capacity. */
 export type ReserveResponse =
   | {
       readonly kind: 'reserved';
@@ -53,7 +53,7 @@
       readonly summaries: readonly SummaryMessage[];
     };
 
-/** Reports a stage's failure, or a probed stage's first answer, before the reservation is released. */
+/** Reports a stage's failure, or a probed stage's first response, before the reservation is released. */
 export interface FailureMessage {
   readonly cell: string;
   readonly reservationId: string;
@@ -72,9 +72,9 @@
     signal: AbortSignal,
   ): Promise<ReserveResponse>;
 
-  abstract release(notes: readonly ReleaseMessage[]): void;
+  abstract release(releases: readonly ReleaseMessage[]): void;
 
-  abstract reportFailure(note: FailureMessage): void;
+  abstract reportFailure(failure: FailureMessage): void;
 
   /** Summaries of the cells that the authority holds or has learned of; those of `model` come first if it is given. */
   abstract summaries(
--- a/src/features/routing/common/cellSchemas.ts
+++ b/src/features/routing/common/cellSchemas.ts
@@ -136,5 +136,5 @@
   ]),
 ]);
 
-/** A request for summaries; those of `model` come first in the answer. */
+/** A request for summaries; those of `model` come first in the response. */
 export const summariesCallSchema = z.object({model: z.string().optional()});
--- a/src/features/routing/common/routing.ts
+++ b/src/features/routing/common/routing.ts
@@ -75,7 +75,7 @@
   readonly checksFencing?: boolean;
   /** Model version that the engine holds; undefined means the configured one. */
   readonly version?: string;
-  /** Whether the engine is being probed and gets no other work until its first answer; undefined means no. */
+  /** Whether the engine is being probed and gets no other work until its first response; undefined means no. */
   readonly probing?: boolean;
 }
 
@@ -117,7 +117,7 @@
   readonly reason?: string;
 }
 
-/** Answer to a request for capacity, from the owner or from a decision of the requester itself. */
+/** Response to a request for capacity, from the owner or from a decision of the requester itself. */
 export type ReservationReply =
   | {readonly kind: 'reserved'; readonly reservation: Reservation}
   | {
@@ -161,7 +161,7 @@
     observations: readonly StageObservation[],
   ): void;
 
-  /** Reports a failure, or the first answer of a probed stage, without waiting for the release. */
+  /** Reports a failure, or the first response of a probed stage, without waiting for the release. */
   abstract reportFailure(
     reservation: Reservation,
     observation: StageObservation,
--- a/src/features/routing/common/upstreamHealthTracker.ts
+++ b/src/features/routing/common/upstreamHealthTracker.ts
@@ -114,7 +114,7 @@
     return entry === undefined ? [] : this.recordFailure(entry, 'failure', now);
   }
 
-  /** Records that the upstream answered a step in time. This ends a probe without waiting for the whole reply. */
+  /** Records that the upstream responded to a step in time. This ends a probe without waiting for the whole reply. */
   stepSucceeded(upstream: string, now: number): readonly HealthChange[] {
     const entry = this.tracked.get(upstream);
     return entry === undefined ? [] : this.sendEvent(entry, 'success', now);
--- a/src/features/routing/node/cellDirectory.ts
+++ b/src/features/routing/node/cellDirectory.ts
@@ -5,7 +5,7 @@
 import {Cell} from '../common/cells.js';
 
 interface DirectoryEntry {
-  readonly note: SummaryMessage;
+  readonly summary: SummaryMessage;
   /** Local monotonic milliseconds at which the owner made the summary, from the age that came with it. */
   readonly madeAt: number;
 }
@@ -15,7 +15,7 @@
 const MAX_ENTRIES = 8192;
 const LINK_SMOOTHING = 0.2;
 
-/** The newest known summaries of all cells, from answers of peers and decisions of this process. */
+/** The newest known summaries of all cells, from responses of peers and decisions of this process. */
 export class CellDirectory {
   private readonly entries = new Map<string, DirectoryEntry>();
   private readonly linkMillisecondsByDataCentre = new Map<string, number>();
@@ -26,17 +26,17 @@
   ) {}
 
   /** Records summaries; an older one never replaces a newer one. */
-  recordSummaries(notes: readonly SummaryMessage[]): void {
+  recordSummaries(summaries: readonly SummaryMessage[]): void {
     const now = this.clock.monotonicMilliseconds();
-    for (const note of notes) {
-      const key = `${note.cell} ${note.model}`;
-      const madeAt = now - note.ageMilliseconds;
+    for (const summary of summaries) {
+      const key = `${summary.cell} ${summary.model}`;
+      const madeAt = now - summary.ageMilliseconds;
       if ((this.entries.get(key)?.madeAt ?? -Infinity) <= madeAt) {
         this.entries.delete(key);
-        this.entries.set(key, {note, madeAt});
+        this.entries.set(key, {summary, madeAt});
       }
     }
-    this.bound();
+    this.evictOldest();
   }
 
   /** Records the measured one-way time to a data centre. */
@@ -51,8 +51,8 @@
   serving(model: string, cells: CellMap): readonly CellSummary[] {
     const found: CellSummary[] = [];
     for (const entry of this.entries.values()) {
-      const cell = cells.get(entry.note.cell);
-      if (entry.note.model === model && cell !== undefined) {
+      const cell = cells.get(entry.summary.cell);
+      if (entry.summary.model === model && cell !== undefined) {
         found.push(this.summaryOf(entry, cell));
       }
     }
@@ -62,7 +62,7 @@
   /** Cells without a summary, those in this process's data centre first. */
   unknownCells(cells: CellMap): readonly Cell[] {
     const knownIds = new Set(
-      [...this.entries.values()].map(({note}) => note.cell),
+      [...this.entries.values()].map(({summary}) => summary.cell),
     );
     const unknown = cells.all.filter(({id}) => !knownIds.has(id));
     const local = unknown.filter(
@@ -79,7 +79,7 @@
     const oldestFirst = [...this.entries.values()].sort(
       (a, b) => a.madeAt - b.madeAt,
     );
-    const ids = new Set(oldestFirst.map(({note}) => note.cell));
+    const ids = new Set(oldestFirst.map(({summary}) => summary.cell));
     return [...ids].map(id => cells.get(id)).filter(cell => cell !== undefined);
   }
 
@@ -100,8 +100,8 @@
         chosen.length = Math.min(chosen.length, limit);
       }
     }
-    return chosen.map(({note, madeAt}) => ({
-      ...note,
+    return chosen.map(({summary, madeAt}) => ({
+      ...summary,
       ageMilliseconds: Math.round(now - madeAt),
     }));
   }
@@ -109,38 +109,41 @@
   /** Removes summaries that are too old or whose cell no longer exists. */
   removeStale(cells: CellMap): void {
     const oldest = this.clock.monotonicMilliseconds() - RETENTION_MILLISECONDS;
-    for (const [key, {note, madeAt}] of this.entries) {
-      if (cells.get(note.cell) === undefined || madeAt < oldest) {
+    for (const [key, {summary, madeAt}] of this.entries) {
+      if (cells.get(summary.cell) === undefined || madeAt < oldest) {
         this.entries.delete(key);
       }
     }
   }
 
-  /** Replaces a cell's summaries by its owner's answer: the cell doesn't serve models that are missing there. */
-  replaceSummaries(cell: string, notes: readonly SummaryMessage[]): void {
-    for (const [key, {note}] of this.entries) {
-      if (note.cell === cell) {
+  /** Replaces a cell's summaries by those in its owner's response, which omits models that the cell doesn't serve. */
+  replaceSummaries(cell: string, summaries: readonly SummaryMessage[]): void {
+    for (const [key, {summary}] of this.entries) {
+      if (summary.cell === cell) {
         this.entries.delete(key);
       }
     }
-    this.recordSummaries(notes);
+    this.recordSummaries(summaries);
   }
 
-  private summaryOf({note, madeAt}: DirectoryEntry, cell: Cell): CellSummary {
+  private summaryOf(
+    {summary, madeAt}: DirectoryEntry,
+    cell: Cell,
+  ): CellSummary {
     const {dataCentre} = cell;
     const now = this.clock.monotonicMilliseconds();
     return {
       cell: cell.id,
-      model: note.model,
+      model: summary.model,
       dataCentre,
-      freeSlots: note.freeSlots,
-      earliestStartMilliseconds: note.earliestStartMilliseconds,
+      freeSlots: summary.freeSlots,
+      earliestStartMilliseconds: summary.earliestStartMilliseconds,
       linkMilliseconds: this.linkMillisecondsByDataCentre.get(dataCentre) ?? 0,
       ageMilliseconds: now - madeAt,
     };
   }
 
-  private bound(): void {
+  private evictOldest(): void {
     for (const key of this.entries.keys()) {
       if (this.entries.size <= MAX_ENTRIES) {
         return;
@@ -156,8 +159,8 @@
   right: DirectoryEntry,
   model: string | undefined,
 ): boolean {
-  const leftMatches = left.note.model === model;
-  if (leftMatches !== (right.note.model === model)) {
+  const leftMatches = left.summary.model === model;
+  if (leftMatches !== (right.summary.model === model)) {
     return leftMatches;
   }
   return left.madeAt > right.madeAt;
--- a/src/features/routing/node/cellOwner.ts
+++ b/src/features/routing/node/cellOwner.ts
@@ -153,16 +153,16 @@
     if (replaced !== undefined) {
       this.removeFromLedgers(call.replaces, replaced, now);
     }
-    const answer = this.reserve(call, configuration, now);
+    const response = this.reserve(call, configuration, now);
     if (replaced === undefined) {
-      return answer;
+      return response;
     }
-    if (answer.kind === 'reserved') {
+    if (response.kind === 'reserved') {
       this.endReservation(call.replaces, replaced, now);
     } else {
       this.restoreReservation(call.replaces, replaced, call.excluded, now);
     }
-    return answer;
+    return response;
   }
 
   /** Ends a reservation; an unknown one is ignored. */
--- a/src/features/routing/node/cellOwnerClient.ts
+++ b/src/features/routing/node/cellOwnerClient.ts
@@ -123,7 +123,7 @@
       return answer;
     } catch {
       if (!token.aborted && !this.wasProcessPaused(peer, startedAt)) {
-        this.failed(peer);
+        this.recordFailure(peer);
       }
       return undefined;
     } finally {
@@ -160,7 +160,7 @@
     this.metrics.milliseconds('routing.owner.call', elapsed);
   }
 
-  private failed(peer: Peer): void {
+  private recordFailure(peer: Peer): void {
     const backoff = Math.min(
       MAX_BACKOFF_MILLISECONDS,
       INITIAL_BACKOFF_MILLISECONDS * 2 ** peer.consecutiveFailures,
--- a/src/features/routing/node/cellRouter.ts
+++ b/src/features/routing/node/cellRouter.ts
@@ -44,8 +44,11 @@
       .input(summariesCallSchema)
       .mutation(async request => {
         const signal = request.signal ?? neverAborted;
-        const notes = await authority.summaries(request.input.model, signal);
-        return encodeSummaries(notes);
+        const summaries = await authority.summaries(
+          request.input.model,
+          signal,
+        );
+        return encodeSummaries(summaries);
       }),
   });
   return createRpcRouter({cells});
--- a/src/features/routing/node/defaultCapacityBroker.ts
+++ b/src/features/routing/node/defaultCapacityBroker.ts
@@ -127,13 +127,13 @@
   ): void {
     const {cell} = reservation;
     const {localId, grantedBy} = this.ids.parse(reservation.reservationId);
-    const note: ReleaseMessage = {
+    const message: ReleaseMessage = {
       cell,
       reservationId: localId,
       observations: observations.map(roundObservation),
     };
     this.notifyAuthorities(cell, grantedBy, authority =>
-      authority.release([note]),
+      authority.release([message]),
     );
   }
 
@@ -143,13 +143,13 @@
   ): void {
     const {cell} = reservation;
     const {localId, grantedBy} = this.ids.parse(reservation.reservationId);
-    const note = {
+    const message = {
       cell,
       reservationId: localId,
       observation: roundObservation(observation),
     };
     this.notifyAuthorities(cell, grantedBy, authority =>
-      authority.reportFailure(note),
+      authority.reportFailure(message),
     );
   }
 
--- a/src/features/routing/node/localCells.ts
+++ b/src/features/routing/node/localCells.ts
@@ -51,9 +51,9 @@
 const MAX_FOREIGN_CELLS = 64;
 const HOUSEKEEPING_INTERVAL_MILLISECONDS = 1000;
 const FIRST_REPORT_TIMEOUT_MILLISECONDS = 150;
-/** Summaries of other cells added to each answer. */
+/** Summaries of other cells added to each response. */
 const OTHER_CELL_SUMMARIES = 2;
-/** Most summaries in the answer to a call of `summaries`. */
+/** Most summaries in the response to a call of `summaries`. */
 const MAX_SUMMARIES = 32;
 
 /** The cells that this process owns, or decides for because a peer asked it to or no owner answered. */
@@ -103,19 +103,25 @@
     const owner = await this.prepareOwner(call);
     return owner === undefined
       ? refuseUnknownCell()
-      : this.answer(call, owner.reserve(call, this.configuration, this.now()));
+      : this.addOtherSummaries(
+          call,
+          owner.reserve(call, this.configuration, this.now()),
+        );
   }
 
   override async replan(call: ReplanRequest): Promise<ReserveResponse> {
     const owner = await this.prepareOwner(call);
     return owner === undefined
       ? refuseUnknownCell()
-      : this.answer(call, owner.replan(call, this.configuration, this.now()));
+      : this.addOtherSummaries(
+          call,
+          owner.replan(call, this.configuration, this.now()),
+        );
   }
 
-  override release(notes: readonly ReleaseMessage[]): void {
+  override release(releases: readonly ReleaseMessage[]): void {
     const now = this.now();
-    for (const {cell, reservationId, observations} of notes) {
+    for (const {cell, reservationId, observations} of releases) {
       for (const observation of observations) {
         this.registry.observe(observation, now);
       }
@@ -123,8 +129,8 @@
     }
   }
 
-  override reportFailure(note: FailureMessage): void {
-    this.registry.observe(note.observation, this.now());
+  override reportFailure(failure: FailureMessage): void {
+    this.registry.observe(failure.observation, this.now());
   }
 
   override async summaries(
@@ -149,20 +155,20 @@
   }
 
   /** Adds a few summaries of other cells, so that requesters learn of them without another call. */
-  private answer(
+  private addOtherSummaries(
     call: ReserveRequest,
-    answer: ReserveResponse,
+    response: ReserveResponse,
   ): ReserveResponse {
     const {directory} = this.dependencies;
-    directory.recordSummaries(answer.summaries);
+    directory.recordSummaries(response.summaries);
     const others = directory
       .summariesToShare(
         call.model,
-        OTHER_CELL_SUMMARIES + answer.summaries.length,
+        OTHER_CELL_SUMMARIES + response.summaries.length,
       )
-      .filter(note => note.cell !== call.cell)
+      .filter(summary => summary.cell !== call.cell)
       .slice(0, OTHER_CELL_SUMMARIES);
-    return {...answer, summaries: [...answer.summaries, ...others]};
+    return {...response, summaries: [...response.summaries, ...others]};
   }
 
   private updateDirectory(): void {
--- a/src/features/routing/node/peerCells.ts
+++ b/src/features/routing/node/peerCells.ts
@@ -50,8 +50,10 @@
     signal: AbortSignal,
   ): Promise<ReserveResponse> {
     const row = encodeReserve(this.withPendingReleases(call));
-    const answer = await this.client.call.cells.reserve.mutate(row, {signal});
-    return decodeResponse(call, responseRowSchema.parse(answer));
+    const responseRow = await this.client.call.cells.reserve.mutate(row, {
+      signal,
+    });
+    return decodeResponse(call, responseRowSchema.parse(responseRow));
   }
 
   override async replan(
@@ -59,13 +61,15 @@
     signal: AbortSignal,
   ): Promise<ReserveResponse> {
     const row = encodeReplan(this.withPendingReleases(call));
-    const answer = await this.client.call.cells.replan.mutate(row, {signal});
-    return decodeResponse(call, responseRowSchema.parse(answer));
+    const responseRow = await this.client.call.cells.replan.mutate(row, {
+      signal,
+    });
+    return decodeResponse(call, responseRowSchema.parse(responseRow));
   }
 
   /** Batches releases; they are sent with the next call or, soon after, on their own. */
-  override release(notes: readonly ReleaseMessage[]): void {
-    this.releases.push(...notes);
+  override release(releases: readonly ReleaseMessage[]): void {
+    this.releases.push(...releases);
     const excess = this.releases.length - MAX_PENDING_RELEASES;
     if (excess > 0) {
       this.releases = this.releases.slice(excess);
@@ -76,9 +80,9 @@
     );
   }
 
-  override reportFailure(note: FailureMessage): void {
-    this.notice(signal =>
-      this.client.call.cells.reportFailure.mutate(encodeFailure(note), {
+  override reportFailure(failure: FailureMessage): void {
+    this.sendWithoutRetry(signal =>
+      this.client.call.cells.reportFailure.mutate(encodeFailure(failure), {
         signal,
       }),
     );
@@ -103,7 +107,7 @@
   private flush(): void {
     const releases = this.takePendingReleases();
     if (releases.length > 0) {
-      this.notice(signal =>
+      this.sendWithoutRetry(signal =>
         this.client.call.cells.release.mutate(encodeReleases(releases), {
           signal,
         }),
@@ -120,7 +124,9 @@
   }
 
   /** Sends a message without retries: losing it only makes estimates less accurate. */
-  private notice(send: (signal: AbortSignal) => Promise<unknown>): void {
+  private sendWithoutRetry(
+    send: (signal: AbortSignal) => Promise<unknown>,
+  ): void {
     const controller = new AbortController();
     const timer = this.clock.setTimer(BEST_EFFORT_TIMEOUT_MILLISECONDS, () =>
       controller.abort(),
--- a/src/features/routing/node/reportPoller.ts
+++ b/src/features/routing/node/reportPoller.ts
@@ -123,7 +123,7 @@
     const timeout = this.clock.setTimer(POLL_TIMEOUT_MILLISECONDS, () =>
       source.cancel('timed out'),
     );
-    const answer = await this.connector
+    const result = await this.connector
       .connect(id, address)
       .report(source.token);
     timeout.dispose();
@@ -133,14 +133,14 @@
       return;
     }
     const now = this.clock.monotonicMilliseconds();
-    if (answer.ok) {
+    if (result.ok) {
       if (stage.ledger.report === undefined) {
         this.pollSoon(id);
       }
-      this.registry.recordReport(answer.value, now - startedAt, now);
+      this.registry.recordReport(result.value, now - startedAt, now);
       return;
     }
-    const {kind} = answer.error;
+    const {kind} = result.error;
     this.metrics.count('routing.report.failed', 1, {kind});
     const wasPaused = now - startedAt > PAUSE_RATIO * POLL_TIMEOUT_MILLISECONDS;
     if (kind !== 'overloaded' && !wasPaused) {
--- a/src/features/routing/test/brokerCluster.ts
+++ b/src/features/routing/test/brokerCluster.ts
@@ -131,15 +131,15 @@
     );
   }
 
-  override release(notes: readonly ReleaseMessage[]): void {
+  override release(releases: readonly ReleaseMessage[]): void {
     if (this.isUp && !this.cluster.dropsReleases) {
-      this.target.release(cloneAsJson(notes));
+      this.target.release(cloneAsJson(releases));
     }
   }
 
-  override reportFailure(note: FailureMessage): void {
+  override reportFailure(failure: FailureMessage): void {
     if (this.isUp) {
-      this.target.reportFailure(cloneAsJson(note));
+      this.target.reportFailure(cloneAsJson(failure));
     }
   }
 
--- a/src/features/routing/test/capacityBroker.test.ts
+++ b/src/features/routing/test/capacityBroker.test.ts
@@ -221,7 +221,7 @@
     },
     {name: 'a reply continues on its version', began: '0', served: '0'},
     {
-      name: 'no version continues a reply of another',
+      name: 'no version continues a reply that another one began',
       began: '1',
       served: undefined,
     },
@@ -260,39 +260,47 @@
   });
 
   test.each([
-    {name: 'after a release', loses: false, wait: 200, after: 'reserved'},
+    {
+      name: 'after a release',
+      dropsReleases: false,
+      wait: 200,
+      outcome: 'reserved',
+    },
     {
       name: 'soon after a lost release',
-      loses: true,
+      dropsReleases: true,
       wait: 200,
-      after: 'refused',
+      outcome: 'refused',
     },
     {
       name: 'after a lost release, once the reservation has expired',
-      loses: true,
+      dropsReleases: true,
       wait: 9000,
-      after: 'reserved',
+      outcome: 'reserved',
     },
-  ])('$name the next request is $after', async ({loses, wait, after}) => {
-    await startCluster([engines[0]!]);
-    cluster.engines.set('e1', {sequenceLimit: 1, residentSequences: 0});
-    await cluster.clock.advanceAsync(1300);
-    const from = nonOwners()[0]!;
-    const long = {...workEstimate('long'), outputTokens: 300};
-    const reply = await cluster.runUntilSettled(
-      cluster.broker(from).reserve(long, 'm', signal),
-    );
-    cluster.dropsReleases = loses;
-    if (reply.kind === 'reserved') {
-      cluster.broker(from).release(reply.reservation, []);
-    }
-    cluster.engines.set('e1', {sequenceLimit: 1, ageMilliseconds: 60000});
-    await cluster.clock.advanceAsync(wait);
-    const next = await reserve(from, 'next');
-    expect(next).toMatchObject({kind: after});
-  });
+  ])(
+    '$name the next request is $outcome',
+    async ({dropsReleases, wait, outcome}) => {
+      await startCluster([engines[0]!]);
+      cluster.engines.set('e1', {sequenceLimit: 1, residentSequences: 0});
+      await cluster.clock.advanceAsync(1300);
+      const from = nonOwners()[0]!;
+      const long = {...workEstimate('long'), outputTokens: 300};
+      const reply = await cluster.runUntilSettled(
+        cluster.broker(from).reserve(long, 'm', signal),
+      );
+      cluster.dropsReleases = dropsReleases;
+      if (reply.kind === 'reserved') {
+        cluster.broker(from).release(reply.reservation, []);
+      }
+      cluster.engines.set('e1', {sequenceLimit: 1, ageMilliseconds: 60000});
+      await cluster.clock.advanceAsync(wait);
+      const next = await reserve(from, 'next');
+      expect(next).toMatchObject({kind: outcome});
+    },
+  );
 
-  test('can be released after their owner remaining, and the next owner grants new ones', async () => {
+  test('can be released after their owner has become unreachable, and the next owner grants new ones', async () => {
     await startCluster();
     const from = nonOwners()[0]!;
     const reservation = await reserveOrThrow(from);
--- a/src/features/routing/test/cells.test.ts
+++ b/src/features/routing/test/cells.test.ts
@@ -89,8 +89,8 @@
   );
   const cells = [...partitionIntoCells(replicas(400, 'e'), 4).values()];
 
-  function owners(among: typeof instances): Map<string, string> {
-    const {instances: views} = systemView(among, []);
+  function owners(candidates: typeof instances): Map<string, string> {
+    const {instances: views} = systemView(candidates, []);
     const ownership = new CellOwnership(views);
     return new Map(
       cells.map(cell => [cell.id, ownership.ownersOf(cell, 1)[0]!.id]),
@@ -100,8 +100,8 @@
   test('changes only for the cells of an instance that leaves', () => {
     const before = owners(instances);
     fc.assert(
-      fc.property(fc.integer({min: 0, max: 39}), gone => {
-        const leaving = `i${gone}`;
+      fc.property(fc.integer({min: 0, max: 39}), leavingIndex => {
+        const leaving = `i${leavingIndex}`;
         const after = owners(
           instances.filter(instance => instance.id !== leaving),
         );
@@ -117,11 +117,15 @@
   const region = instanceMember('region', {dataCentre: 'north-2'});
   const far = instanceMember('far', {dataCentre: 'x', region: 'y'});
   test.each([
-    {name: 'in the data centre', among: [far, region, near], owner: 'near'},
-    {name: 'in the region', among: [far, region], owner: 'region'},
-    {name: 'anywhere', among: [far], owner: 'far'},
-  ])('goes to an instance $name', ({among, owner}) => {
-    expect(new Set(owners(among).values())).toEqual(new Set([owner]));
+    {
+      name: 'in the data centre',
+      candidates: [far, region, near],
+      owner: 'near',
+    },
+    {name: 'in the region', candidates: [far, region], owner: 'region'},
+    {name: 'anywhere', candidates: [far], owner: 'far'},
+  ])('goes to an instance $name', ({candidates, owner}) => {
+    expect(new Set(owners(candidates).values())).toEqual(new Set([owner]));
   });
 
   test('never goes to an instance that is not ready', () => {
--- a/src/features/routing/test/common/cellSchemas.test.ts
+++ b/src/features/routing/test/common/cellSchemas.test.ts
@@ -84,7 +84,7 @@
   earliestStartMilliseconds: 20,
   ageMilliseconds: 7,
 };
-const answers: readonly ReserveResponse[] = [
+const responses: readonly ReserveResponse[] = [
   {
     kind: 'reserved',
     reservation: {
@@ -116,11 +116,11 @@
   },
 ];
 
-it.each(answers)(
-  'an answer of kind $kind is decoded as it was encoded',
-  answer => {
-    const text = JSON.stringify(encodeResponse(call, answer));
+it.each(responses)(
+  'a response of kind $kind is decoded as it was encoded',
+  response => {
+    const text = JSON.stringify(encodeResponse(call, response));
     const row = responseRowSchema.parse(JSON.parse(text));
-    expect(decodeResponse(call, row)).toEqual(answer);
+    expect(decodeResponse(call, row)).toEqual(response);
   },
 );
--- a/src/features/routing/test/common/queueModel.ts
+++ b/src/features/routing/test/common/queueModel.ts
@@ -51,12 +51,12 @@
   private readonly random: SeededRandomSource;
   private readonly resident = new Map<string, readonly Residency[]>();
 
-  constructor(private readonly one: QueueCase) {
-    this.random = new SeededRandomSource(one.seed + 1);
+  constructor(private readonly queueCase: QueueCase) {
+    this.random = new SeededRandomSource(queueCase.seed + 1);
   }
 
   view(now: number): CellView {
-    const {replicas, stages} = this.one;
+    const {replicas, stages} = this.queueCase;
     const chains = [...Array(replicas).keys()].map(replica =>
       [...Array(stages).keys()].map(stage => this.stage(replica, stage, now)),
     );
@@ -79,12 +79,13 @@
     const slowdown = sumOf(
       chosen.map(stage => 1 / speedOfReplica(parseInt(stage.upstream))),
     );
-    const jitter = 1 + this.one.error * 0.1 * (2 * this.random.next() - 1);
+    const jitter =
+      1 + this.queueCase.error * 0.1 * (2 * this.random.next() - 1);
     const factor = (slowdown / chosen.length) * jitter;
-    const first =
+    const firstTokenAt =
       start + arrival.promptTokens * PREFILL_MILLISECONDS_PER_TOKEN * factor;
     const finish =
-      first + (arrival.actualOutput - 1) * STEP_MILLISECONDS * factor;
+      firstTokenAt + (arrival.actualOutput - 1) * STEP_MILLISECONDS * factor;
     const deadline = arrivedAt + arrival.deadlineWithinMilliseconds;
     const actual = Math.min(finish, Math.max(deadline, start));
     chosen.forEach(({upstream}, index) => {
@@ -92,7 +93,7 @@
       this.resident.set(upstream, [...residencies[index]!, entry]);
     });
     const isFirstTokenInTime =
-      first <= arrivedAt + arrival.firstTokenWithinMilliseconds;
+      firstTokenAt <= arrivedAt + arrival.firstTokenWithinMilliseconds;
     const areTokensInTime =
       STEP_MILLISECONDS * factor <= arrival.betweenTokensTargetMilliseconds;
     return isFirstTokenInTime && areTokensInTime && finish <= deadline;
@@ -102,12 +103,12 @@
     const ascending = residencies
       .map(entry => entry.actual)
       .sort((a, b) => a - b);
-    return ascending[ascending.length - this.one.slots] ?? now;
+    return ascending[ascending.length - this.queueCase.slots] ?? now;
   }
 
   private stage(replica: number, stage: number, now: number): StageView {
     const upstream = `${replica}.${stage}`;
-    const share = this.one.stages * speedOfReplica(replica);
+    const share = this.queueCase.stages * speedOfReplica(replica);
     const previous = this.resident.get(upstream) ?? [];
     const residencies = previous.filter(entry => entry.actual > now);
     this.resident.set(upstream, residencies);
@@ -121,7 +122,7 @@
       layers: {from: stage, to: stage + 1},
       health: 'healthy',
       leaving: false,
-      sequenceLimit: this.one.slots,
+      sequenceLimit: this.queueCase.slots,
       expectedFinishTimes: finishes.sort((a, b) => a - b),
       decodeMilliseconds: STEP_MILLISECONDS / share,
       linkMilliseconds: 0,
@@ -142,13 +143,13 @@
   const model = new QueueModel(queueCase);
   const accounts = new ShareAccounting();
   const targets = new Map(
-    CLASSES.map(trafficClass => [trafficClass.name, trafficClass.part]),
+    CLASSES.map(trafficClass => [trafficClass.name, trafficClass.requestShare]),
   );
   const timesByClass = new Map(
-    CLASSES.map(({name, first}) => [
+    CLASSES.map(({name, firstTokenTarget}) => [
       name,
       {
-        firstToken: first,
+        firstToken: firstTokenTarget,
         betweenTokens: betweenTargetOf(name, queueCase),
       },
     ]),
--- a/src/features/routing/test/common/queueWorkload.ts
+++ b/src/features/routing/test/common/queueWorkload.ts
@@ -21,16 +21,22 @@
 
 /** Relative speeds of four kinds of accelerators. */
 const SPEEDS = [1, 0.75, 0.5, 0.36];
-/** Two classes: `part` of the requests, the `first` token target, and a deadline of `fixed + own * work`. */
+/** Two classes with their share of the requests; a deadline is `deadlineOffset + deadlineFactor * work`. */
 export const CLASSES = [
   {
     name: 'interactive',
-    part: 0.7,
-    first: 570,
-    own: 3,
-    fixed: 1000,
+    requestShare: 0.7,
+    firstTokenTarget: 570,
+    deadlineFactor: 3,
+    deadlineOffset: 1000,
+  },
+  {
+    name: 'batch',
+    requestShare: 0.3,
+    firstTokenTarget: 6000,
+    deadlineFactor: 5,
+    deadlineOffset: 6000,
   },
-  {name: 'batch', part: 0.3, first: 6000, own: 5, fixed: 6000},
 ];
 /** Time of a decode step, then of prefill per token, through all stages at speed 1. */
 export const STEP_MILLISECONDS = 20;
@@ -67,7 +73,7 @@
     const isLarge = random.next() < queueCase.largeShare;
     const smallIndex = 1 + random.nextInteger(queueCase.smallAccounts);
     const trafficClass =
-      random.next() < CLASSES[0]!.part ? CLASSES[0]! : CLASSES[1]!;
+      random.next() < CLASSES[0]!.requestShare ? CLASSES[0]! : CLASSES[1]!;
     const promptTokens = 50 + random.nextInteger(201);
     const actualOutput = 10 + random.nextInteger(141);
     const errorFactor = 1 + queueCase.error * (2 * random.next() - 1);
@@ -83,14 +89,15 @@
       adapter: undefined,
       prefixKey: undefined,
       priority: 0,
-      firstTokenWithinMilliseconds: trafficClass.first,
+      firstTokenWithinMilliseconds: trafficClass.firstTokenTarget,
       betweenTokensTargetMilliseconds: betweenTargetOf(
         trafficClass.name,
         queueCase,
       ),
       deadlineWithinMilliseconds:
-        trafficClass.fixed +
-        trafficClass.own * slotMillisecondsOf(promptTokens, actualOutput),
+        trafficClass.deadlineOffset +
+        trafficClass.deadlineFactor *
+          slotMillisecondsOf(promptTokens, actualOutput),
     });
   }
   return arrivals;
--- a/src/features/routing/test/serviceChooser.test.ts
+++ b/src/features/routing/test/serviceChooser.test.ts
@@ -10,13 +10,17 @@
   return engineMember(id, {role: 'service', group: 'stock', ...changes});
 }
 
-function chooser(members: readonly UpstreamMember[]) {
+function createChooser(members: readonly UpstreamMember[]) {
   const clock = new FakeClock();
   const place = {dataCentre: 'north-1', region: 'west'};
-  const made = new ServiceChooser(place, clock, new SeededRandomSource(1));
-  made.update(members);
+  const serviceChooser = new ServiceChooser(
+    place,
+    clock,
+    new SeededRandomSource(1),
+  );
+  serviceChooser.update(members);
   clock.advance(5000);
-  return {made, clock};
+  return {serviceChooser, clock};
 }
 
 const near = replica('near');
@@ -29,43 +33,58 @@
   test.each([
     {
       name: 'is in the data centre if one is there',
-      among: [far, region, near],
+      replicas: [far, region, near],
       excluded: none,
-      is: 'near',
+      expected: 'near',
     },
     {
       name: 'is otherwise in the region',
-      among: [far, region],
+      replicas: [far, region],
       excluded: none,
-      is: 'region',
+      expected: 'region',
+    },
+    {
+      name: 'is otherwise anywhere',
+      replicas: [far],
+      excluded: none,
+      expected: 'far',
     },
-    {name: 'is otherwise anywhere', among: [far], excluded: none, is: 'far'},
     {
       name: 'is not excluded',
-      among: [near, region],
+      replicas: [near, region],
       excluded: ['near'],
-      is: 'region',
+      expected: 'region',
+    },
+    {
+      name: 'is not leaving',
+      replicas: [leaving, far],
+      excluded: none,
+      expected: 'far',
     },
-    {name: 'is not leaving', among: [leaving, far], excluded: none, is: 'far'},
     {
       name: 'is none if all are leaving',
-      among: [leaving],
+      replicas: [leaving],
       excluded: none,
-      is: undefined,
+      expected: undefined,
     },
-  ])('$name', ({among, excluded, is}) => {
-    const choice = chooser(among).made.choose('stock', excluded);
-    expect(choice.kind === 'chosen' ? choice.upstream : undefined).toBe(is);
+  ])('$name', ({replicas, excluded, expected}) => {
+    const choice = createChooser(replicas).serviceChooser.choose(
+      'stock',
+      excluded,
+    );
+    expect(choice.kind === 'chosen' ? choice.upstream : undefined).toBe(
+      expected,
+    );
     if (choice.kind === 'none') {
       expect(choice.retryAfterMilliseconds).toBeGreaterThan(0);
     }
   });
 
   test('is the less loaded of two', () => {
-    const {made} = chooser([near, replica('twin')]);
+    const {serviceChooser} = createChooser([near, replica('twin')]);
     const counts = new Map<string, number>();
     for (let index = 0; index < 20; index++) {
-      const choice = made.choose('stock', []);
+      const choice = serviceChooser.choose('stock', []);
       const name = choice.kind === 'chosen' ? choice.upstream : 'none';
       counts.set(name, (counts.get(name) ?? 0) + 1);
     }
@@ -78,12 +97,12 @@
   });
 
   test('is not one that failed, until its quarantine ends', () => {
-    const {made, clock} = chooser([near, far]);
-    made.choose('stock', []);
-    made.release('near', 'failed', 5);
-    const after = made.choose('stock', []);
+    const {serviceChooser, clock} = createChooser([near, far]);
+    serviceChooser.choose('stock', []);
+    serviceChooser.release('near', 'failed', 5);
+    const after = serviceChooser.choose('stock', []);
     clock.advance(600);
-    const probe = made.choose('stock', []);
+    const probe = serviceChooser.choose('stock', []);
     expect([after, probe]).toMatchObject([
       {upstream: 'far'},
       {upstream: 'near'},
@@ -91,14 +110,14 @@
   });
 
   test('gets no more calls than the limit learned from its refusals', () => {
-    const {made} = chooser([near]);
+    const {serviceChooser} = createChooser([near]);
     for (let index = 0; index < 10; index++) {
-      made.choose('stock', []);
+      serviceChooser.choose('stock', []);
     }
-    made.release('near', 'refused', 1);
-    expect(made.choose('stock', []).kind).toBe('none');
-    made.release('near', 'completed', 1);
-    made.release('near', 'completed', 1);
-    expect(made.choose('stock', []).kind).toBe('chosen');
+    serviceChooser.release('near', 'refused', 1);
+    expect(serviceChooser.choose('stock', []).kind).toBe('none');
+    serviceChooser.release('near', 'completed', 1);
+    serviceChooser.release('near', 'completed', 1);
+    expect(serviceChooser.choose('stock', []).kind).toBe('chosen');
   });
 });
--- a/src/programs/router/routerComponents.ts
+++ b/src/programs/router/routerComponents.ts
@@ -95,7 +95,7 @@
   const registry = new InstanceRegistry(ports.table, logger);
   const load = new UpstreamLoadTracker();
   const slowness = owned.add(new SlownessTracker(clock, logger));
-  const trials = owned.add(
+  const prober = owned.add(
     new UpstreamProber(
       clock,
       ports.upstreamControl,
@@ -107,7 +107,7 @@
   );
   const connector = owned.add(new HttpUpstreamConnector());
   const outcomes = new OutcomeHistory(clock);
-  const readingBacklog = new PrefillBacklog(
+  const prefillBacklog = new PrefillBacklog(
     clock,
     () => instances.instanceCount,
     id => slowness.factorOf(id),
@@ -118,7 +118,7 @@
         directory.find(id) !== undefined;
       connector.retain(isListed);
       outcomes.retain(isListed);
-      readingBacklog.retain(isListed);
+      prefillBacklog.retain(isListed);
     }),
   );
   const metrics = new Registry();
@@ -129,16 +129,16 @@
     random,
     logger,
     metrics: new RequestMetrics(metrics),
-    headerCodec: ports.wire,
+    headerCodec: ports.headerCodec,
     connector,
     control: ports.upstreamControl,
     configuration: activeConfiguration,
     directory,
     suspicions,
-    prober: trials,
+    prober,
     load,
     linkLoad: new LinkLoad(clock, () => instances.instanceCount),
-    readingBacklog,
+    prefillBacklog,
     slowness,
     budget: new RetryBudget(
       clock,
@@ -153,7 +153,7 @@
       directory,
       suspicions,
       slowness,
-      trials,
+      prober,
       defaultForwardingSettings.watchPeriodMilliseconds,
       mechanisms.silenceWatch,
     ),
@@ -181,7 +181,7 @@
       load,
       slowness,
       suspicions,
-      trials,
+      prober,
       lease,
       mechanisms,
     }),
--- a/src/programs/router/routerPorts.ts
+++ b/src/programs/router/routerPorts.ts
@@ -11,6 +11,6 @@
   readonly configurationSource: ConfigurationSource;
   readonly upstreams: UpstreamSource;
   readonly upstreamControl: UpstreamControl;
-  readonly wire: HeaderCodec;
+  readonly headerCodec: HeaderCodec;
   readonly directory: DirectoryProtocol;
 }
