--- a/src/features/forwarding/node/entryUpstreams.ts
+++ b/src/features/forwarding/node/entryUpstreams.ts
@@ -22,11 +22,11 @@
    * Finds a path over all layers. Once the limit is reached, the path must start at an upstream that was
    * used before.
    */
-  choosePath(chooser: PathChooser): PathSearchResult {
+  choosePath(pathChooser: PathChooser): PathSearchResult {
     if (this.liveCount < this.limit) {
-      return chooser.findWholePath(() => true);
+      return pathChooser.whole(() => true);
     }
-    return chooser.findWholePath(
+    return pathChooser.whole(
       ({id, layers}) => this.sentTo.has(id) || (layers?.from ?? 0) > 0,
     );
   }
--- a/src/features/forwarding/node/forwardingServices.ts
+++ b/src/features/forwarding/node/forwardingServices.ts
@@ -35,7 +35,7 @@
   readonly prober: UpstreamProber;
   readonly load: UpstreamLoadTracker;
   readonly linkLoad: LinkLoad;
-  readonly prefillBacklog: PrefillBacklog;
+  readonly readingBacklog: PrefillBacklog;
   readonly slowness: SlownessTracker;
   readonly budget: RetryBudget;
   readonly outcomes: OutcomeHistory;
--- a/src/features/forwarding/node/pathChooser.ts
+++ b/src/features/forwarding/node/pathChooser.ts
@@ -21,7 +21,7 @@
   ) {}
 
   /** Finds a path over all layers. */
-  findWholePath(isAllowed: (upstream: Upstream) => boolean): PathSearchResult {
+  whole(isAllowed: (upstream: Upstream) => boolean): PathSearchResult {
     const {layers} = this.engine;
     const span =
       layers === undefined ? WHOLE_MODEL : {from: 0, to: layers.layerCount};
@@ -73,7 +73,7 @@
     isAllowed: (upstream: Upstream) => boolean,
   ): PathQuery {
     const {directory, linkLoad, load, mechanisms, suspicions} = this.services;
-    const {prefillBacklog, slowness} = this.services;
+    const {readingBacklog, slowness} = this.services;
     const linkMegabits = this.engine.layers?.pipeMegabits ?? 0;
     return {
       engine: this.engine,
@@ -86,7 +86,7 @@
       slownessOf: id =>
         mechanisms.slownessInPaths ? slowness.factorOf(id) : 1,
       prefillWaitOf: id =>
-        mechanisms.readingBacklog ? prefillBacklog.waitOf(id) : 0,
+        mechanisms.readingBacklog ? readingBacklog.waitOf(id) : 0,
       crossingCostFactor: mechanisms.boundedCrossings
         ? linkLoad.costFactor(linkMegabits)
         : 1,
--- a/src/features/forwarding/node/pathMover.ts
+++ b/src/features/forwarding/node/pathMover.ts
@@ -25,7 +25,7 @@
   constructor(
     private readonly services: ForwardingServices,
     private readonly requestId: string,
-    private readonly chooser: PathChooser,
+    private readonly pathChooser: PathChooser,
   ) {}
 
   /**
@@ -34,7 +34,7 @@
    */
   findMove(current: Path, excluded: string): PathMove | undefined {
     const lost = this.lostUpstreamsOn(current, excluded);
-    const detour = this.chooser.findDetour(current, lost);
+    const detour = this.pathChooser.findDetour(current, lost);
     if (detour.kind !== 'found') {
       return undefined;
     }
--- a/src/features/forwarding/node/requestHandler.ts
+++ b/src/features/forwarding/node/requestHandler.ts
@@ -53,7 +53,7 @@
 
   constructor(
     private readonly services: ForwardingServices,
-    private readonly watch: StreamMonitor,
+    private readonly monitor: StreamMonitor,
   ) {}
 
   /** Number of requests without a final response. */
@@ -67,7 +67,7 @@
   }
 
   /** Resolves once no request is in progress. */
-  whenIdle(): Promise<void> {
+  idle(): Promise<void> {
     return this.inProgress === 0
       ? Promise.resolve()
       : new Promise(resolve => (this.onIdle = resolve));
@@ -244,7 +244,7 @@
     admitted: AdmittedRequest,
     table: RouteTable,
   ): RequestForwarder {
-    const {services, watch} = this;
+    const {services, monitor} = this;
     const service = table.configuration.services.find(
       ({name}) => name === admitted.service,
     );
@@ -253,7 +253,7 @@
       return new PlainForwarder(services, exchange, admitted);
     }
     const settings = engine ?? UNBOUNDED_ENGINE;
-    return new StreamForwarder(services, exchange, admitted, settings, watch);
+    return new StreamForwarder(services, exchange, admitted, settings, monitor);
   }
 }
 
--- a/src/features/forwarding/node/streamForwarder.ts
+++ b/src/features/forwarding/node/streamForwarder.ts
@@ -37,10 +37,10 @@
   implements WatchedStream, StreamAttemptListener
 {
   private readonly sequence: EventSequence;
-  private readonly chooser: PathChooser;
-  private readonly held: PathLoad;
-  private readonly mover: PathMover;
-  private readonly gaps: EventGapMeter;
+  private readonly pathChooser: PathChooser;
+  private readonly pathLoad: PathLoad;
+  private readonly pathMover: PathMover;
+  private readonly gapMeter: EventGapMeter;
   private readonly entryUpstreams: EntryUpstreams;
   private attempt: StreamAttempt | undefined;
   private head: ResponseHead | undefined;
@@ -59,7 +59,7 @@
     exchange: CallerExchange,
     admitted: AdmittedRequest,
     private readonly engine: EngineSettings,
-    private readonly watch: StreamMonitor,
+    private readonly monitor: StreamMonitor,
   ) {
     super(services, exchange, admitted);
     const {facts, service} = admitted;
@@ -68,18 +68,18 @@
       answerTokens: expectedAnswerLength(admitted, engine),
     };
     this.sequence = new EventSequence(facts.lastEvent);
-    this.gaps = new EventGapMeter(exchange.request.receivedAt);
-    this.held = new PathLoad(services.load, size);
-    this.chooser = new PathChooser(services, service, engine, size);
+    this.gapMeter = new EventGapMeter(exchange.request.receivedAt);
+    this.pathLoad = new PathLoad(services.load, size);
+    this.pathChooser = new PathChooser(services, service, engine, size);
     this.entryUpstreams = new EntryUpstreams(
       services,
       admitted.route.attemptLimit,
     );
-    this.mover = new PathMover(services, admitted.id, this.chooser);
+    this.pathMover = new PathMover(services, admitted.id, this.pathChooser);
   }
 
   protected override startFirstAttempt(): void {
-    this.owned.add(this.watch.add(this));
+    this.owned.add(this.monitor.add(this));
     this.owned.add(toDisposable(() => this.release()));
     this.startAttempt('first');
   }
@@ -96,9 +96,9 @@
     return {
       attempts: this.attempts,
       moves: this.moveCount,
-      events: this.gaps.events,
+      events: this.gapMeter.events,
       first: Math.round(this.firstEventMilliseconds),
-      longestPause: Math.round(this.gaps.longestGapMilliseconds),
+      longestPause: Math.round(this.gapMeter.longestGapMilliseconds),
       path: formatPath(this.path),
     };
   }
@@ -110,9 +110,9 @@
     return {
       requestId: this.admitted.id,
       upstreams: upstreamIdsOf(this.path),
-      lastActivityAt: Math.max(this.sentAt, this.gaps.lastEventAt),
+      lastActivityAt: Math.max(this.sentAt, this.gapMeter.lastEventAt),
       hasBegun: this.attempt.hasEvents,
-      meanGapMilliseconds: this.gaps.meanGapMilliseconds,
+      meanGapMilliseconds: this.gapMeter.meanGapMilliseconds,
       expectedGapMilliseconds: this.predictedGapMilliseconds,
     };
   }
@@ -149,7 +149,7 @@
   }
 
   private get path(): Path {
-    return this.held.path;
+    return this.pathLoad.path;
   }
 
   /** Whether a request that was already sent may be sent again. */
@@ -159,7 +159,7 @@
   }
 
   private startAttempt(cause: string): void {
-    const choice = this.entryUpstreams.choosePath(this.chooser);
+    const choice = this.entryUpstreams.choosePath(this.pathChooser);
     if (choice.kind !== 'found') {
       const reason = choice.kind === 'noRoom' ? 'noRoom' : this.noPathReason();
       this.waitOrGiveUp(cause, reason);
@@ -179,7 +179,7 @@
 
   /** Searches for a path again later, as long as that may still serve the caller. */
   private waitOrGiveUp(cause: string, reason: NotRunReason): void {
-    const silentMilliseconds = this.gaps.silence(this.now);
+    const silentMilliseconds = this.gapMeter.silence(this.now);
     const remainingWait = remainingPathWait({
       hasBegun: this.exchange.hasBegun,
       mayHaveRun: this.mayHaveRun,
@@ -206,16 +206,16 @@
     path: Path,
     cachedIds: ReadonlySet<string> = new Set(),
   ): void {
-    const {promptTokens} = this.held.size;
-    this.services.prefillBacklog.recordPrompt(
+    const {promptTokens} = this.pathLoad.size;
+    this.services.readingBacklog.recordPrompt(
       this.engine,
       path,
       promptTokens,
       cachedIds,
     );
-    this.held.replace(path);
+    this.pathLoad.replace(path);
     const activationBytes = this.engine.layers?.activationBytes ?? 0;
-    const tokens = totalTokensOf(this.held.size);
+    const tokens = totalTokensOf(this.pathLoad.size);
     this.services.linkLoad.recordCrossing(
       countCrossings(path) * tokens * activationBytes,
     );
@@ -270,7 +270,7 @@
         this.firstEventMilliseconds,
       );
     }
-    this.gaps.recordEvents(this.now, count);
+    this.gapMeter.recordEvents(this.now, count);
     this.mayHaveRun = true;
     if (!this.exchange.write(bytes)) {
       const {attempt} = this;
@@ -287,7 +287,9 @@
       this.exchange.sendHead(this.head);
     }
     this.exchange.end();
-    this.services.metrics.recordLongestGap(this.gaps.longestGapMilliseconds);
+    this.services.metrics.recordLongestGap(
+      this.gapMeter.longestGapMilliseconds,
+    );
     this.finish('answered', {status: this.head?.status});
   }
 
@@ -386,7 +388,7 @@
 
   /** Calls back after a delay that grows with the silence of the stream. */
   private scheduleRetry(callback: () => void): void {
-    const delay = pathRetryDelay(this.gaps.silence(this.now));
+    const delay = pathRetryDelay(this.gapMeter.silence(this.now));
     const timer = this.services.clock.setTimer(delay, () => {
       this.owned.delete(timer);
       callback();
@@ -413,17 +415,17 @@
    * @param isUrgent whether the stream can't continue on its current path
    */
   private async move(excluded: string, isUrgent: boolean): Promise<void> {
-    const move = this.mover.findMove(this.path, excluded);
+    const move = this.pathMover.findMove(this.path, excluded);
     if (move === undefined || move.addsCrossings) {
       const hasRestarted = isUrgent && this.restart('upstreamLost');
       if (hasRestarted || !isUrgent || move === undefined) {
         return;
       }
     }
-    const {events} = this.gaps;
+    const {events} = this.gapMeter;
     this.isMoving = true;
     this.moveCount++;
-    const isMoved = await this.mover.order(move);
+    const isMoved = await this.pathMover.order(move);
     this.isMoving = false;
     if (this.isDone || this.attempt === undefined) {
       return;
@@ -431,7 +433,7 @@
     if (isMoved) {
       this.services.metrics.recordRetry('moved');
       this.usePath(move.path, new Set(upstreamIdsOf(this.path)));
-    } else if (this.gaps.events === events) {
+    } else if (this.gapMeter.events === events) {
       this.restart('notMoved');
     }
   }
@@ -488,7 +490,7 @@
   private release(): void {
     this.attempt?.dispose();
     this.attempt = undefined;
-    this.held.replace([]);
+    this.pathLoad.replace([]);
   }
 }
 
--- a/src/features/forwarding/test/forwarding.test.ts
+++ b/src/features/forwarding/test/forwarding.test.ts
@@ -652,28 +652,28 @@
     {
       name: 'responds in time',
       responseAfter: 20,
-      held: 0,
+      pausedFor: 0,
       at: 40,
       isSuspected: false,
     },
     {
       name: 'never responds',
       responseAfter: Infinity,
-      held: 0,
+      pausedFor: 0,
       at: 40,
       isSuspected: true,
     },
     {
       name: 'has not responded in time',
       responseAfter: 100,
-      held: 0,
+      pausedFor: 0,
       at: 40,
       isSuspected: true,
     },
     {
       name: 'has responded late',
       responseAfter: 100,
-      held: 0,
+      pausedFor: 0,
       at: 101,
       isSuspected: false,
     },
@@ -681,35 +681,35 @@
     {
       name: 'responds after the event loop was blocked',
       responseAfter: 61,
-      held: 60,
+      pausedFor: 60,
       at: 90,
       isSuspected: false,
     },
     {
       name: 'responds right after the timeout',
       responseAfter: 32,
-      held: 31,
+      pausedFor: 31,
       at: 40,
       isSuspected: false,
     },
     {
       name: 'never responds after the event loop was blocked',
       responseAfter: Infinity,
-      held: 60,
+      pausedFor: 60,
       at: 130,
       isSuspected: true,
     },
   ])(
     'suspects an upstream that $name: $isSuspected',
-    async ({responseAfter, held, at, isSuspected}) => {
+    async ({responseAfter, pausedFor, at, isSuspected}) => {
       const harness = createHarness();
       const {clock, control, services, suspicions} = harness;
       const upstream = engines[0]!;
       control.reportDelayMilliseconds = responseAfter;
       void services.prober.probe(upstream, 'silent', {});
       await harness.flushPromises();
-      clock.pause(held);
-      await harness.advance(at - held);
+      clock.pause(pausedFor);
+      await harness.advance(at - pausedFor);
       expect(suspicions.isSuspect(upstream.id)).toBe(isSuspected);
     },
   );
--- a/src/features/forwarding/test/forwardingHarness.ts
+++ b/src/features/forwarding/test/forwardingHarness.ts
@@ -411,7 +411,7 @@
       prober,
       load: new UpstreamLoadTracker(),
       linkLoad: new LinkLoad(clock, () => 1),
-      prefillBacklog: new PrefillBacklog(
+      readingBacklog: new PrefillBacklog(
         clock,
         () => 1,
         () => 1,
@@ -424,7 +424,7 @@
       ),
       outcomes: new OutcomeHistory(clock),
     };
-    const watch = new StreamMonitor(
+    const monitor = new StreamMonitor(
       clock,
       directory,
       suspicions,
@@ -433,7 +433,7 @@
       settings.watchPeriodMilliseconds,
       this.services.mechanisms.silenceWatch,
     );
-    this.handler = new RequestHandler(this.services, watch);
+    this.handler = new RequestHandler(this.services, monitor);
   }
 
   /** Sends a caller's request; resolves once it was dispatched or answered. */
--- a/src/features/instances/node/peerGossip.ts
+++ b/src/features/instances/node/peerGossip.ts
@@ -112,7 +112,7 @@
   }
 
   /** Processes the message of a peer and returns the response. */
-  respond(request: GossipMessage): GossipMessage {
+  answer(request: GossipMessage): GossipMessage {
     this.applyMessage(request);
     return {
       ...this.composeMessage(),
--- a/src/features/placement/common/planPlacement.ts
+++ b/src/features/placement/common/planPlacement.ts
@@ -54,7 +54,7 @@
   private draining: number;
   private readonly changingCountByModel = new Map<string, number>();
   /** Needs by model, reduced by the drains planned so far. */
-  private readonly live = new Map<string, ModelNeed>();
+  private readonly remainingNeeds = new Map<string, ModelNeed>();
 
   constructor(
     private readonly states: readonly ReplicaState[],
@@ -63,7 +63,7 @@
     this.loading = states.filter(({kind}) => kind === 'loading').length;
     this.draining = states.filter(({kind}) => kind === 'draining').length;
     for (const [model, need] of input.needs) {
-      this.live.set(model, need);
+      this.remainingNeeds.set(model, need);
       const isChanging = (state: ReplicaState): boolean =>
         state.kind !== 'live' && countsForModel(state, model);
       this.changingCountByModel.set(model, states.filter(isChanging).length);
@@ -147,10 +147,10 @@
     ) {
       return 'othersChange';
     }
-    const need = this.live.get(state.model ?? '');
+    const need = this.remainingNeeds.get(state.model ?? '');
     if (need !== undefined) {
-      const left = need.capacity - state.sequences;
-      if (need.live <= 1 || left < need.occupied) {
+      const remainingCapacity = need.capacity - state.sequences;
+      if (need.live <= 1 || remainingCapacity < need.occupied) {
         return 'tooFewLive';
       }
       const allowed = Math.max(
@@ -166,11 +166,15 @@
   }
 
   private countDrained(state: ReplicaState): void {
-    const need = this.live.get(state.model ?? '');
+    const need = this.remainingNeeds.get(state.model ?? '');
     if (need !== undefined) {
       const {model, live, capacity} = need;
-      const left = capacity - state.sequences;
-      this.live.set(model, {...need, live: live - 1, capacity: left});
+      const remainingCapacity = capacity - state.sequences;
+      this.remainingNeeds.set(model, {
+        ...need,
+        live: live - 1,
+        capacity: remainingCapacity,
+      });
       this.changingCountByModel.set(
         model,
         (this.changingCountByModel.get(model) ?? 0) + 1,
--- a/src/programs/router/routerComponents.ts
+++ b/src/programs/router/routerComponents.ts
@@ -138,7 +138,7 @@
     prober,
     load,
     linkLoad: new LinkLoad(clock, () => instances.instanceCount),
-    prefillBacklog,
+    readingBacklog: prefillBacklog,
     slowness,
     budget: new RetryBudget(
       clock,
--- a/src/programs/router/routerProgram.ts
+++ b/src/programs/router/routerProgram.ts
@@ -128,13 +128,13 @@
     await sleepUntil(stopMilliseconds * CLOSE_IDLE_SHARE);
     this.callers.closeIdle();
     await Promise.race([
-      handler.whenIdle(),
+      handler.idle(),
       sleepUntil(stopMilliseconds * REFUSE_NEW_SHARE),
     ]);
     handler.refuseNewRequests();
     this.callers.stopListening();
     await Promise.race([
-      handler.whenIdle(),
+      handler.idle(),
       sleepUntil(stopMilliseconds - EXIT_MARGIN_MILLISECONDS),
     ]);
     this.logger.info('stopped', {
@@ -178,7 +178,7 @@
     const {listen, peerKey} = this.settings;
     const {directory} = this.ports;
     const {gossip, metrics} = this.components;
-    const gossipRouter = createGossipRouter(input => gossip.respond(input));
+    const gossipRouter = createGossipRouter(input => gossip.answer(input));
     this.owned.add(await serveRpc(gossipRouter, listen.peers, peerKey));
     this.owned.add(
       await serveText(listen.readiness, {
