--- a/src/features/forwarding/node/pathChooser.ts
+++ b/src/features/forwarding/node/pathChooser.ts
@@ -25,7 +25,7 @@
     const {layers} = this.engine;
     const span =
       layers === undefined ? WHOLE_MODEL : {from: 0, to: layers.layerCount};
-    return findPath(this.buildQuestion(span, isAllowed));
+    return findPath(this.buildQuery(span, isAllowed));
   }
 
   /**
@@ -50,7 +50,7 @@
       to: path[lastIndex]!.range.to,
     };
     const detour = findPath({
-      ...this.buildQuestion(
+      ...this.buildQuery(
         span,
         upstream => !keptIds.has(upstream.id) && !lost.has(upstream.id),
       ),
@@ -68,7 +68,7 @@
     return {...detour, path: joined};
   }
 
-  private buildQuestion(
+  private buildQuery(
     span: LayerRange,
     isAllowed: (upstream: Upstream) => boolean,
   ): PathQuery {
