--- a/measure/common/retryingCaller.ts
+++ b/measure/common/retryingCaller.ts
@@ -109,14 +109,14 @@
     if (performance.now() < this.addressesExpireAt) {
       return;
     }
-    this.pendingRefresh ??= this.ask().finally(() => {
+    this.pendingRefresh ??= this.requestAddresses().finally(() => {
       this.pendingRefresh = undefined;
     });
     await this.pendingRefresh;
   }
 
   /** Requests the entrypoints from each known address in turn. Keeps the old list for a short time when all fail. */
-  private async ask(): Promise<void> {
+  private async requestAddresses(): Promise<void> {
     const known = [...new Set([...this.addresses, ...this.initialAddresses])];
     for (const address of known) {
       const response = await this.fetchEntrypoints(address);
--- a/measure/overhead.ts
+++ b/measure/overhead.ts
@@ -141,12 +141,18 @@
     private readonly options: OverheadOptions,
   ) {
     this.random = new SeededRandomSource(options.seed);
-    const {engines, options: launched} = measured.system;
-    this.pipelines = Array.from({length: launched.replicas}, (_, replica) => {
-      const first = replica * launched.stagesPerReplica;
-      const stages = engines.slice(first, first + launched.stagesPerReplica);
-      return new DirectPipeline(stages, this.connector);
-    });
+    const {engines, options: launchOptions} = measured.system;
+    this.pipelines = Array.from(
+      {length: launchOptions.replicas},
+      (_, replica) => {
+        const first = replica * launchOptions.stagesPerReplica;
+        const stages = engines.slice(
+          first,
+          first + launchOptions.stagesPerReplica,
+        );
+        return new DirectPipeline(stages, this.connector);
+      },
+    );
   }
 
   async run(): Promise<OverheadReport> {
--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -280,15 +280,16 @@
 
   /** Whether both systems have met their targets for the stable time, judged by requests that have had time to end. */
   private haveRecovered(from: number): boolean {
-    const judgedUntil = performance.now() - MAXIMUM_REPLY_MILLISECONDS;
+    const evaluatedUntil = performance.now() - MAXIMUM_REPLY_MILLISECONDS;
     return this.both.every(system => {
       const {seconds, recovered} = computeRecovery(
         system.load.records,
         from,
-        judgedUntil,
+        evaluatedUntil,
       );
       return (
-        recovered && judgedUntil - from - seconds * 1000 >= STABLE_MILLISECONDS
+        recovered &&
+        evaluatedUntil - from - seconds * 1000 >= STABLE_MILLISECONDS
       );
     });
   }
--- a/src/features/callers/common/requestGate.ts
+++ b/src/features/callers/common/requestGate.ts
@@ -120,9 +120,11 @@
   }
 
   private isViewFresh(): boolean {
-    const heardAt = this.views.lastResponseAt;
+    const respondedAt = this.views.lastResponseAt;
     const now = this.clock.monotonicMilliseconds();
-    return heardAt !== undefined && now - heardAt < MAX_VIEW_AGE_MILLISECONDS;
+    return (
+      respondedAt !== undefined && now - respondedAt < MAX_VIEW_AGE_MILLISECONDS
+    );
   }
 
   private refusal(kind: 'shuttingDown' | 'cutOff'): RequestFailure {
--- a/src/features/callers/node/keyClaim.ts
+++ b/src/features/callers/node/keyClaim.ts
@@ -36,7 +36,7 @@
 
   /** Requests the key and returns what to do with the request. */
   async decide(token: CancellationToken): Promise<ClaimAction> {
-    const decision = await this.ask(token);
+    const decision = await this.claim(token);
     this.isOutcomePending = decision.kind === 'granted';
     return actionForClaim(decision, this.services.addressOf);
   }
@@ -51,7 +51,7 @@
     this.services.claims.complete(clientAccount, key, outcome);
   }
 
-  private async ask(token: CancellationToken): Promise<ClaimDecision> {
+  private async claim(token: CancellationToken): Promise<ClaimDecision> {
     try {
       const {clientAccount, key, fingerprint} = this.claimedKey;
       const {claims} = this.services;
--- a/src/features/callers/node/requestExchange.ts
+++ b/src/features/callers/node/requestExchange.ts
@@ -59,7 +59,7 @@
   private plan: ExchangePlan | undefined;
   private keyClaim: KeyClaim | undefined;
   private failure: RequestFailure | undefined;
-  private answer: ResponseContent | undefined;
+  private responseContent: ResponseContent | undefined;
   private abortError: RequestError | undefined;
   private isWorking = false;
   private firstTokenAt: number | undefined;
@@ -82,9 +82,14 @@
       openStream: () =>
         this.response.startEventStream(this.plan!.format.opening()),
       sendReply: () =>
-        sendReply(response, this.plan!.format, this.answer!, this.tokenCount),
+        sendReply(
+          response,
+          this.plan!.format,
+          this.responseContent!,
+          this.tokenCount,
+        ),
       sendRecorded: () =>
-        sendRecordedReply(response, this.plan!.format, this.answer!),
+        sendRecordedReply(response, this.plan!.format, this.responseContent!),
       sendFailure: () => this.response.sendFailure(this.failure!),
       sendErrorEvent: () =>
         this.response.endWith(errorEvent(toFailureBody(this.failure!))),
@@ -200,7 +205,7 @@
       });
       return;
     }
-    this.answer = {...content, body};
+    this.responseContent = {...content, body};
     this.send('replayed');
   }
 
@@ -213,7 +218,7 @@
     const result = await settleWork(work, token, clock, onUnexpectedError);
     this.isWorking = false;
     if (result.ok) {
-      this.answer = result.value;
+      this.responseContent = result.value;
       this.send('replied');
       return;
     }
@@ -243,8 +248,8 @@
   }
 
   private outcome(): RequestOutcome {
-    if (this.answer !== undefined) {
-      return {kind: 'completed', ...this.answer};
+    if (this.responseContent !== undefined) {
+      return {kind: 'completed', ...this.responseContent};
     }
     return {kind: 'failed', failure: this.failure!};
   }
--- a/src/features/callers/node/serviceHandler.ts
+++ b/src/features/callers/node/serviceHandler.ts
@@ -32,12 +32,12 @@
         invalidRequest([...input.headers.findings, ...target.error]),
       );
     }
-    const {service: name, path} = target.value;
+    const {service: serviceName, path} = target.value;
     const {services} = input.configuration;
-    if (!Object.hasOwn(services, name)) {
+    if (!Object.hasOwn(services, serviceName)) {
       return failure(notExecuted({kind: 'notFound', what: 'such service'}));
     }
-    return this.planCall(input, services[name]!, path);
+    return this.planCall(input, services[serviceName]!, path);
   }
 
   private planCall(
--- a/src/features/callers/node/workHandler.ts
+++ b/src/features/callers/node/workHandler.ts
@@ -180,10 +180,10 @@
     if (!account.ok) {
       return account;
     }
-    const place = gate.tryAcquireSlot();
-    return place.ok
-      ? success({account: account.value, configuration, place: place.value})
-      : failure(this.refusals.state(place.error, headers));
+    const slot = gate.tryAcquireSlot();
+    return slot.ok
+      ? success({account: account.value, configuration, place: slot.value})
+      : failure(this.refusals.state(slot.error, headers));
   }
 
   private start(exchange: RequestExchange, input: WorkInput): void {
--- a/src/features/callers/test/callerServer.test.ts
+++ b/src/features/callers/test/callerServer.test.ts
@@ -643,16 +643,18 @@
     async ({headers, surelyNotRun, executed}) => {
       fixture.claims.surelyNotRun = surelyNotRun;
       const releaseSlots = await occupyAllSlots();
-      const answers = [await fixture.send(chatPath, headers, chatBody())];
+      const responses = [await fixture.send(chatPath, headers, chatBody())];
       const serving = fixture.views.current!;
       fixture.views.current = {
         ...serving,
         standing: {kind: 'cutOff', sinceMilliseconds: 0},
       };
-      answers.push(await fixture.send(chatPath, headers, chatBody()));
+      responses.push(await fixture.send(chatPath, headers, chatBody()));
       fixture.views.current = {...serving, standing: {kind: 'leaving'}};
-      answers.push(await fixture.send(chatPath, headers, chatBody()));
-      const bodies = await Promise.all(answers.map(answer => answer.json()));
+      responses.push(await fixture.send(chatPath, headers, chatBody()));
+      const bodies = await Promise.all(
+        responses.map(response => response.json()),
+      );
       expect(bodies).toMatchObject(
         ['cannotMeetTarget', 'cutOff', 'shuttingDown'].map(kind => ({
           error: {kind, executed},
@@ -709,9 +711,9 @@
 );
 
 test('lookups over the limit of concurrent lookups are refused', async () => {
-  let answer = () => undefined as void;
+  let finishLookUp = () => undefined as void;
   fixture.claims.pendingLookUp = new Promise(resolve => {
-    answer = resolve;
+    finishLookUp = resolve;
   });
   fixture.claims.outcome = {kind: 'running'};
   const held = ['a', 'b'].map(key => fixture.send(`/v1/requests/${key}`));
@@ -721,7 +723,7 @@
   expect(await refused.json()).toMatchObject({
     error: {kind: 'cannotMeetTarget', executed: 'unknown'},
   });
-  answer();
+  finishLookUp();
   const statuses = (await Promise.all(held)).map(({status}) => status);
   expect(statuses).toEqual([200, 200]);
   expect((await fixture.send('/v1/requests/c')).status).toBe(200);
--- a/src/features/claims/common/boundKeyClaimer.ts
+++ b/src/features/claims/common/boundKeyClaimer.ts
@@ -100,10 +100,10 @@
     if (binding.incarnation !== this.incarnation) {
       return false;
     }
-    const answer = this.answer(keyHash, binding.expiresAtWallMilliseconds);
+    const response = this.answer(keyHash, binding.expiresAtWallMilliseconds);
     return (
-      answer.kind === 'notSeen' ||
-      (answer.kind === 'seen' && isNotRun(answer.outcome))
+      response.kind === 'notSeen' ||
+      (response.kind === 'seen' && isNotRun(response.outcome))
     );
   }
 
--- a/src/features/claims/common/claimInserter.ts
+++ b/src/features/claims/common/claimInserter.ts
@@ -19,7 +19,7 @@
   readonly keyHash: string;
   readonly record: ClaimRecord;
   condition: RowCondition;
-  /** The caller already got an answer, so the attempt must not be granted any more. */
+  /** The caller already has a response, so the attempt must not be granted any more. */
   givenUp: boolean;
   /** The result of a write is unknown, so the row may exist. */
   mayHaveBeenWritten: boolean;
--- a/src/features/claims/common/claimPeers.ts
+++ b/src/features/claims/common/claimPeers.ts
@@ -7,7 +7,7 @@
 
 /** Asks an incarnation for the state of a key. */
 export interface AskRequest {
-  /** The addressee; any other process answers `otherIncarnation`. */
+  /** The process that the request is for; any other process responds with `otherIncarnation`. */
   readonly incarnation: string;
   readonly keyHash: string;
   /** Expiry of the grant in wall clock milliseconds; undefined for a plain key. */
--- a/src/features/claims/test/claimProperties.test.ts
+++ b/src/features/claims/test/claimProperties.test.ts
@@ -228,7 +228,7 @@
       fc.array(action, {minLength: 20, maxLength: 40}),
       async actions => {
         const simulation = await run(actions, {});
-        simulation.answers.forEach(answer => seen.add(answer));
+        simulation.reportedStatuses.forEach(status => seen.add(status));
       },
     ),
     {numRuns: 30, seed: SEED},
@@ -312,10 +312,10 @@
     name: 'evicted keys reported as never dispatched',
     mutation: {
       ask: (request, {service}) => {
-        const answer = service.answer(request);
-        return answer.kind === 'forgotten'
+        const response = service.answer(request);
+        return response.kind === 'forgotten'
           ? {kind: 'notSeen', closed: true}
-          : answer;
+          : response;
       },
     },
   },
--- a/src/features/claims/test/claimService.test.ts
+++ b/src/features/claims/test/claimService.test.ts
@@ -535,10 +535,10 @@
     gather,
   });
   const requests = requestsPerSecond * 2;
-  const answers: Array<Promise<unknown>> = [];
+  const submissions: Array<Promise<unknown>> = [];
   for (let index = 0; index < requests; index++) {
     const slot = simulation.slots[index % instances]!;
-    answers.push(
+    submissions.push(
       simulation.submit(slot, `order-${index}`, 40, 5000, completed),
     );
     if (index % Math.ceil(requestsPerSecond / 50) === 0) {
@@ -546,8 +546,8 @@
     }
   }
   await simulation.advance(600);
-  const granted = await Promise.all(answers);
-  expect(granted.every(answer => answer === 'yes')).toBe(true);
+  const statuses = await Promise.all(submissions);
+  expect(statuses.every(status => status === 'yes')).toBe(true);
   return simulation.platform.counts.writes / requests;
 }
 
--- a/src/features/claims/test/claimSimulation.ts
+++ b/src/features/claims/test/claimSimulation.ts
@@ -78,7 +78,7 @@
   readonly platform = new InMemoryPlatform(this.platformClock);
   readonly slots: ProcessSlot[] = [];
   readonly violations: string[] = [];
-  readonly answers: ExecutionStatus[] = [];
+  readonly reportedStatuses: ExecutionStatus[] = [];
   private readonly grants = new Map<string, Grant[]>();
   private incarnationCount = 0;
   private nonceCount = 0;
@@ -97,7 +97,7 @@
     this.slots.forEach(slot => slot.service.dispose());
   }
 
-  /** Submits a key; records the grant, the dispatch and what the caller is told. */
+  /** Submits a key; records the grant, the dispatch and the status reported to the caller. */
   async submit(
     slot: ProcessSlot,
     key: string,
@@ -120,7 +120,7 @@
     );
     timer.dispose();
     if (decision.kind !== 'granted') {
-      return this.answer(key, this.executedOf(decision), fingerprint);
+      return this.report(key, this.executedOf(decision), fingerprint);
     }
     const grant = this.addGrant(key, incarnation, fingerprint);
     await new Promise<void>(resolve =>
@@ -132,12 +132,12 @@
     if (clock.monotonicMilliseconds() >= deadlineAt) {
       grant.state = 'closedNotRun';
       service.complete(ACCOUNT, key, notRun);
-      return this.answer(key, 'no', fingerprint);
+      return this.report(key, 'no', fingerprint);
     }
     grant.state = 'dispatched';
     this.checkDispatches(key);
     service.complete(ACCOUNT, key, finalOutcome);
-    return this.answer(key, 'yes', fingerprint);
+    return this.report(key, 'yes', fingerprint);
   }
 
   async advance(milliseconds: number): Promise<void> {
@@ -240,12 +240,12 @@
     }
   }
 
-  private answer(
+  private report(
     key: string,
     executed: ExecutionStatus,
     fingerprint: string | undefined,
   ): ExecutionStatus {
-    this.answers.push(executed);
+    this.reportedStatuses.push(executed);
     const mayHaveRun = (this.grants.get(key) ?? []).some(
       grant =>
         grant.state !== 'closedNotRun' &&
--- a/src/features/membership/test/listReading.test.ts
+++ b/src/features/membership/test/listReading.test.ts
@@ -16,8 +16,8 @@
 const limits = {minIntervalMilliseconds: 3_000, bytesPerSecond: 500};
 
 function engine(id: string, state: 'live' | 'leaving' = 'live') {
-  const place = {dataCentre: 'd', region: 'r', address: '10.0.0.1:1'};
-  return {role: 'engine', id, ...place, group: 'g', state} as UpstreamMember;
+  const location = {dataCentre: 'd', region: 'r', address: '10.0.0.1:1'};
+  return {role: 'engine', id, ...location, group: 'g', state} as UpstreamMember;
 }
 
 function engines(ids: string): readonly UpstreamMember[] {
--- a/src/features/membership/test/membership.test.ts
+++ b/src/features/membership/test/membership.test.ts
@@ -85,7 +85,7 @@
   });
 });
 
-describe('StatusTable', () => {
+describe('InstanceStatusTable', () => {
   it('never makes a status newer when it passes through several peers', () => {
     const hops = fastCheck.array(fastCheck.integer({min: 0, max: 9_000}), {
       minLength: 1,
@@ -98,9 +98,9 @@
         fastCheck.boolean(),
         (delays, isVoter, hasFailedRead) => {
           let now = 1_000_000;
-          const heardAt = now;
+          const observedAt = now;
           let table = new InstanceStatusTable();
-          table.update('a', {observedAt: heardAt, isVoter, hasFailedRead});
+          table.update('a', {observedAt, isVoter, hasFailedRead});
           for (const delay of delays) {
             const requestedAt = now + delay / 2;
             now += delay;
@@ -109,7 +109,7 @@
             table = next;
           }
           const status = table.get('a');
-          expect(status?.observedAt ?? 0).toBeLessThanOrEqual(heardAt);
+          expect(status?.observedAt ?? 0).toBeLessThanOrEqual(observedAt);
           if (status !== undefined) {
             expect(status).toMatchObject({isVoter, hasFailedRead});
           }
--- a/src/features/peers/common/localState.ts
+++ b/src/features/peers/common/localState.ts
@@ -70,7 +70,7 @@
     return JSON.stringify(previous) !== JSON.stringify(this.own);
   }
 
-  /** Must be called after `book` changed; brings the directory and the statuses up to date. */
+  /** Must be called after `memberList` changed; brings the directory and the statuses up to date. */
   handleMembersChanged(): void {
     const change = this.directory.applyList(this.memberList.members());
     if (!change.instancesChanged) {
@@ -145,14 +145,14 @@
 
   /** Updates this instance's own status and record to the present. */
   refreshOwnStatus(): void {
-    const heardAt = this.clock.monotonicMilliseconds();
+    const observedAt = this.clock.monotonicMilliseconds();
     this.confirmation.handleRevisionApplied(this.replica.current.revision);
     this.statuses.update(this.id, {
-      observedAt: heardAt,
+      observedAt,
       isVoter: this.confirmation.confirmedAt !== undefined,
       hasFailedRead: this.headReadFailedSince !== undefined,
     });
-    this.directory.updateRecord(this.own, heardAt);
+    this.directory.updateRecord(this.own, observedAt);
   }
 
   /** Counts the listed instances that recently reported that they can't reach the table. */
--- a/src/features/peers/common/memberGossip.ts
+++ b/src/features/peers/common/memberGossip.ts
@@ -11,11 +11,11 @@
 /** Number of consecutive exchanges with a different peer list but no new changes after which the list is read. */
 const UNRESOLVED_EXCHANGE_LIMIT = 5;
 
-/** Gossips changes of the member list: exchanges with peers that announce one and announces what was learned. */
+/** Gossips changes of the member list: gets them from peers that announce one, and announces those that it learns. */
 export class MemberGossip extends DisposableOwner {
   private readonly lifetime = new CancellationSource();
-  private readonly learned = this.register(new Emitter<void>());
-  private readonly stayedDifferent = this.register(new Emitter<void>());
+  private readonly learnedEmitter = this.register(new Emitter<void>());
+  private readonly divergenceEmitter = this.register(new Emitter<void>());
   private pendingNotice: MembersNotice | undefined;
   private isExchanging = false;
   private isAnnouncing = false;
@@ -23,10 +23,10 @@
   private unresolvedExchanges = 0;
 
   /** Fires after changes from a peer were applied to the member list. */
-  readonly onDidLearnMembers = this.learned.event;
+  readonly onDidLearnMembers = this.learnedEmitter.event;
 
   /** Fires when the lists of peers stay different although they send no new changes. */
-  readonly onDidFailToConverge = this.stayedDifferent.event;
+  readonly onDidFailToConverge = this.divergenceEmitter.event;
 
   constructor(
     private readonly state: LocalState,
@@ -68,11 +68,11 @@
   private handleNotice(notice: MembersNotice): void {
     this.pendingNotice = notice;
     if (!this.isExchanging) {
-      void this.ask();
+      void this.exchangeWithNotifiers();
     }
   }
 
-  private async ask(): Promise<void> {
+  private async exchangeWithNotifiers(): Promise<void> {
     const {token} = this.lifetime;
     this.isExchanging = true;
     for (let notice = this.takePendingNotice(); notice !== undefined;) {
@@ -100,14 +100,14 @@
         return;
       case 'learned':
         this.unresolvedExchanges = 0;
-        this.learned.fire();
+        this.learnedEmitter.fire();
         this.announce();
         return;
       case 'different':
         this.unresolvedExchanges++;
         if (this.unresolvedExchanges >= UNRESOLVED_EXCHANGE_LIMIT) {
           this.unresolvedExchanges = 0;
-          this.stayedDifferent.fire();
+          this.divergenceEmitter.fire();
         }
     }
   }
--- a/src/features/peers/common/peerExchanger.ts
+++ b/src/features/peers/common/peerExchanger.ts
@@ -99,9 +99,9 @@
       const index = this.random.nextInteger(candidates.length);
       targets.push(...candidates.splice(index, 1));
     }
-    const {record, memberList: book, replica} = this.state;
+    const {record, memberList, replica} = this.state;
     const revision = replica.knownRevision;
-    const notice = {record, revision, members: book.fingerprint};
+    const notice = {record, revision, members: memberList.fingerprint};
     await this.sendNotices(targets, notice, token);
   }
 
--- a/src/features/peers/common/peerResponder.ts
+++ b/src/features/peers/common/peerResponder.ts
@@ -25,15 +25,17 @@
 
 /** Responds to peers. Requests carry no ages: the receiver could not tell how long a request was delayed. */
 export class PeerResponder extends DisposableOwner {
-  private readonly learned = this.register(new Emitter<void>());
-  private readonly membersNoticed = this.register(new Emitter<MembersNotice>());
+  private readonly learnedEmitter = this.register(new Emitter<void>());
+  private readonly membersNoticeEmitter = this.register(
+    new Emitter<MembersNotice>(),
+  );
   private readonly recordChangedAt = new Map<string, number>();
 
   /** Fires when a request or notice of a peer may have changed the local state. */
-  readonly onDidLearn = this.learned.event;
+  readonly onDidLearn = this.learnedEmitter.event;
 
   /** Fires when a peer announces that its member list changed. */
-  readonly onDidReceiveMembersNotice = this.membersNoticed.event;
+  readonly onDidReceiveMembersNotice = this.membersNoticeEmitter.event;
 
   constructor(private readonly state: LocalState) {
     super();
@@ -68,9 +70,12 @@
     this.state.replica.observeRevision(notice.revision);
     this.state.replica.applyRevisions(notice.revisions ?? []);
     this.state.refreshOwnStatus();
-    this.learned.fire();
+    this.learnedEmitter.fire();
     if (notice.members !== undefined) {
-      this.membersNoticed.fire({id: notice.record.id, members: notice.members});
+      this.membersNoticeEmitter.fire({
+        id: notice.record.id,
+        members: notice.members,
+      });
     }
     return {revision: this.state.replica.knownRevision};
   }
@@ -109,16 +114,16 @@
     const now = this.state.clock.monotonicMilliseconds();
     if (this.state.directory.updateRecord(record, now)) {
       this.markRecordChanged(record.id);
-      this.learned.fire();
+      this.learnedEmitter.fire();
     }
   }
 
   private members(
     now: number,
   ): Pick<ExchangeResponse, 'members' | 'memberChanges'> {
-    const {memberList: book} = this.state;
-    const memberChanges = book.recentChanges(now);
-    const members = book.fingerprint;
+    const {memberList} = this.state;
+    const memberChanges = memberList.recentChanges(now);
+    const members = memberList.fingerprint;
     return memberChanges.length > 0 ? {members, memberChanges} : {members};
   }
 
--- a/src/features/pipeline/node/capacityClient.ts
+++ b/src/features/pipeline/node/capacityClient.ts
@@ -24,7 +24,7 @@
   /** Expected number of tokens of the complete reply. */
   readonly expectedTokens: number;
   private readonly decisions: DecisionLog;
-  private answered: Reservation | undefined;
+  private lastReportedReservation: Reservation | undefined;
 
   constructor(
     private readonly dependencies: PipelineDependencies,
@@ -43,7 +43,7 @@
   /** Resolves with undefined if the run ended first. */
   reserve(): Promise<ReservationReply | undefined> {
     const {broker} = this.dependencies;
-    return this.ask('admission', [], () =>
+    return this.requestCapacity('admission', [], () =>
       broker.reserve(
         this.work(),
         this.request.model.name,
@@ -60,7 +60,7 @@
     cause: string,
   ): Promise<ReservationReply | undefined> {
     const {broker} = this.dependencies;
-    return this.ask(cause, excluded, () =>
+    return this.requestCapacity(cause, excluded, () =>
       broker.replan(
         reservation,
         {...this.work(), inProgress: true},
@@ -83,10 +83,13 @@
    */
   reportProbeSuccess(): void {
     const {reservation} = this.state;
-    if (reservation === undefined || reservation === this.answered) {
+    if (
+      reservation === undefined ||
+      reservation === this.lastReportedReservation
+    ) {
       return;
     }
-    this.answered = reservation;
+    this.lastReportedReservation = reservation;
     for (const {upstream, probing} of reservation.stages) {
       if (probing === true) {
         this.reportFailure({upstream, ...PROBE_SUCCESS});
@@ -112,7 +115,7 @@
     );
   }
 
-  private async ask(
+  private async requestCapacity(
     cause: string,
     excluded: readonly string[],
     call: () => Promise<ReservationReply>,
--- a/src/features/pipeline/node/epochAttempt.ts
+++ b/src/features/pipeline/node/epochAttempt.ts
@@ -63,13 +63,13 @@
 
   private send(connection: EngineConnection, step: StepRequest): void {
     connection.step(step, this.source.token).then(
-      result => this.answered(step, result),
+      result => this.handleResult(step, result),
       (error: unknown) =>
-        this.answered(step, failure({kind: 'lost', detail: String(error)})),
+        this.handleResult(step, failure({kind: 'lost', detail: String(error)})),
     );
   }
 
-  private answered(
+  private handleResult(
     step: StepRequest,
     result: Result<StepReceipt, EngineError>,
   ): void {
--- a/src/features/pipeline/test/faultyEngine.ts
+++ b/src/features/pipeline/test/faultyEngine.ts
@@ -167,10 +167,10 @@
     if (!result.ok || fault === undefined) {
       return result;
     }
-    return this.answer(request, result.value, fault);
+    return this.respond(request, result.value, fault);
   }
 
-  private async answer(
+  private async respond(
     request: StepRequest,
     receipt: StepReceipt,
     fault: Fault,
--- a/src/features/services/common/defaultServiceDispatcher.ts
+++ b/src/features/services/common/defaultServiceDispatcher.ts
@@ -112,12 +112,12 @@
     );
     timer.dispose();
     source.dispose();
-    const claimAnswer = actionForClaim(decision, addressOf);
-    switch (claimAnswer.kind) {
+    const action = actionForClaim(decision, addressOf);
+    switch (action.kind) {
       case 'refuse':
-        return failure(claimAnswer.failure);
+        return failure(action.failure);
       case 'replay':
-        return success({...claimAnswer.answer, requestId: request.requestId});
+        return success({...action.answer, requestId: request.requestId});
       case 'run': {
         const result = await this.runUntilDeadline(request, false, token);
         claims.complete(clientAccount, key, toOutcome(result));
--- a/src/features/services/test/serviceHarness.ts
+++ b/src/features/services/test/serviceHarness.ts
@@ -89,13 +89,13 @@
 
   override connect(upstream: string): ServiceConnection {
     const call = (request: ServiceRequest, token: CancellationToken) =>
-      this.answer(upstream, request, token);
+      this.respond(upstream, request, token);
     return new (class extends ServiceConnection {
       override call = call;
     })();
   }
 
-  private answer(
+  private respond(
     upstream: string,
     request: ServiceRequest,
     token: CancellationToken,
--- a/src/infrastructure/rpc/test/rpc.test.ts
+++ b/src/infrastructure/rpc/test/rpc.test.ts
@@ -76,30 +76,30 @@
 
 describe('calls', () => {
   type Call = (client: RpcClient<typeof router>) => Promise<unknown>;
-  const good: Array<{name: string; call: Call; answer: unknown}> = [
+  const good: Array<{name: string; call: Call; result: unknown}> = [
     {
       name: 'a mutation',
       call: ({call}) => call.words.echo.mutate('héllo'),
-      answer: {said: 'héllo'},
+      result: {said: 'héllo'},
     },
     {
       name: 'a query',
       call: ({call}) => call.words.find.query('it'),
-      answer: 'found it',
+      result: 'found it',
     },
     {
       name: 'a mutation without input and result',
       call: ({call}) => call.words.nothing.mutate(),
-      answer: undefined,
+      result: undefined,
     },
     {
       name: 'a query with a long input',
       call: ({call}) => call.words.find.query('x'.repeat(1_000_000)),
-      answer: `found ${'x'.repeat(1_000_000)}`,
+      result: `found ${'x'.repeat(1_000_000)}`,
     },
   ];
-  test.each(good)('$name returns the result', async ({call, answer}) => {
-    expect(await call(connect())).toEqual(answer);
+  test.each(good)('$name returns the result', async ({call, result}) => {
+    expect(await call(connect())).toEqual(result);
   });
 
   const bad: Array<{name: string; call: Call; key?: string; message: RegExp}> =
--- a/src/infrastructure/settings/node/readSettings.ts
+++ b/src/infrastructure/settings/node/readSettings.ts
@@ -7,7 +7,7 @@
 import {parseJsonText} from '../common/jsonText.js';
 import {toFindings} from '../common/schemaFindings.js';
 
-/** Reads settings files. Every finding contains the file and the place in it. */
+/** Reads settings files. Every finding contains the file and the position in it. */
 
 /** The path of findings that concern the whole file. */
 const WHOLE_FILE = '$';
@@ -40,8 +40,10 @@
     return json;
   }
   const {line, column} = json.error;
-  const place = `line ${line}, column ${column}`;
-  return failure([{source: path, path: place, expected: 'well-formed JSON'}]);
+  const position = `line ${line}, column ${column}`;
+  return failure([
+    {source: path, path: position, expected: 'well-formed JSON'},
+  ]);
 }
 
 /** Reads a secret from a file with a single line. Findings never contain the secret. */
--- a/src/programs/control/controlCore.ts
+++ b/src/programs/control/controlCore.ts
@@ -43,9 +43,9 @@
   readonly publisher: ViewPublisher;
   readonly proposals: ProposalCoordinator;
   private readonly reader: ConfigurationReader;
-  private readonly standingKeeper: StandingStateMachine;
+  private readonly standingStateMachine: StandingStateMachine;
   private readonly exchanger: PeerExchanger;
-  private readonly spreader: MemberGossip;
+  private readonly gossip: MemberGossip;
   private readonly tasks: readonly RepeatingTask[];
   private readonly headTask: RepeatingTask;
   private readonly entry: EntryPresence;
@@ -66,7 +66,7 @@
     );
     this.responder = this.register(new PeerResponder(this.state));
     this.publisher = this.register(new ViewPublisher());
-    this.standingKeeper = this.register(new StandingStateMachine(clock));
+    this.standingStateMachine = this.register(new StandingStateMachine(clock));
     this.entry = new EntryPresence(clock);
     const store = new ConfigurationStore(
       dependencies.table,
@@ -79,7 +79,7 @@
       this.responder,
       random,
     );
-    this.spreader = this.register(
+    this.gossip = this.register(
       new MemberGossip(this.state, this.exchanger, this.responder),
     );
     const memberTracker = this.register(this.createMemberTracker());
@@ -90,10 +90,10 @@
     );
     this.tasks = this.createTasks(memberTracker);
     this.register(this.replica.onDidChange(() => this.evaluate()));
-    this.register(this.responder.onDidLearn(() => this.learned()));
+    this.register(this.responder.onDidLearn(() => this.handlePeerUpdate()));
     this.register(memberTracker.onDidChange(() => this.evaluate()));
     this.register(
-      this.standingKeeper.onDidChange(standing =>
+      this.standingStateMachine.onDidChange(standing =>
         logger.decision('standing', {standing: standing.kind}),
       ),
     );
@@ -125,11 +125,11 @@
 
   /** Stops accepting new work, notifies all peers, then stops. */
   async leave(): Promise<void> {
-    this.standingKeeper.leave();
+    this.standingStateMachine.leave();
     this.state.setRecord({leaving: true, ready: false});
     this.evaluate();
     await this.proposals.broadcast([]);
-    this.standingKeeper.stop();
+    this.standingStateMachine.stop();
     this.evaluate();
   }
 
@@ -168,7 +168,7 @@
   }
 
   private createMemberTracker(): MemberTracker {
-    const {timings, state, spreader} = this;
+    const {timings, state, gossip} = this;
     const {
       membership: list,
       clock,
@@ -177,7 +177,7 @@
       metrics,
     } = this.dependencies;
     return new MemberTracker(
-      {list, state, spreader, clock, random, logger, metrics},
+      {list, state, gossip, clock, random, logger, metrics},
       {
         minIntervalMilliseconds:
           timings.membershipReadSeconds * MILLISECONDS_PER_SECOND,
@@ -216,7 +216,7 @@
   }
 
   private async exchange(token: CancellationToken): Promise<void> {
-    await this.spreader.exchange(token);
+    await this.gossip.exchange(token);
     this.evaluate();
   }
 
@@ -234,7 +234,7 @@
     return failed * 2 > listed ? period : period / FAST_EXCHANGE_FACTOR;
   }
 
-  private learned(): void {
+  private handlePeerUpdate(): void {
     if (this.replica.knownRevision > this.replica.current.revision) {
       this.headTask.runNow();
     }
@@ -243,7 +243,7 @@
 
   private evaluate(): void {
     this.state.refreshOwnStatus();
-    this.standingKeeper.updateConfirmation({
+    this.standingStateMachine.updateConfirmation({
       now: this.dependencies.clock.monotonicMilliseconds(),
       boundMilliseconds: this.state.boundMilliseconds,
       appliedRevision: this.replica.current.revision,
@@ -253,15 +253,15 @@
     });
     this.updateOwnRecord();
     this.publisher.publish({
-      standing: this.standingKeeper.standing,
+      standing: this.standingStateMachine.standing,
       configuration: this.replica.current,
-      instances: this.state.directory.views(id => this.isHeardRecently(id)),
+      instances: this.state.directory.views(id => this.wasRecentlyObserved(id)),
       upstreams: this.state.directory.upstreams,
     });
   }
 
   private updateOwnRecord(): void {
-    const {standing} = this.standingKeeper;
+    const {standing} = this.standingStateMachine;
     if (standing.kind === 'leaving') {
       return;
     }
@@ -273,12 +273,12 @@
     }
   }
 
-  private isHeardRecently(id: string): boolean {
-    const heardAt = this.state.statuses.get(id)?.observedAt;
+  private wasRecentlyObserved(id: string): boolean {
+    const observedAt = this.state.statuses.get(id)?.observedAt;
     const now = this.dependencies.clock.monotonicMilliseconds();
     return (
-      heardAt !== undefined &&
-      now - heardAt < UNKNOWN_AGE_SECONDS * MILLISECONDS_PER_SECOND
+      observedAt !== undefined &&
+      now - observedAt < UNKNOWN_AGE_SECONDS * MILLISECONDS_PER_SECOND
     );
   }
 
--- a/src/programs/control/memberTracker.ts
+++ b/src/programs/control/memberTracker.ts
@@ -20,7 +20,7 @@
 export interface MemberTrackerDependencies {
   readonly list: MembershipList;
   readonly state: LocalState;
-  readonly spreader: MemberGossip;
+  readonly gossip: MemberGossip;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -43,7 +43,7 @@
     private readonly silenceMilliseconds: number,
   ) {
     super();
-    const {list, state, spreader, clock, random, logger} = dependencies;
+    const {list, state, gossip, clock, random, logger} = dependencies;
     this.plan = new ListReadScheduler(clock, random, limits);
     this.reader = new ListReader(
       list,
@@ -53,15 +53,15 @@
       logger,
       id => state.isRecentlySeen(id),
     );
-    this.register(spreader.onDidLearnMembers(() => this.changeEmitter.fire()));
+    this.register(gossip.onDidLearnMembers(() => this.changeEmitter.fire()));
     this.register(
-      spreader.onDidFailToConverge(() => this.plan.requestRepairRead()),
+      gossip.onDidFailToConverge(() => this.plan.requestRepairRead()),
     );
   }
 
   /** Reads the list if a read is due; called once in each shortest period. */
   async readIfDue(token: CancellationToken): Promise<void> {
-    const {state, spreader, clock, metrics} = this.dependencies;
+    const {state, gossip, clock, metrics} = this.dependencies;
     if (!this.plan.isDue(state.countListReaders(this.silenceMilliseconds))) {
       return;
     }
@@ -80,7 +80,7 @@
     state.handleMembersChanged();
     this.changeEmitter.fire();
     if (reading.value.isNewToPeers) {
-      spreader.announce();
+      gossip.announce();
     }
   }
 }
--- a/src/programs/control/test/memberFleet.ts
+++ b/src/programs/control/test/memberFleet.ts
@@ -81,7 +81,7 @@
 
   fingerprints(): ReadonlySet<string> {
     return new Set(
-      [...this.states.values()].map(({memberList: book}) => book.fingerprint),
+      [...this.states.values()].map(({memberList}) => memberList.fingerprint),
     );
   }
 
@@ -107,12 +107,12 @@
     const responder = new PeerResponder(state);
     const connection = this.connectionOf(id);
     const peers = new PeerExchanger(state, connection, responder, random);
-    const spreader = new MemberGossip(state, peers, responder);
+    const gossip = new MemberGossip(state, peers, responder);
     const logger = new SilentLogger();
     const metrics = new SilentMetrics();
     const list = this.platform.portsOf(id).membership;
     const tracker = new MemberTracker(
-      {list, state, spreader, clock, random, logger, metrics},
+      {list, state, gossip, clock, random, logger, metrics},
       {
         minIntervalMilliseconds: timings.read,
         bytesPerSecond: timings.bytesPerSecond,
@@ -135,7 +135,7 @@
         clock,
         random,
         () => timings.exchange,
-        token => spreader.exchange(token),
+        token => gossip.exchange(token),
       ),
     ];
     tasks.forEach(task => task.runNow());
--- a/src/programs/control/test/memberTracker.test.ts
+++ b/src/programs/control/test/memberTracker.test.ts
@@ -84,28 +84,28 @@
           let splitAt = 0;
           const leftAt = new Map<string, number>();
           const check = () => checkGroups(fleet, splitAt, leftAt);
-          for (const taken of steps) {
-            switch (taken.kind) {
+          for (const currentStep of steps) {
+            switch (currentStep.kind) {
               case 'leave':
-                fleet.list([`e${taken.engine}`], 'leaving');
+                fleet.list([`e${currentStep.engine}`], 'leaving');
                 break;
               case 'remove':
-                fleet.list([`e${taken.engine}`], undefined);
+                fleet.list([`e${currentStep.engine}`], undefined);
                 break;
               case 'split':
                 ids.forEach(id =>
-                  fleet.groups.set(id, taken.who.includes(id) ? 1 : 0),
+                  fleet.groups.set(id, currentStep.who.includes(id) ? 1 : 0),
                 );
                 splitAt = now(fleet);
                 break;
               case 'outage':
                 fleet.platform.clearFaults();
-                taken.who.forEach(instance =>
+                currentStep.who.forEach(instance =>
                   fleet.platform.addFault({kind: 'down'}, {instance}),
                 );
                 break;
               case 'wait':
-                await runAndCheck(fleet, taken.seconds, check);
+                await runAndCheck(fleet, currentStep.seconds, check);
             }
           }
           fleet.platform.clearFaults();
@@ -169,10 +169,12 @@
     const fleet = new MemberFleet(ids, engines, slow, 4);
     await fleet.run(60 * MILLISECONDS_PER_SECOND);
     const [e0] = engines;
-    const told = {id: 'e0', member: e0, ageMilliseconds: 0} as const;
+    const staleChange = {id: 'e0', member: e0, ageMilliseconds: 0} as const;
     // Simulates a wrong timestamp: the next read of the others appears older than this change.
     const later = now(fleet) + 15 * MILLISECONDS_PER_SECOND;
-    fleet.states.get('i0')?.memberList.applyChanges([told], later, now(fleet));
+    fleet.states
+      .get('i0')
+      ?.memberList.applyChanges([staleChange], later, now(fleet));
     fleet.list(['e0'], 'leaving');
     await fleet.run(30 * MILLISECONDS_PER_SECOND);
     expect(fleet.fingerprints().size).toBe(1);
--- a/src/programs/control/test/peerNetwork.ts
+++ b/src/programs/control/test/peerNetwork.ts
@@ -80,8 +80,8 @@
     if (responder === undefined || this.network.losesCall()) {
       return failure({kind: 'unreachable', detail: `${address} is cut off`});
     }
-    const answer = JSON.parse(JSON.stringify(run(responder))) as T;
+    const response = JSON.parse(JSON.stringify(run(responder))) as T;
     await this.network.delay();
-    return success(answer);
+    return success(response);
   }
 }
--- a/src/programs/redwing/commands/entryCommands.ts
+++ b/src/programs/redwing/commands/entryCommands.ts
@@ -59,8 +59,8 @@
   ): Promise<ExitCode> {
     const configuration = await this.fetchConfiguration(client);
     const existing = findEntry(configuration, this.kind, this.name);
-    const given = withoutUndefined(this.fields(existing));
-    const value = {...existing, ...given, name: this.name};
+    const changes = withoutUndefined(this.fields(existing));
+    const value = {...existing, ...changes, name: this.name};
     const proposal = checkOperation({
       kind: this.kind.setOperation,
       value,
@@ -115,8 +115,8 @@
 }
 
 function withoutUndefined(fields: EntryFields): EntryFields {
-  const given = Object.entries(fields).filter(
+  const definedFields = Object.entries(fields).filter(
     ([, value]) => value !== undefined,
   );
-  return Object.fromEntries(given);
+  return Object.fromEntries(definedFields);
 }
--- a/src/programs/redwing/commands/serviceCommands.ts
+++ b/src/programs/redwing/commands/serviceCommands.ts
@@ -28,11 +28,14 @@
   });
 
   protected override fields(existing: EntryFields | undefined): EntryFields {
-    const given = [
+    const specifiedCalls = [
       ...(this.calls ?? []).map(call => parseServiceCall(call, false)),
       ...(this.repeatableCalls ?? []).map(call => parseServiceCall(call, true)),
     ];
-    return {calls: given.length > 0 ? given : (existing?.calls ?? [])};
+    return {
+      calls:
+        specifiedCalls.length > 0 ? specifiedCalls : (existing?.calls ?? []),
+    };
   }
 }
 
--- a/src/programs/redwing/test/redwing.test.ts
+++ b/src/programs/redwing/test/redwing.test.ts
@@ -324,14 +324,14 @@
     const result = await run(['config', 'apply', file], ['127.0.0.1:1']);
     expect(result.exitCode).toBe(exitCodes.invalid);
     const lines = result.stderr.split('\n').join(' ');
-    for (const place of [
+    for (const position of [
       '$.operations[0].value.deadlineMilliseconds: milliseconds above 0',
       '$.operations[1].value.weight: no such field: operators state targets only',
       '$.operations[2].value.version',
       '$.operations[2].value.layerCount',
       '$.operations[2].value.addresses: no such field: operators state targets only',
     ]) {
-      expect(lines).toContain(`${file} ${place}`);
+      expect(lines).toContain(`${file} ${position}`);
     }
   });
 });
--- a/test/prove/steadyLoad.ts
+++ b/test/prove/steadyLoad.ts
@@ -59,7 +59,7 @@
   }
 
   private async run(index: number): Promise<WorkResult> {
-    const {seed, retryOptions: options} = this.options;
+    const {seed, retryOptions} = this.options;
     const work = randomWork(this.random, seed, index);
     const random = new SeededRandomSource(seed + index);
     const startedAt = Date.now();
@@ -70,7 +70,7 @@
       random,
       {
         ...defaultRetryingCallerOptions,
-        ...options,
+        ...retryOptions,
       },
     );
     const isCompleted = await caller.run();
