--- a/measure/control.ts
+++ b/measure/control.ts
@@ -327,11 +327,11 @@
  * when the interval starts or ends is counted wrongly, and its error would exceed the other traffic.
  */
 function fitBytes(readings: readonly FleetReading[]): ControlBytes {
-  const short = readings.filter(
+  const shortListReadings = readings.filter(
     reading => reading.listBytes <= MAXIMUM_FITTED_LIST_BYTES,
   );
   const line = fitLine(
-    short.map(reading => ({
+    shortListReadings.map(reading => ({
       x: reading.instances,
       y:
         reading.bytesPerSecond - reading.listReadsPerSecond * reading.listBytes,
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -399,12 +399,12 @@
   idle: UsageRates,
 ): SlopesReport['reservation'] {
   const meanPerRequest = (select: (rates: UsageRates) => number): number => {
-    const used = ownerObservations.reduce(
+    const total = ownerObservations.reduce(
       (sum, {rates}) => sum + (select(rates) - select(idle)) * rates.seconds,
       0,
     );
     return (
-      used /
+      total /
       ownerObservations.reduce(
         (sum, observation) => sum + observation.requests,
         0,
--- a/measure/throughput.ts
+++ b/measure/throughput.ts
@@ -188,13 +188,13 @@
     const middle = (low + high) / 2;
     const classes = scaleClasses(CLASS_SHAPES, middle);
     const bound = solveThroughputBound(capacity, classes);
-    const isCarried = classes.every(
+    const isServedOnTime = classes.every(
       offered =>
         bound.requestsPerSecond[offered.name] >=
         offered.requestsPerSecond * 0.9999,
     );
-    low = isCarried ? middle : low;
-    high = isCarried ? high : middle;
+    low = isServedOnTime ? middle : low;
+    high = isServedOnTime ? high : middle;
   }
   return low;
 }
--- a/src/features/callers/test/callerServer.test.ts
+++ b/src/features/callers/test/callerServer.test.ts
@@ -353,7 +353,7 @@
   outcome,
 });
 
-const heldAt = (
+const heldElsewhereAt = (
   incarnation: string,
   outcome?: RequestOutcome,
 ): ClaimDecision => ({
@@ -407,19 +407,19 @@
   [
     'a key held by a known instance is redirected to it',
     421,
-    heldAt('b-1'),
+    heldElsewhereAt('b-1'),
     failed('heldElsewhere', 'unknown', {addresses: ['b:80']}),
   ],
   [
     'a key held by an unknown instance is refused',
     503,
-    heldAt('z-1'),
+    heldElsewhereAt('z-1'),
     failed('heldElsewhere', 'unknown', {addresses: []}),
   ],
   [
     'a key held elsewhere with a known outcome replays its reply',
     200,
-    heldAt('b-1', completed),
+    heldElsewhereAt('b-1', completed),
     first,
   ],
   [
@@ -548,7 +548,10 @@
 
   test('entrypoints include this instance as soon as it accepts work, before the view says so', async () => {
     const view = fixture.views.current!;
-    const instances = view.instances.map(one => ({...one, ready: false}));
+    const instances = view.instances.map(instance => ({
+      ...instance,
+      ready: false,
+    }));
     fixture.views.current = {...view, instances};
     const response = await fixture.send('/v1/entrypoints');
     expect(await response.json()).toMatchObject({addresses: ['a:80']});
--- a/src/features/claims/node/defaultClaimService.ts
+++ b/src/features/claims/node/defaultClaimService.ts
@@ -52,7 +52,7 @@
   private readonly plainKeyResolver: PlainKeyResolver;
   private readonly committer: GroupCommitter;
   private readonly recorder: OutcomeRecorder;
-  private readonly ageing: ClaimRowSweeper;
+  private readonly sweeper: ClaimRowSweeper;
 
   constructor(private readonly dependencies: ClaimServiceDependencies) {
     super();
@@ -87,7 +87,7 @@
       this.settings,
     );
     this.plainKeyResolver = new PlainKeyResolver(this.plain, finder, table);
-    this.ageing = this.disposables.add(
+    this.sweeper = this.disposables.add(
       new ClaimRowSweeper(
         table,
         clock,
@@ -100,7 +100,7 @@
 
   /** Starts the deletion of expired rows. */
   start(): void {
-    this.ageing.start();
+    this.sweeper.start();
   }
 
   /** For a planned stop: resolves when all outcomes are recorded or the time has elapsed. */
--- a/src/features/claims/test/claimService.test.ts
+++ b/src/features/claims/test/claimService.test.ts
@@ -67,7 +67,7 @@
   return {kind: 'duplicate', outcome};
 }
 
-function heldWith(outcome: RequestOutcome) {
+function heldElsewhereWith(outcome: RequestOutcome) {
   return {kind: 'heldElsewhere', outcome};
 }
 
@@ -122,7 +122,9 @@
     expect(await claim(simulation, 0, key)).toEqual({kind: 'granted'});
     simulation.slots[0]!.service.complete(ACCOUNT, key, completed);
     expect(await claim(simulation, 0, key)).toEqual(duplicateOf(completed));
-    expect(await claim(simulation, 1, key)).toMatchObject(heldWith(completed));
+    expect(await claim(simulation, 1, key)).toMatchObject(
+      heldElsewhereWith(completed),
+    );
   });
 
   test('of a terminated incarnation have the recorded outcome, else unknown', async () => {
@@ -137,10 +139,10 @@
     await simulation.advance(200);
     simulation.restart(simulation.slots[0]!);
     expect(await claim(simulation, 1, recorded!)).toMatchObject(
-      heldWith(completed),
+      heldElsewhereWith(completed),
     );
     expect(await claim(simulation, 1, unrecorded!)).toMatchObject(
-      heldWith({kind: 'unknown'}),
+      heldElsewhereWith({kind: 'unknown'}),
     );
   });
 
@@ -429,10 +431,16 @@
     const {table} = platform.portsOf();
     const limits = {queueCharacters: 10, aboveInstances: 1};
     const commit = {...testSettings.commit, ...limits};
-    const direct = new GroupCommitter(table, clock, metrics, commit, () => 1);
+    const committer = new GroupCommitter(
+      table,
+      clock,
+      metrics,
+      commit,
+      () => 1,
+    );
     const writer =
       kind === 'committer'
-        ? direct
+        ? committer
         : new GatheringWriter({
             // Receives rows that exceed the queue, and accepts none.
             directWriter: new GroupCommitter(
--- a/src/features/configuration/test/configurationProposer.test.ts
+++ b/src/features/configuration/test/configurationProposer.test.ts
@@ -145,8 +145,8 @@
     const ana = createOperator('ana');
     const luz = createOperator('luz');
     await propose(ana, 'ana', 'small');
-    const stale = await propose(luz, 'luz', 'large', 0);
-    expect(stale).toMatchObject({
+    const conflictingResult = await propose(luz, 'luz', 'large', 0);
+    expect(conflictingResult).toMatchObject({
       error: {kind: 'conflict', winningRevision: 1, operator: 'ana'},
     });
   });
@@ -213,7 +213,7 @@
       {part: 'table', instance: 'luz', access: 'write', times: 1},
     );
     const luz = createOperator('luz');
-    const racing = propose(luz, 'luz', 'large');
+    const pendingProposal = propose(luz, 'luz', 'large');
     const head = JSON.stringify({revision: 1, firstRevision: 1});
     await platform
       .portsOf('eva')
@@ -222,7 +222,7 @@
         'all',
         neverCancelled,
       );
-    expect(outcomeOf(await racing)).toBe('unavailable');
+    expect(outcomeOf(await pendingProposal)).toBe('unavailable');
     expect(countRowsWith('large')).toBe(0);
     expect(outcomeOf(await propose(luz, 'luz', 'third'))).toBe('accepted');
   });
--- a/src/features/membership/common/listReader.ts
+++ b/src/features/membership/common/listReader.ts
@@ -83,14 +83,16 @@
     ) {
       return new Set();
     }
-    const seen = missing.filter(id => this.isRecentlySeen(id));
-    const isRefuted = seen.length > 0;
-    const doubted = missing.filter(id => isRefuted || !this.doubted.has(id));
+    const recentlySeen = missing.filter(id => this.isRecentlySeen(id));
+    const isContradicted = recentlySeen.length > 0;
+    const doubted = missing.filter(
+      id => isContradicted || !this.doubted.has(id),
+    );
     this.logger.warn('list read lacks many known members', {
       missing: missing.length,
       known,
       doubted: doubted.length,
-      heard: seen.length,
+      heard: recentlySeen.length,
     });
     return new Set(doubted);
   }
--- a/src/features/naive/node/naiveBroker.ts
+++ b/src/features/naive/node/naiveBroker.ts
@@ -80,7 +80,7 @@
   override reportFailure(): void {}
 
   override chooseService(service: string): ServiceChoice {
-    const replicas = this.live('service').filter(
+    const replicas = this.liveMembers('service').filter(
       member => member.group === service,
     );
     const replica =
@@ -109,20 +109,25 @@
   private async replicasOf(
     model: string,
   ): Promise<ReadonlyArray<readonly ChosenStage[]>> {
-    const wanted = this.views.current?.configuration.models[model];
-    const engines = this.live('engine');
-    const reports = await Promise.all(engines.map(one => this.reportOf(one)));
+    const configuredModel = this.views.current?.configuration.models[model];
+    const engines = this.liveMembers('engine');
+    const reports = await Promise.all(
+      engines.map(engine => this.reportOf(engine)),
+    );
     const groups = new Map<string, ChosenStage[]>();
     engines.forEach((engine, index) => {
       const report = reports[index];
-      if (report?.model === model && report.version === wanted?.version) {
+      if (
+        report?.model === model &&
+        report.version === configuredModel?.version
+      ) {
         const {id: upstream, address, group} = engine;
         const stage = {upstream, address, layers: report.layers};
         groups.set(group, [...(groups.get(group) ?? []), stage]);
       }
     });
     return [...groups.values()]
-      .map(stages => findStageChain(stages, wanted?.layerCount ?? 0))
+      .map(stages => findStageChain(stages, configuredModel?.layerCount ?? 0))
       .filter(stages => stages !== undefined);
   }
 
@@ -145,9 +150,11 @@
     return report.ok ? report.value : undefined;
   }
 
-  private live(role: UpstreamMember['role']): readonly UpstreamMember[] {
+  private liveMembers(role: UpstreamMember['role']): readonly UpstreamMember[] {
     const upstreams = this.views.current?.upstreams ?? [];
-    return upstreams.filter(one => one.role === role && one.state === 'live');
+    return upstreams.filter(
+      upstream => upstream.role === role && upstream.state === 'live',
+    );
   }
 }
 
--- a/src/features/peers/common/memberGossip.ts
+++ b/src/features/peers/common/memberGossip.ts
@@ -11,7 +11,7 @@
 /** Number of consecutive exchanges with a different peer list but no new changes after which the list is read. */
 const UNRESOLVED_EXCHANGE_LIMIT = 5;
 
-/** Gossips changes of the member list: gets them from peers that announce one, and announces those that it learns. */
+/** Gossips changes of the member list: fetches them from peers that announce one and announces those received. */
 export class MemberGossip extends DisposableOwner {
   private readonly lifetime = new CancellationSource();
   private readonly learnedEmitter = this.register(new Emitter<void>());
--- a/src/features/peers/common/peerResponder.ts
+++ b/src/features/peers/common/peerResponder.ts
@@ -59,8 +59,8 @@
       },
       roster: this.state.roster,
       statuses: this.state.statuses.encode(this.state.directory.ids, now),
-      ...(hasSameMembers ? {} : this.members(now)),
-      ...this.missing(request.revision),
+      ...(hasSameMembers ? {} : this.memberDifferences(now)),
+      ...this.revisionsAfter(request.revision),
       ...(records.length > 0 ? {records} : {}),
     };
   }
@@ -118,7 +118,7 @@
     }
   }
 
-  private members(
+  private memberDifferences(
     now: number,
   ): Pick<ExchangeResponse, 'members' | 'memberChanges'> {
     const {memberList} = this.state;
@@ -148,16 +148,16 @@
     );
   }
 
-  private missing(
+  private revisionsAfter(
     revision: number,
   ): Pick<ExchangeResponse, 'revisions' | 'snapshotNeeded'> {
     const revisions = this.state.replica.revisionsAfter(revision);
     if (revisions?.length === 0) {
       return {};
     }
-    const fits =
+    const fitsInResponse =
       revisions !== undefined &&
       JSON.stringify(revisions).length <= REVISION_RESPONSE_CHARACTERS;
-    return fits ? {revisions} : {snapshotNeeded: true};
+    return fitsInResponse ? {revisions} : {snapshotNeeded: true};
   }
 }
--- a/src/features/pipeline/node/passPlanner.ts
+++ b/src/features/pipeline/node/passPlanner.ts
@@ -11,7 +11,7 @@
     private readonly request: ModelRequest,
     private readonly state: RunState,
     private readonly stages: StageSet,
-    private readonly watch: StepTimeouts,
+    private readonly timeouts: StepTimeouts,
     private readonly clock: Clock,
   ) {}
 
@@ -47,7 +47,7 @@
     const {firstTokenMilliseconds} = this.request.classOfWork;
     const predicted =
       this.state.reservation?.prediction.firstTokenMilliseconds ?? 0;
-    return this.watch.prefillTimeoutMilliseconds(
+    return this.timeouts.prefillTimeoutMilliseconds(
       positions,
       this.state.promptLength,
       Math.max(firstTokenMilliseconds, predicted),
--- a/src/features/pipeline/node/passRunner.ts
+++ b/src/features/pipeline/node/passRunner.ts
@@ -49,7 +49,7 @@
     private readonly request: ModelRequest,
     private readonly prefixKey: string | undefined,
     private readonly clock: Clock,
-    private readonly watch: StepTimeouts,
+    private readonly timeouts: StepTimeouts,
     private readonly safeguards: Safeguards,
     private readonly onFault: FaultListener,
   ) {}
@@ -144,7 +144,7 @@
 
   private decodeTimeout(session: StageSession): number {
     const target = this.request.classOfWork.betweenTokensMilliseconds;
-    return this.watch.decodeTimeoutMilliseconds(
+    return this.timeouts.decodeTimeoutMilliseconds(
       session.history.decodeTimes,
       target,
     );
--- a/src/features/pipeline/node/stageSet.ts
+++ b/src/features/pipeline/node/stageSet.ts
@@ -20,7 +20,7 @@
 
   constructor(
     private readonly dependencies: PipelineDependencies,
-    private readonly watch: StepTimeouts,
+    private readonly timeouts: StepTimeouts,
   ) {}
 
   get sessions(): readonly StageSession[] {
@@ -85,7 +85,7 @@
       chosen,
       this.connect(chosen),
       this.executionTracker.recordOf(chosen.upstream),
-      this.watch.historyOf(chosen.upstream),
+      this.timeouts.historyOf(chosen.upstream),
       this.statisticsOf(chosen.upstream),
     );
   }
--- a/src/features/pipeline/test/pipelineLifecycle.test.ts
+++ b/src/features/pipeline/test/pipelineLifecycle.test.ts
@@ -88,7 +88,7 @@
     while (run.delivered.length === 0) {
       await harness.clock.advanceAsync(1);
     }
-    expect(harness.broker.failures.map(one => one.outcome)).toEqual(
+    expect(harness.broker.failures.map(({outcome}) => outcome)).toEqual(
       Array(3).fill('completed'),
     );
     await harness.finish();
--- a/src/features/services/test/serviceDispatcher.test.ts
+++ b/src/features/services/test/serviceDispatcher.test.ts
@@ -219,15 +219,15 @@
 );
 
 test('a repeatable call that exceeds the 95th percentile is hedged on a second replica', async () => {
-  const warm: readonly ReplicaBehaviour[] = Array(30).fill('ok');
-  const harness = new ServiceHarness([...warm, 'silent', 'ok'], 2);
+  const successes: readonly ReplicaBehaviour[] = Array(30).fill('ok');
+  const harness = new ServiceHarness([...successes, 'silent', 'ok'], 2);
   const dispatcher = harness.dispatcher();
   for (let count = 0; count < 30; count++) {
     await dispatcher.dispatch(repeatableCall, neverCancelled);
   }
-  const slow = dispatcher.dispatch(repeatableCall, neverCancelled);
+  const pendingCall = dispatcher.dispatch(repeatableCall, neverCancelled);
   await harness.clock.advanceAsync(5);
-  const result = await slow;
+  const result = await pendingCall;
   expect(result).toMatchObject({ok: true, value: {body: 'r1'}});
   expect(harness.released.slice(-2).sort()).toEqual([
     'r0 completed',
@@ -269,12 +269,12 @@
 
 test('retries are limited to a fraction of successful calls', () => {
   const budget = new RetryBudget(0.1, 2);
-  const spent = [
+  const permissions = [
     budget.tryTakeRetry(),
     budget.tryTakeRetry(),
     budget.tryTakeRetry(),
   ];
-  expect(spent).toEqual([true, true, false]);
+  expect(permissions).toEqual([true, true, false]);
   for (let count = 0; count < 11; count++) {
     budget.recordSuccess();
   }
--- a/src/infrastructure/http/node/storageClient.ts
+++ b/src/infrastructure/http/node/storageClient.ts
@@ -47,7 +47,7 @@
     schema: z.ZodType<T>,
     token: CancellationToken,
   ): Promise<Result<T, StorageError>> {
-    const response = await this.answer(request, token);
+    const response = await this.send(request, token);
     if (!response.ok) {
       return response;
     }
@@ -60,7 +60,7 @@
     schema: z.ZodType<T>,
     token: CancellationToken,
   ): Promise<Result<T | undefined, StorageError>> {
-    const response = await this.answer(request, token);
+    const response = await this.send(request, token);
     if (!response.ok) {
       return response;
     }
@@ -70,7 +70,7 @@
     return parseResponse(response.value, schema);
   }
 
-  private async answer(
+  private async send(
     request: HttpRequest,
     token: CancellationToken,
   ): Promise<Result<HttpResponse, StorageError>> {
--- a/src/infrastructure/rpc/test/rpc.test.ts
+++ b/src/infrastructure/rpc/test/rpc.test.ts
@@ -76,7 +76,7 @@
 
 describe('calls', () => {
   type Call = (client: RpcClient<typeof router>) => Promise<unknown>;
-  const good: Array<{name: string; call: Call; result: unknown}> = [
+  const successfulCalls: Array<{name: string; call: Call; result: unknown}> = [
     {
       name: 'a mutation',
       call: ({call}) => call.words.echo.mutate('héllo'),
@@ -98,41 +98,48 @@
       result: `found ${'x'.repeat(1_000_000)}`,
     },
   ];
-  test.each(good)('$name returns the result', async ({call, result}) => {
-    expect(await call(connect())).toEqual(result);
-  });
-
-  const bad: Array<{name: string; call: Call; key?: string; message: RegExp}> =
-    [
-      {
-        name: 'a call with a wrong key',
-        call: ({call}) => call.words.echo.mutate('x'),
-        key: 'wrong',
-        message: /peer key missing or wrong/,
-      },
-      {
-        name: 'a call of a procedure that throws',
-        call: ({call}) => call.words.fail.mutate(),
-        message: /as told/,
-      },
-      {
-        name: 'a call with an invalid input',
-        call: ({call}) => call.words.echo.mutate(7 as never),
-        message: /expected a string/,
-      },
-      {
-        name: 'a call of an unknown procedure',
-        call: ({call}) =>
-          (call.words as never as MissingProcedure).missing.mutate('x'),
-        message: /No "mutation"-procedure/,
-      },
-      {
-        name: 'a call with a body that is too large',
-        call: ({call}) => call.words.echo.mutate('x'.repeat(5_000_000)),
-        message: /larger than|socket|EPIPE|ECONNRESET/,
-      },
-    ];
-  test.each(bad)('$name fails', async ({call, key, message}) => {
+  test.each(successfulCalls)(
+    '$name returns the result',
+    async ({call, result}) => {
+      expect(await call(connect())).toEqual(result);
+    },
+  );
+
+  const failingCalls: Array<{
+    name: string;
+    call: Call;
+    key?: string;
+    message: RegExp;
+  }> = [
+    {
+      name: 'a call with a wrong key',
+      call: ({call}) => call.words.echo.mutate('x'),
+      key: 'wrong',
+      message: /peer key missing or wrong/,
+    },
+    {
+      name: 'a call of a procedure that throws',
+      call: ({call}) => call.words.fail.mutate(),
+      message: /as told/,
+    },
+    {
+      name: 'a call with an invalid input',
+      call: ({call}) => call.words.echo.mutate(7 as never),
+      message: /expected a string/,
+    },
+    {
+      name: 'a call of an unknown procedure',
+      call: ({call}) =>
+        (call.words as never as MissingProcedure).missing.mutate('x'),
+      message: /No "mutation"-procedure/,
+    },
+    {
+      name: 'a call with a body that is too large',
+      call: ({call}) => call.words.echo.mutate('x'.repeat(5_000_000)),
+      message: /larger than|socket|EPIPE|ECONNRESET/,
+    },
+  ];
+  test.each(failingCalls)('$name fails', async ({call, key, message}) => {
     const error = await call(connect(key)).then(
       () => undefined,
       (cause: Error) => cause,
--- a/src/programs/control/memberTracker.ts
+++ b/src/programs/control/memberTracker.ts
@@ -30,13 +30,13 @@
 /** Keeps the membership list up to date. The instances share the reads and notify each other of changes. */
 export class MemberTracker extends DisposableOwner {
   private readonly changeEmitter = this.register(new Emitter<void>());
-  private readonly plan: ListReadScheduler;
+  private readonly scheduler: ListReadScheduler;
   private readonly reader: ListReader;
 
   /** Fires after the list of members changed. */
   readonly onDidChange = this.changeEmitter.event;
 
-  /** @param silenceMilliseconds after this time without a response from any peer, the instance reads on its own. */
+  /** @param silenceMilliseconds time without a response from any peer after which the instance reads on its own. */
   constructor(
     private readonly dependencies: MemberTrackerDependencies,
     limits: ListReadLimits,
@@ -44,25 +44,25 @@
   ) {
     super();
     const {list, state, gossip, clock, random, logger} = dependencies;
-    this.plan = new ListReadScheduler(clock, random, limits);
+    this.scheduler = new ListReadScheduler(clock, random, limits);
     this.reader = new ListReader(
       list,
       state.memberList,
-      this.plan,
+      this.scheduler,
       clock,
       logger,
       id => state.isRecentlySeen(id),
     );
     this.register(gossip.onDidLearnMembers(() => this.changeEmitter.fire()));
     this.register(
-      gossip.onDidFailToConverge(() => this.plan.requestRepairRead()),
+      gossip.onDidFailToConverge(() => this.scheduler.requestRepairRead()),
     );
   }
 
-  /** Reads the list if a read is due; called once in each shortest period. */
+  /** Reads the list if a read is due; called once per minimum interval. */
   async readIfDue(token: CancellationToken): Promise<void> {
     const {state, gossip, clock, metrics} = this.dependencies;
-    if (!this.plan.isDue(state.countListReaders(this.silenceMilliseconds))) {
+    if (!this.scheduler.isDue(state.countListReaders(this.silenceMilliseconds))) {
       return;
     }
     const reading = await withDeadline(
--- a/src/programs/control/test/controlProperties.test.ts
+++ b/src/programs/control/test/controlProperties.test.ts
@@ -16,11 +16,18 @@
   SLACK_SECONDS;
 
 type Step =
-  | {readonly kind: 'disconnectTable'; readonly who: readonly number[]}
+  | {
+      readonly kind: 'disconnectTable';
+      readonly instanceIndices: readonly number[];
+    }
   | {readonly kind: 'restoreTable'}
   | {readonly kind: 'partition'; readonly groups: readonly number[]}
-  | {readonly kind: 'restart'; readonly who: number}
-  | {readonly kind: 'propose'; readonly who: number; readonly lose: boolean}
+  | {readonly kind: 'restart'; readonly instanceIndex: number}
+  | {
+      readonly kind: 'propose';
+      readonly instanceIndex: number;
+      readonly isResponseLost: boolean;
+    }
   | {readonly kind: 'wait'; readonly seconds: number};
 
 const index = fastCheck.integer({min: 0, max: INSTANCE_IDS.length - 1});
@@ -28,7 +35,7 @@
   fastCheck.oneof(
     fastCheck.record({
       kind: fastCheck.constant('disconnectTable' as const),
-      who: fastCheck.uniqueArray(index, {minLength: 1}),
+      instanceIndices: fastCheck.uniqueArray(index, {minLength: 1}),
     }),
     fastCheck.record({kind: fastCheck.constant('restoreTable' as const)}),
     fastCheck.record({
@@ -40,12 +47,12 @@
     }),
     fastCheck.record({
       kind: fastCheck.constant('restart' as const),
-      who: index,
+      instanceIndex: index,
     }),
     fastCheck.record({
       kind: fastCheck.constant('propose' as const),
-      who: index,
-      lose: fastCheck.boolean(),
+      instanceIndex: index,
+      isResponseLost: fastCheck.boolean(),
     }),
     fastCheck.record({
       kind: fastCheck.constant('wait' as const),
@@ -72,22 +79,27 @@
     const {cluster} = this;
     switch (step.kind) {
       case 'disconnectTable':
-        step.who.forEach(who => cluster.disconnectTable(INSTANCE_IDS[who]));
+        step.instanceIndices.forEach(index =>
+          cluster.disconnectTable(INSTANCE_IDS[index]),
+        );
         return;
       case 'restoreTable':
         cluster.platform.clearFaults();
         return;
       case 'partition':
-        step.groups.forEach((group, who) =>
-          cluster.groups.set(INSTANCE_IDS[who] ?? '', group),
+        step.groups.forEach((group, index) =>
+          cluster.groups.set(INSTANCE_IDS[index] ?? '', group),
         );
         return;
       case 'restart':
-        this.highest.delete(INSTANCE_IDS[step.who] ?? '');
-        cluster.start(INSTANCE_IDS[step.who] ?? '');
+        this.highest.delete(INSTANCE_IDS[step.instanceIndex] ?? '');
+        cluster.start(INSTANCE_IDS[step.instanceIndex] ?? '');
         return;
       case 'propose':
-        return this.propose(INSTANCE_IDS[step.who] ?? '', step.lose);
+        return this.propose(
+          INSTANCE_IDS[step.instanceIndex] ?? '',
+          step.isResponseLost,
+        );
       case 'wait':
         return this.wait(step.seconds);
     }
--- a/src/programs/control/test/memberTracker.test.ts
+++ b/src/programs/control/test/memberTracker.test.ts
@@ -30,9 +30,10 @@
     for (const {lost, state} of changes) {
       fleet.list(lost, state);
       const last = lost.at(-1) ?? '';
-      const shows = (id: string) => fleet.shownState(id, last) === state;
-      const read = await runUntil(fleet, () => ids.some(shows));
-      const all = await runUntil(fleet, () => ids.every(shows));
+      const isChangeShownBy = (id: string) =>
+        fleet.shownState(id, last) === state;
+      const read = await runUntil(fleet, () => ids.some(isChangeShownBy));
+      const all = await runUntil(fleet, () => ids.every(isChangeShownBy));
       seconds.push({read, all});
     }
     console.log(
@@ -55,17 +56,17 @@
   const limit = 10 * MILLISECONDS_PER_SECOND;
 
   const engine = fastCheck.nat(engines.length - 1);
-  const someIds = fastCheck.subarray([...ids]);
-  const step = fastCheck.oneof(
+  const instanceSubset = fastCheck.subarray([...ids]);
+  const stepArbitrary = fastCheck.oneof(
     fastCheck.record({kind: fastCheck.constant('leave' as const), engine}),
     fastCheck.record({kind: fastCheck.constant('remove' as const), engine}),
     fastCheck.record({
       kind: fastCheck.constant('split' as const),
-      who: someIds,
+      instances: instanceSubset,
     }),
     fastCheck.record({
       kind: fastCheck.constant('outage' as const),
-      who: someIds,
+      instances: instanceSubset,
     }),
     fastCheck.record({
       kind: fastCheck.constant('wait' as const),
@@ -76,7 +77,7 @@
   it('converge on the newest list, and none shows a member as live for long after another has shown it as leaving', async () => {
     await fastCheck.assert(
       fastCheck.asyncProperty(
-        fastCheck.array(step, {minLength: 5, maxLength: 15}),
+        fastCheck.array(stepArbitrary, {minLength: 5, maxLength: 15}),
         fastCheck.nat(),
         async (steps, seed) => {
           const fleet = new MemberFleet(ids, engines, timings, seed);
@@ -84,28 +85,28 @@
           let splitAt = 0;
           const leftAt = new Map<string, number>();
           const check = () => checkGroups(fleet, splitAt, leftAt);
-          for (const currentStep of steps) {
-            switch (currentStep.kind) {
+          for (const step of steps) {
+            switch (step.kind) {
               case 'leave':
-                fleet.list([`e${currentStep.engine}`], 'leaving');
+                fleet.list([`e${step.engine}`], 'leaving');
                 break;
               case 'remove':
-                fleet.list([`e${currentStep.engine}`], undefined);
+                fleet.list([`e${step.engine}`], undefined);
                 break;
               case 'split':
                 ids.forEach(id =>
-                  fleet.groups.set(id, currentStep.who.includes(id) ? 1 : 0),
+                  fleet.groups.set(id, step.instances.includes(id) ? 1 : 0),
                 );
                 splitAt = now(fleet);
                 break;
               case 'outage':
                 fleet.platform.clearFaults();
-                currentStep.who.forEach(instance =>
+                step.instances.forEach(instance =>
                   fleet.platform.addFault({kind: 'down'}, {instance}),
                 );
                 break;
               case 'wait':
-                await runAndCheck(fleet, currentStep.seconds, check);
+                await runAndCheck(fleet, step.seconds, check);
             }
           }
           fleet.platform.clearFaults();
@@ -130,35 +131,35 @@
   it.each([
     {
       name: 'an isolated instance reads the list on its own',
-      alone: ['i0'],
-      blind: [],
+      isolated: ['i0'],
+      withoutList: [],
       seconds: 8,
     },
     {
       name: 'a change that peers no longer report is read from the list',
-      alone: ['i0', 'i1', 'i2'],
-      blind: ['i0', 'i1', 'i2'],
+      isolated: ['i0', 'i1', 'i2'],
+      withoutList: ['i0', 'i1', 'i2'],
       seconds: 1_300,
     },
   ])(
     '$name',
-    async ({alone, blind, seconds}) => {
+    async ({isolated, withoutList, seconds}) => {
       const fleet = new MemberFleet(ids, engines, timings, 3);
       await fleet.run(60 * MILLISECONDS_PER_SECOND);
-      alone.forEach(id => fleet.groups.set(id, 1));
-      blind.forEach(instance =>
+      isolated.forEach(id => fleet.groups.set(id, 1));
+      withoutList.forEach(instance =>
         fleet.platform.addFault({kind: 'down'}, {instance}),
       );
       fleet.list(['e0'], 'leaving');
       await fleet.run(seconds * MILLISECONDS_PER_SECOND);
       expect(fleet.shownState('i0', 'e0')).toBe(
-        blind.length > 0 ? 'live' : 'leaving',
+        withoutList.length > 0 ? 'live' : 'leaving',
       );
       fleet.groups.clear();
       fleet.platform.clearFaults();
       await fleet.run(30 * MILLISECONDS_PER_SECOND);
-      expect(alone.map(id => fleet.shownState(id, 'e0'))).toEqual(
-        alone.map(() => 'leaving'),
+      expect(isolated.map(id => fleet.shownState(id, 'e0'))).toEqual(
+        isolated.map(() => 'leaving'),
       );
     },
     60_000,
@@ -195,10 +196,10 @@
       }
       for (const at of ids) {
         const key = `${splitAt}/${fleet.groups.get(at) ?? 0}/${member}`;
-        const waited = now(fleet) - (leftAt.get(key) ?? Infinity);
+        const elapsed = now(fleet) - (leftAt.get(key) ?? Infinity);
         const isLate =
-          fleet.shownState(at, member) === 'live' && waited > limit;
-        expect(isLate ? {at, member, waited} : undefined).toBeUndefined();
+          fleet.shownState(at, member) === 'live' && elapsed > limit;
+        expect(isLate ? {at, member, elapsed} : undefined).toBeUndefined();
       }
     }
   }
--- a/src/programs/control/test/peerNetwork.ts
+++ b/src/programs/control/test/peerNetwork.ts
@@ -75,8 +75,8 @@
   ): Promise<Result<T, PeerError>> {
     await this.network.delay();
     const to = address.split(':')[0] ?? '';
-    const isJoined = this.network.canReach(this.from, to);
-    const responder = isJoined ? this.network.responderOf(to) : undefined;
+    const isReachable = this.network.canReach(this.from, to);
+    const responder = isReachable ? this.network.responderOf(to) : undefined;
     if (responder === undefined || this.network.losesCall()) {
       return failure({kind: 'unreachable', detail: `${address} is cut off`});
     }
--- a/src/programs/redwing/test/redwing.test.ts
+++ b/src/programs/redwing/test/redwing.test.ts
@@ -300,17 +300,20 @@
   });
 
   it('uses the next address when one refuses connections', async () => {
-    const gone = new ScriptedApi({});
-    const goneAddress = await gone.listen();
-    gone.close();
+    const closedApi = new ScriptedApi({});
+    const closedAddress = await closedApi.listen();
+    closedApi.close();
     const api = new ScriptedApi(configurationScript);
     const address = await api.listen();
-    const result = await run(['class', 'list'], [goneAddress, address]);
-    const alone = await run(['class', 'list'], [goneAddress]);
+    const result = await run(['class', 'list'], [closedAddress, address]);
+    const resultWithoutOpenAddress = await run(
+      ['class', 'list'],
+      [closedAddress],
+    );
     api.close();
     expect(result.exitCode).toBe(exitCodes.done);
     expect(api.received[0].authorization).toBe(`Bearer ${OPERATOR_KEY}`);
-    expect(alone.exitCode).toBe(exitCodes.unavailable);
+    expect(resultWithoutOpenAddress.exitCode).toBe(exitCodes.unavailable);
   });
 
   it('reports all findings of a change file together', async () => {
--- a/src/programs/redwing/test/scriptedApi.ts
+++ b/src/programs/redwing/test/scriptedApi.ts
@@ -23,7 +23,7 @@
 
   constructor(private readonly script: Script) {
     this.server = createServer((request, response) => {
-      void this.answer(request, response);
+      void this.respond(request, response);
     });
   }
 
@@ -40,7 +40,7 @@
     this.server.closeAllConnections();
   }
 
-  private async answer(
+  private async respond(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -54,7 +54,9 @@
     const body: unknown = text === '' ? undefined : JSON.parse(text);
     this.received.push({call, body, authorization});
     const responses = this.script[call] ?? [{status: 404, body: {}}];
-    const count = this.received.filter(one => one.call === call).length;
+    const count = this.received.filter(
+      received => received.call === call,
+    ).length;
     const scripted = responses[Math.min(count, responses.length) - 1];
     if (scripted === 'cut') {
       request.socket.destroy();
