--- a/src/features/callers/test/callerFakes.ts
+++ b/src/features/callers/test/callerFakes.ts
@@ -124,7 +124,7 @@
 export class FakeClaims extends ClaimService {
   decision: ClaimDecision = {kind: 'granted'};
   outcome: RequestOutcome | undefined;
-  surelyNotRun = false;
+  provenNotRun = false;
   lookUps = 0;
   pendingLookUp: Promise<void> | undefined;
   readonly claimed: string[] = [];
@@ -153,7 +153,7 @@
   }
 
   override isProvenNotRun(): boolean {
-    return this.surelyNotRun;
+    return this.provenNotRun;
   }
 
   override issueGrant(): string {
--- a/src/features/callers/test/callerServer.test.ts
+++ b/src/features/callers/test/callerServer.test.ts
@@ -638,13 +638,13 @@
   });
 
   test.each([
-    {headers: query, surelyNotRun: false, executed: 'no'},
-    {headers: order, surelyNotRun: false, executed: 'unknown'},
-    {headers: order, surelyNotRun: true, executed: 'no'},
+    {headers: query, provenNotRun: false, executed: 'no'},
+    {headers: order, provenNotRun: false, executed: 'unknown'},
+    {headers: order, provenNotRun: true, executed: 'no'},
   ])(
     'a refusal before the claim reports executed: $executed',
-    async ({headers, surelyNotRun, executed}) => {
-      fixture.claims.surelyNotRun = surelyNotRun;
+    async ({headers, provenNotRun, executed}) => {
+      fixture.claims.provenNotRun = provenNotRun;
       const releaseSlots = await occupyAllSlots();
       const responses = [await fixture.send(chatPath, headers, chatBody())];
       const serving = fixture.views.current!;
--- a/src/features/claims/test/claimProperties.test.ts
+++ b/src/features/claims/test/claimProperties.test.ts
@@ -37,7 +37,11 @@
   | {readonly kind: 'advance'; readonly milliseconds: number}
   | {readonly kind: 'pause' | 'resume' | 'restart'; readonly slot: number}
   | {readonly kind: 'down'; readonly milliseconds: number}
-  | {readonly kind: 'lost'; readonly effect: boolean; readonly times: number}
+  | {
+      readonly kind: 'lost';
+      readonly takesEffect: boolean;
+      readonly times: number;
+    }
   | {readonly kind: 'slow'; readonly milliseconds: number};
 
 const slot = fc.nat(SLOTS - 1);
@@ -86,7 +90,7 @@
     weight: 3,
     arbitrary: fc.record({
       kind: fc.constant('lost' as const),
-      effect: fc.boolean(),
+      takesEffect: fc.boolean(),
       times: fc.integer({min: 1, max: 6}),
     }),
   },
@@ -175,7 +179,7 @@
       return simulation.platform.clearFaults();
     case 'lost':
       return simulation.addTableFault(
-        {kind: each.effect ? 'answerLost' : 'requestLost'},
+        {kind: each.takesEffect ? 'answerLost' : 'requestLost'},
         each.times,
       );
     case 'slow':
--- a/src/programs/control/memberTracker.ts
+++ b/src/programs/control/memberTracker.ts
@@ -62,7 +62,9 @@
   /** Reads the list if a read is due; called once per minimum interval. */
   async readIfDue(token: CancellationToken): Promise<void> {
     const {state, gossip, clock, metrics} = this.dependencies;
-    if (!this.scheduler.isDue(state.countListReaders(this.silenceMilliseconds))) {
+    if (
+      !this.scheduler.isDue(state.countListReaders(this.silenceMilliseconds))
+    ) {
       return;
     }
     const reading = await withDeadline(
--- a/test/prove/faults.ts
+++ b/test/prove/faults.ts
@@ -433,23 +433,23 @@
   random: RandomSource,
   context: FaultContext,
 ): InjectedFault {
-  const lost = faultFactories['platform']!['tableAnswerLost']!(
+  const lostResponseFault = faultFactories['platform']!['tableAnswerLost']!(
     system,
     random,
     context,
   );
-  const racing = racingOperators(system, random, context);
+  const operatorFault = racingOperators(system, random, context);
   return {
-    ...racing,
+    ...operatorFault,
     name: 'racingOperatorsAnswerLost',
     isHarmlessToCallers: false,
     inject: async () => {
-      await lost.inject();
-      await racing.inject();
+      await lostResponseFault.inject();
+      await operatorFault.inject();
     },
     clear: async () => {
-      await lost.clear();
-      await racing.clear();
+      await lostResponseFault.clear();
+      await operatorFault.clear();
     },
   };
 }
