--- a/src/features/callers/test/callerServer.test.ts
+++ b/src/features/callers/test/callerServer.test.ts
@@ -353,7 +353,7 @@
   outcome,
 });
 
-const heldAt = (
+const heldElsewhereAt = (
   incarnation: string,
   outcome?: RequestOutcome,
 ): ClaimDecision => ({
@@ -407,19 +407,19 @@
   [
     'a key held by a known instance is redirected to it',
     421,
-    heldAt('b-1'),
+    heldElsewhereAt('b-1'),
     failed('heldElsewhere', 'unknown', {addresses: ['b:80']}),
   ],
   [
     'a key held by an unknown instance is refused',
     503,
-    heldAt('z-1'),
+    heldElsewhereAt('z-1'),
     failed('heldElsewhere', 'unknown', {addresses: []}),
   ],
   [
     'a key held elsewhere with a known outcome replays its reply',
     200,
-    heldAt('b-1', completed),
+    heldElsewhereAt('b-1', completed),
     first,
   ],
   [
@@ -548,7 +548,10 @@
 
   test('entrypoints include this instance as soon as it accepts work, before the view says so', async () => {
     const view = fixture.views.current!;
-    const instances = view.instances.map(one => ({...one, ready: false}));
+    const instances = view.instances.map(instance => ({
+      ...instance,
+      ready: false,
+    }));
     fixture.views.current = {...view, instances};
     const response = await fixture.send('/v1/entrypoints');
     expect(await response.json()).toMatchObject({addresses: ['a:80']});
@@ -635,24 +638,26 @@
   });
 
   test.each([
-    {headers: query, surelyNotRun: false, executed: 'no'},
-    {headers: order, surelyNotRun: false, executed: 'unknown'},
-    {headers: order, surelyNotRun: true, executed: 'no'},
+    {headers: query, provenNotRun: false, executed: 'no'},
+    {headers: order, provenNotRun: false, executed: 'unknown'},
+    {headers: order, provenNotRun: true, executed: 'no'},
   ])(
     'a refusal before the claim reports executed: $executed',
-    async ({headers, surelyNotRun, executed}) => {
-      fixture.claims.surelyNotRun = surelyNotRun;
+    async ({headers, provenNotRun, executed}) => {
+      fixture.claims.provenNotRun = provenNotRun;
       const releaseSlots = await occupyAllSlots();
-      const answers = [await fixture.send(chatPath, headers, chatBody())];
+      const responses = [await fixture.send(chatPath, headers, chatBody())];
       const serving = fixture.views.current!;
       fixture.views.current = {
         ...serving,
         standing: {kind: 'cutOff', sinceMilliseconds: 0},
       };
-      answers.push(await fixture.send(chatPath, headers, chatBody()));
+      responses.push(await fixture.send(chatPath, headers, chatBody()));
       fixture.views.current = {...serving, standing: {kind: 'leaving'}};
-      answers.push(await fixture.send(chatPath, headers, chatBody()));
-      const bodies = await Promise.all(answers.map(answer => answer.json()));
+      responses.push(await fixture.send(chatPath, headers, chatBody()));
+      const bodies = await Promise.all(
+        responses.map(response => response.json()),
+      );
       expect(bodies).toMatchObject(
         ['cannotMeetTarget', 'cutOff', 'shuttingDown'].map(kind => ({
           error: {kind, executed},
@@ -709,9 +714,9 @@
 );
 
 test('lookups over the limit of concurrent lookups are refused', async () => {
-  let answer = () => undefined as void;
+  let finishLookUp = () => undefined as void;
   fixture.claims.pendingLookUp = new Promise(resolve => {
-    answer = resolve;
+    finishLookUp = resolve;
   });
   fixture.claims.outcome = {kind: 'running'};
   const held = ['a', 'b'].map(key => fixture.send(`/v1/requests/${key}`));
@@ -721,7 +726,7 @@
   expect(await refused.json()).toMatchObject({
     error: {kind: 'cannotMeetTarget', executed: 'unknown'},
   });
-  answer();
+  finishLookUp();
   const statuses = (await Promise.all(held)).map(({status}) => status);
   expect(statuses).toEqual([200, 200]);
   expect((await fixture.send('/v1/requests/c')).status).toBe(200);
--- a/src/features/claims/test/claimService.test.ts
+++ b/src/features/claims/test/claimService.test.ts
@@ -67,7 +67,7 @@
   return {kind: 'duplicate', outcome};
 }
 
-function heldWith(outcome: RequestOutcome) {
+function heldElsewhereWith(outcome: RequestOutcome) {
   return {kind: 'heldElsewhere', outcome};
 }
 
@@ -122,7 +122,9 @@
     expect(await claim(simulation, 0, key)).toEqual({kind: 'granted'});
     simulation.slots[0]!.service.complete(ACCOUNT, key, completed);
     expect(await claim(simulation, 0, key)).toEqual(duplicateOf(completed));
-    expect(await claim(simulation, 1, key)).toMatchObject(heldWith(completed));
+    expect(await claim(simulation, 1, key)).toMatchObject(
+      heldElsewhereWith(completed),
+    );
   });
 
   test('of a terminated incarnation have the recorded outcome, else unknown', async () => {
@@ -137,10 +139,10 @@
     await simulation.advance(200);
     simulation.restart(simulation.slots[0]!);
     expect(await claim(simulation, 1, recorded!)).toMatchObject(
-      heldWith(completed),
+      heldElsewhereWith(completed),
     );
     expect(await claim(simulation, 1, unrecorded!)).toMatchObject(
-      heldWith({kind: 'unknown'}),
+      heldElsewhereWith({kind: 'unknown'}),
     );
   });
 
@@ -429,10 +431,16 @@
     const {table} = platform.servicesFor();
     const limits = {queueCharacters: 10, aboveInstances: 1};
     const commit = {...testSettings.commit, ...limits};
-    const direct = new GroupCommitter(table, clock, metrics, commit, () => 1);
+    const committer = new GroupCommitter(
+      table,
+      clock,
+      metrics,
+      commit,
+      () => 1,
+    );
     const writer =
       kind === 'committer'
-        ? direct
+        ? committer
         : new GatheringWriter({
             // Receives rows that exceed the queue, and accepts none.
             directWriter: new GroupCommitter(
@@ -535,10 +543,10 @@
     gather,
   });
   const requests = requestsPerSecond * 2;
-  const answers: Array<Promise<unknown>> = [];
+  const submissions: Array<Promise<unknown>> = [];
   for (let index = 0; index < requests; index++) {
     const slot = simulation.slots[index % instances]!;
-    answers.push(
+    submissions.push(
       simulation.submit(slot, `order-${index}`, 40, 5000, completed),
     );
     if (index % Math.ceil(requestsPerSecond / 50) === 0) {
@@ -546,8 +554,8 @@
     }
   }
   await simulation.advance(600);
-  const granted = await Promise.all(answers);
-  expect(granted.every(answer => answer === 'yes')).toBe(true);
+  const statuses = await Promise.all(submissions);
+  expect(statuses.every(status => status === 'yes')).toBe(true);
   return simulation.platform.counts.writes / requests;
 }
 
--- a/src/features/peers/common/peerResponder.ts
+++ b/src/features/peers/common/peerResponder.ts
@@ -25,15 +25,17 @@
 
 /** Responds to peers. Requests carry no ages: the receiver could not tell how long a request was delayed. */
 export class PeerResponder extends DisposableOwner {
-  private readonly learned = this.register(new Emitter<void>());
-  private readonly membersNoticed = this.register(new Emitter<MembersNotice>());
+  private readonly learnedEmitter = this.register(new Emitter<void>());
+  private readonly membersNoticeEmitter = this.register(
+    new Emitter<MembersNotice>(),
+  );
   private readonly recordChangedAt = new Map<string, number>();
 
   /** Fires when a request or notice of a peer may have changed the local state. */
-  readonly onDidLearn = this.learned.event;
+  readonly onDidLearn = this.learnedEmitter.event;
 
   /** Fires when a peer announces that its member list changed. */
-  readonly onDidReceiveMembersNotice = this.membersNoticed.event;
+  readonly onDidReceiveMembersNotice = this.membersNoticeEmitter.event;
 
   constructor(private readonly state: LocalState) {
     super();
@@ -57,8 +59,8 @@
       },
       roster: this.state.roster,
       statuses: this.state.statuses.encode(this.state.directory.ids, now),
-      ...(hasSameMembers ? {} : this.members(now)),
-      ...this.missing(request.revision),
+      ...(hasSameMembers ? {} : this.memberDifferences(now)),
+      ...this.revisionsAfter(request.revision),
       ...(records.length > 0 ? {records} : {}),
     };
   }
@@ -68,9 +70,12 @@
     this.state.replica.observeRevision(notice.revision);
     this.state.replica.applyRevisions(notice.revisions ?? []);
     this.state.refreshOwnStatus();
-    this.learned.fire();
+    this.learnedEmitter.fire();
     if (notice.members !== undefined) {
-      this.membersNoticed.fire({id: notice.record.id, members: notice.members});
+      this.membersNoticeEmitter.fire({
+        id: notice.record.id,
+        members: notice.members,
+      });
     }
     return {revision: this.state.replica.knownRevision};
   }
@@ -109,16 +114,16 @@
     const now = this.state.clock.monotonicMilliseconds();
     if (this.state.directory.updateRecord(record, now)) {
       this.markRecordChanged(record.id);
-      this.learned.fire();
+      this.learnedEmitter.fire();
     }
   }
 
-  private members(
+  private memberDifferences(
     now: number,
   ): Pick<ExchangeResponse, 'members' | 'memberChanges'> {
-    const {memberList: book} = this.state;
-    const memberChanges = book.recentChanges(now);
-    const members = book.fingerprint;
+    const {memberList} = this.state;
+    const memberChanges = memberList.recentChanges(now);
+    const members = memberList.fingerprint;
     return memberChanges.length > 0 ? {members, memberChanges} : {members};
   }
 
@@ -143,16 +148,16 @@
     );
   }
 
-  private missing(
+  private revisionsAfter(
     revision: number,
   ): Pick<ExchangeResponse, 'revisions' | 'snapshotNeeded'> {
     const revisions = this.state.replica.revisionsAfter(revision);
     if (revisions?.length === 0) {
       return {};
     }
-    const fits =
+    const fitsInResponse =
       revisions !== undefined &&
       JSON.stringify(revisions).length <= REVISION_RESPONSE_CHARACTERS;
-    return fits ? {revisions} : {snapshotNeeded: true};
+    return fitsInResponse ? {revisions} : {snapshotNeeded: true};
   }
 }
--- a/src/infrastructure/rpc/test/rpc.test.ts
+++ b/src/infrastructure/rpc/test/rpc.test.ts
@@ -76,63 +76,70 @@
 
 describe('calls', () => {
   type Call = (client: RpcClient<typeof router>) => Promise<unknown>;
-  const good: Array<{name: string; call: Call; answer: unknown}> = [
+  const successfulCalls: Array<{name: string; call: Call; result: unknown}> = [
     {
       name: 'a mutation',
       call: ({call}) => call.words.echo.mutate('héllo'),
-      answer: {said: 'héllo'},
+      result: {said: 'héllo'},
     },
     {
       name: 'a query',
       call: ({call}) => call.words.find.query('it'),
-      answer: 'found it',
+      result: 'found it',
     },
     {
       name: 'a mutation without input and result',
       call: ({call}) => call.words.nothing.mutate(),
-      answer: undefined,
+      result: undefined,
     },
     {
       name: 'a query with a long input',
       call: ({call}) => call.words.find.query('x'.repeat(1_000_000)),
-      answer: `found ${'x'.repeat(1_000_000)}`,
+      result: `found ${'x'.repeat(1_000_000)}`,
     },
   ];
-  test.each(good)('$name returns the result', async ({call, answer}) => {
-    expect(await call(connect())).toEqual(answer);
-  });
-
-  const bad: Array<{name: string; call: Call; key?: string; message: RegExp}> =
-    [
-      {
-        name: 'a call with a wrong key',
-        call: ({call}) => call.words.echo.mutate('x'),
-        key: 'wrong',
-        message: /peer key missing or wrong/,
-      },
-      {
-        name: 'a call of a procedure that throws',
-        call: ({call}) => call.words.fail.mutate(),
-        message: /as told/,
-      },
-      {
-        name: 'a call with an invalid input',
-        call: ({call}) => call.words.echo.mutate(7 as never),
-        message: /expected a string/,
-      },
-      {
-        name: 'a call of an unknown procedure',
-        call: ({call}) =>
-          (call.words as never as MissingProcedure).missing.mutate('x'),
-        message: /No "mutation"-procedure/,
-      },
-      {
-        name: 'a call with a body that is too large',
-        call: ({call}) => call.words.echo.mutate('x'.repeat(5_000_000)),
-        message: /larger than|socket|EPIPE|ECONNRESET/,
-      },
-    ];
-  test.each(bad)('$name fails', async ({call, key, message}) => {
+  test.each(successfulCalls)(
+    '$name returns the result',
+    async ({call, result}) => {
+      expect(await call(connect())).toEqual(result);
+    },
+  );
+
+  const failingCalls: Array<{
+    name: string;
+    call: Call;
+    key?: string;
+    message: RegExp;
+  }> = [
+    {
+      name: 'a call with a wrong key',
+      call: ({call}) => call.words.echo.mutate('x'),
+      key: 'wrong',
+      message: /peer key missing or wrong/,
+    },
+    {
+      name: 'a call of a procedure that throws',
+      call: ({call}) => call.words.fail.mutate(),
+      message: /as told/,
+    },
+    {
+      name: 'a call with an invalid input',
+      call: ({call}) => call.words.echo.mutate(7 as never),
+      message: /expected a string/,
+    },
+    {
+      name: 'a call of an unknown procedure',
+      call: ({call}) =>
+        (call.words as never as MissingProcedure).missing.mutate('x'),
+      message: /No "mutation"-procedure/,
+    },
+    {
+      name: 'a call with a body that is too large',
+      call: ({call}) => call.words.echo.mutate('x'.repeat(5_000_000)),
+      message: /larger than|socket|EPIPE|ECONNRESET/,
+    },
+  ];
+  test.each(failingCalls)('$name fails', async ({call, key, message}) => {
     const error = await call(connect(key)).then(
       () => undefined,
       (cause: Error) => cause,
--- a/src/programs/control/memberTracker.ts
+++ b/src/programs/control/memberTracker.ts
@@ -20,7 +20,7 @@
 export interface MemberTrackerDependencies {
   readonly list: MembershipList;
   readonly state: LocalState;
-  readonly spreader: MemberGossip;
+  readonly gossip: MemberGossip;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -30,39 +30,41 @@
 /** Keeps the membership list up to date. The instances share the reads and notify each other of changes. */
 export class MemberTracker extends DisposableOwner {
   private readonly changeEmitter = this.register(new Emitter<void>());
-  private readonly plan: ListReadScheduler;
+  private readonly scheduler: ListReadScheduler;
   private readonly reader: ListReader;
 
   /** Fires after the list of members changed. */
   readonly onDidChange = this.changeEmitter.event;
 
-  /** @param silenceMilliseconds after this time without a response from any peer, the instance reads on its own. */
+  /** @param silenceMilliseconds time without a response from any peer after which the instance reads on its own. */
   constructor(
     private readonly dependencies: MemberTrackerDependencies,
     limits: ListReadLimits,
     private readonly silenceMilliseconds: number,
   ) {
     super();
-    const {list, state, spreader, clock, random, logger} = dependencies;
-    this.plan = new ListReadScheduler(clock, random, limits);
+    const {list, state, gossip, clock, random, logger} = dependencies;
+    this.scheduler = new ListReadScheduler(clock, random, limits);
     this.reader = new ListReader(
       list,
       state.memberList,
-      this.plan,
+      this.scheduler,
       clock,
       logger,
       id => state.isRecentlySeen(id),
     );
-    this.register(spreader.onDidLearnMembers(() => this.changeEmitter.fire()));
+    this.register(gossip.onDidLearnMembers(() => this.changeEmitter.fire()));
     this.register(
-      spreader.onDidFailToConverge(() => this.plan.requestRepairRead()),
+      gossip.onDidFailToConverge(() => this.scheduler.requestRepairRead()),
     );
   }
 
-  /** Reads the list if a read is due; called once in each shortest period. */
+  /** Reads the list if a read is due; called once per minimum interval. */
   async readIfDue(token: CancellationToken): Promise<void> {
-    const {state, spreader, clock, metrics} = this.dependencies;
-    if (!this.plan.isDue(state.countListReaders(this.silenceMilliseconds))) {
+    const {state, gossip, clock, metrics} = this.dependencies;
+    if (
+      !this.scheduler.isDue(state.countListReaders(this.silenceMilliseconds))
+    ) {
       return;
     }
     const reading = await withDeadline(
@@ -80,7 +82,7 @@
     state.handleMembersChanged();
     this.changeEmitter.fire();
     if (reading.value.isNewToPeers) {
-      spreader.announce();
+      gossip.announce();
     }
   }
 }
--- a/src/programs/control/test/peerNetwork.ts
+++ b/src/programs/control/test/peerNetwork.ts
@@ -75,13 +75,13 @@
   ): Promise<Result<T, PeerError>> {
     await this.network.delay();
     const to = address.split(':')[0] ?? '';
-    const isJoined = this.network.canReach(this.from, to);
-    const responder = isJoined ? this.network.responderOf(to) : undefined;
+    const isReachable = this.network.canReach(this.from, to);
+    const responder = isReachable ? this.network.responderOf(to) : undefined;
     if (responder === undefined || this.network.losesCall()) {
       return failure({kind: 'unreachable', detail: `${address} is cut off`});
     }
-    const answer = JSON.parse(JSON.stringify(run(responder))) as T;
+    const response = JSON.parse(JSON.stringify(run(responder))) as T;
     await this.network.delay();
-    return success(answer);
+    return success(response);
   }
 }
