--- a/src/features/claims/test/claimProperties.test.ts
+++ b/src/features/claims/test/claimProperties.test.ts
@@ -44,10 +44,10 @@
     }
   | {readonly kind: 'slow'; readonly milliseconds: number};
 
-const slot = fc.nat(SLOTS - 1);
-const submit = fc.record({
+const slotArbitrary = fc.nat(SLOTS - 1);
+const submitArbitrary = fc.record({
   kind: fc.constant('submit' as const),
-  slot,
+  slot: slotArbitrary,
   key: fc.nat(4),
   dispatchDelay: fc.constantFrom(0, 20, 300),
   deadline: fc.constantFrom(60, 1000),
@@ -59,8 +59,8 @@
     'a.y',
   ),
 });
-const action: fc.Arbitrary<Action> = fc.oneof(
-  {weight: 8, arbitrary: submit},
+const actionArbitrary: fc.Arbitrary<Action> = fc.oneof(
+  {weight: 8, arbitrary: submitArbitrary},
   {
     weight: 4,
     arbitrary: fc.record({
@@ -76,7 +76,7 @@
         'resume' as const,
         'restart' as const,
       ),
-      slot,
+      slot: slotArbitrary,
     }),
   },
   {
@@ -109,24 +109,24 @@
   settings = testSettings,
 ): Promise<ClaimSimulation> {
   const simulation = new ClaimSimulation(SLOTS, mutation, settings);
-  const grants = simulation.slots.map(each => each.service.issueGrant(ACCOUNT));
+  const grants = simulation.slots.map(slot => slot.service.issueGrant(ACCOUNT));
   // Two plain keys, and one key bound to the first incarnation of each slot.
   const keys = ['plain-0', 'plain-1', ...grants.map(grant => `${grant}.k`)];
   const pending: Array<Promise<unknown>> = [];
-  for (const each of actions) {
-    await perform(simulation, each, keys, pending);
+  for (const action of actions) {
+    await perform(simulation, action, keys, pending);
   }
   simulation.platform.clearFaults();
-  for (const each of simulation.slots) {
-    await simulation.resume(each);
+  for (const slot of simulation.slots) {
+    await simulation.resume(slot);
   }
   // Submits all keys at all instances, soon and after the retention of bound keys, to check what each reports.
   for (const wait of [600, 6000]) {
     await simulation.advance(wait);
     for (const key of keys) {
-      for (const each of simulation.slots) {
+      for (const slot of simulation.slots) {
         pending.push(
-          simulation.submit(each, key, 0, 1000, completed, COMMON_FINGERPRINT),
+          simulation.submit(slot, key, 0, 1000, completed, COMMON_FINGERPRINT),
         );
       }
     }
@@ -138,20 +138,20 @@
 
 async function perform(
   simulation: ClaimSimulation,
-  each: Action,
+  action: Action,
   keys: readonly string[],
   pending: Array<Promise<unknown>>,
 ): Promise<void> {
-  switch (each.kind) {
+  switch (action.kind) {
     case 'submit': {
-      const target = simulation.slots[each.slot]!;
+      const target = simulation.slots[action.slot]!;
       if (target.signalResume === undefined) {
         const {
           dispatchDelay,
           deadline,
           fingerprint = COMMON_FINGERPRINT,
-        } = each;
-        const key = keys[each.key]!;
+        } = action;
+        const key = keys[action.key]!;
         pending.push(
           simulation.submit(
             target,
@@ -166,25 +166,25 @@
       return;
     }
     case 'advance':
-      return simulation.advance(each.milliseconds);
+      return simulation.advance(action.milliseconds);
     case 'pause':
-      return simulation.pause(simulation.slots[each.slot]!);
+      return simulation.pause(simulation.slots[action.slot]!);
     case 'resume':
-      return simulation.resume(simulation.slots[each.slot]!);
+      return simulation.resume(simulation.slots[action.slot]!);
     case 'restart':
-      return simulation.restart(simulation.slots[each.slot]!);
+      return simulation.restart(simulation.slots[action.slot]!);
     case 'down':
       simulation.addTableFault({kind: 'down'}, Number.POSITIVE_INFINITY);
-      await simulation.advance(each.milliseconds);
+      await simulation.advance(action.milliseconds);
       return simulation.platform.clearFaults();
     case 'lost':
       return simulation.addTableFault(
-        {kind: each.takesEffect ? 'answerLost' : 'requestLost'},
-        each.times,
+        {kind: action.takesEffect ? 'answerLost' : 'requestLost'},
+        action.times,
       );
     case 'slow':
       return simulation.addTableFault(
-        {kind: 'slow', milliseconds: each.milliseconds},
+        {kind: 'slow', milliseconds: action.milliseconds},
         2,
       );
   }
@@ -192,7 +192,7 @@
 
 function property(mutation: Mutation, settings = testSettings) {
   return fc.asyncProperty(
-    fc.array(action, {minLength: 5, maxLength: 40}),
+    fc.array(actionArbitrary, {minLength: 5, maxLength: 40}),
     async actions => {
       const simulation = await run(actions, mutation, settings);
       return simulation.violations.length === 0;
@@ -229,7 +229,7 @@
   const seen = new Set<string>();
   await fc.assert(
     fc.asyncProperty(
-      fc.array(action, {minLength: 20, maxLength: 40}),
+      fc.array(actionArbitrary, {minLength: 20, maxLength: 40}),
       async actions => {
         const simulation = await run(actions, {});
         simulation.reportedStatuses.forEach(status => seen.add(status));
--- a/src/features/claims/test/claimService.test.ts
+++ b/src/features/claims/test/claimService.test.ts
@@ -297,25 +297,25 @@
   {key: 'bound', before: undefined, after: completed},
 ])(
   'a $key key is looked up at another instance before, during and after its run',
-  async each => {
+  async testCase => {
     const simulation = newSimulation(2);
     const [first, second] = simulation.slots.map(slot => slot.service);
     const grant = first!.issueGrant(ACCOUNT);
-    const key = each.key === 'bound' ? `${grant}.a` : 'order';
+    const key = testCase.key === 'bound' ? `${grant}.a` : 'order';
     const lookUp = async () => {
       const found = second!.findOutcome(ACCOUNT, key, neverCancelled);
       await simulation.advance(100);
       return found;
     };
-    expect(await lookUp()).toEqual(each.before);
+    expect(await lookUp()).toEqual(testCase.before);
     await claim(simulation, 0, key);
     expect(await lookUp()).toEqual({kind: 'running'});
     first!.complete(ACCOUNT, key, completed);
     await simulation.advance(200);
-    expect(await lookUp()).toEqual(each.after);
+    expect(await lookUp()).toEqual(testCase.after);
     simulation.addTableFault({kind: 'down'}, 99);
     expect((await lookUp())?.kind).toBe(
-      each.key === 'bound' ? 'completed' : 'unknown',
+      testCase.key === 'bound' ? 'completed' : 'unknown',
     );
   },
 );
--- a/src/features/membership/test/listReading.test.ts
+++ b/src/features/membership/test/listReading.test.ts
@@ -39,7 +39,7 @@
       seconds: 21,
     },
     {
-      name: 'within the byte budget for many readers',
+      name: 'within the byte budget for members readers',
       bytes: 560_000,
       readerCount: 1_000,
       seconds: 1_120,
@@ -92,46 +92,46 @@
     {
       name: 'removes one of four members at once',
       reads: ['abc'],
-      heard: '',
+      recentlySeenIds: '',
       remaining: 'abc',
     },
     {
-      name: 'keeps members lacking from one read',
+      name: 'keeps members that one read lacks',
       reads: ['ab12'],
-      heard: '',
+      recentlySeenIds: '',
       remaining: 'abcdefgh12',
     },
     {
-      name: 'removes half lacking from two reads',
+      name: 'removes members that two reads lack',
       reads: ['abcd', 'abcd'],
-      heard: '',
+      recentlySeenIds: '',
       remaining: 'abcd',
     },
     {
-      name: 'keeps members back in the next read',
+      name: 'keeps members that the next read contains again',
       reads: ['', 'abcdefgh'],
-      heard: '',
+      recentlySeenIds: '',
       remaining: 'abcdefgh',
     },
     {
-      name: 'keeps all while one was seen recently',
+      name: 'keeps all members while one of them was seen recently',
       reads: ['', '', ''],
-      heard: 'h',
+      recentlySeenIds: 'h',
       remaining: 'abcdefgh',
     },
     {
-      name: 'removes all if none was seen recently',
+      name: 'removes all members if none was seen recently',
       reads: ['', ''],
-      heard: '',
+      recentlySeenIds: '',
       remaining: '',
     },
     {
-      name: 'keeps halves lacking from one read each',
+      name: 'keeps members that only one of two reads lacks',
       reads: ['abcd', 'efgh'],
-      heard: '',
+      recentlySeenIds: '',
       remaining: 'abcdefgh',
     },
-  ])('$name', async ({name, reads, heard, remaining}) => {
+  ])('$name', async ({name, reads, recentlySeenIds, remaining}) => {
     const clock = new FakeClock();
     const platform = new InMemoryPlatform(clock);
     const memberList = new MergedMemberList();
@@ -146,7 +146,7 @@
       scheduler,
       clock,
       new SilentLogger(),
-      id => heard.includes(id),
+      id => recentlySeenIds.includes(id),
     );
     const first = name.startsWith('removes one of four') ? 'abcd' : 'abcdefgh';
     for (const ids of [first, ...reads]) {
@@ -162,7 +162,7 @@
 describe('MergedMemberList', () => {
   const live = {id: 'a', member: engine('a')};
   const leaving = {id: 'a', member: engine('a', 'leaving')};
-  const gone = {id: 'a'};
+  const removed = {id: 'a'};
 
   /** Each change is paired with its age in seconds. */
   it.each([
@@ -183,7 +183,7 @@
       state: 'live',
     },
     {
-      name: 'prefers leaving within the time error',
+      name: 'prefers the state leaving within the timestamp error',
       changes: [
         [live, 8],
         [leaving, 9],
@@ -193,7 +193,7 @@
     {
       name: 'keeps a newer removal',
       changes: [
-        [gone, 5],
+        [removed, 5],
         [live, 6],
       ],
       state: undefined,
@@ -202,7 +202,7 @@
       name: 'keeps a newer removal of a known member',
       changes: [
         [live, 20],
-        [gone, 5],
+        [removed, 5],
         [leaving, 6],
       ],
       state: undefined,
@@ -210,13 +210,13 @@
     {
       name: 'restores a member that came back',
       changes: [
-        [gone, 9],
+        [removed, 9],
         [live, 4],
       ],
       state: 'live',
     },
     {
-      name: 'ignores observations too old to share',
+      name: 'ignores observations that are too old to be shared',
       changes: [[live, SHARING_MILLISECONDS / 1_000 + 1]],
       state: undefined,
     },
@@ -241,8 +241,10 @@
 
   it('removes old tombstones and bounds their number', () => {
     const memberList = new MergedMemberList();
-    const many = Array.from({length: 6_000}, (_, index) => engine(`x${index}`));
-    memberList.applyList(many, 0, 0, new Set());
+    const members = Array.from({length: 6_000}, (_, index) =>
+      engine(`x${index}`),
+    );
+    memberList.applyList(members, 0, 0, new Set());
     memberList.applyList([], 1, 1, new Set());
     expect(memberList.observationCount).toBeLessThan(5_000);
     memberList.applyList(
--- a/src/features/pipeline/node/pipelineRun.ts
+++ b/src/features/pipeline/node/pipelineRun.ts
@@ -106,7 +106,7 @@
       if (event !== 'reserved' || leaving.length === 0) {
         return event;
       }
-      // The wait for the start can take seconds. Nothing has been sent yet, so the plan is redone without them.
+      // The wait for the start can take seconds. Nothing has been sent yet, so leaving upstreams are replaced.
       excludedUpstreams.push(...leaving);
       reply = await capacity.replan(
         state.reservation!,
--- a/src/features/pipeline/test/pipelineLifecycle.test.ts
+++ b/src/features/pipeline/test/pipelineLifecycle.test.ts
@@ -88,9 +88,9 @@
     while (run.delivered.length === 0) {
       await harness.clock.advanceAsync(1);
     }
-    expect(harness.broker.failures.map(({outcome}) => outcome)).toEqual(
-      Array(3).fill('completed'),
-    );
+    expect(
+      harness.broker.failures.map(observation => observation.outcome),
+    ).toEqual(Array(3).fill('completed'));
     await harness.finish();
     expect(harness.broker.failures).toHaveLength(3);
   });
--- a/src/features/services/common/defaultServiceDispatcher.ts
+++ b/src/features/services/common/defaultServiceDispatcher.ts
@@ -63,7 +63,7 @@
 const TRACKED_SERVICE_LIMIT = 1000;
 
 /**
- * Sends calls to plain services. With `claimPlace: 'dispatcher'`, the key of a call that must not be repeated is claimed
+ * Sends calls to plain services. With `claimOwner: 'dispatcher'`, the key of a call that must not be repeated is claimed
  * right before the first attempt. The handler must not claim it as well, since the second claim would be rejected as a
  * duplicate of the first.
  */
--- a/src/features/services/test/serviceDispatcher.test.ts
+++ b/src/features/services/test/serviceDispatcher.test.ts
@@ -198,12 +198,15 @@
     decision: {kind: 'duplicate', outcome: {kind: 'unknown'}},
     expected: 'duplicate unknown',
   },
-] as const)('nothing is sent if the claim is $decision.kind', async each => {
-  const harness = new ServiceHarness([], 2);
-  harness.claims.decision = each.decision;
-  expect(summary(await dispatch(harness, order))).toBe(each.expected);
-  expect(harness.sent).toBe(0);
-});
+] as const)(
+  'nothing is sent if the claim is $decision.kind',
+  async testCase => {
+    const harness = new ServiceHarness([], 2);
+    harness.claims.decision = testCase.decision;
+    expect(summary(await dispatch(harness, order))).toBe(testCase.expected);
+    expect(harness.sent).toBe(0);
+  },
+);
 
 test.each([
   {request: order, claimed: false},
@@ -211,10 +214,12 @@
   {request: repeatableCall, claimed: false},
 ])(
   'with a claiming handler, the dispatcher claims the key of $request.path: $claimed',
-  async each => {
+  async testCase => {
     const harness = new ServiceHarness([], 2);
-    await harness.dispatcher('handler').dispatch(each.request, neverCancelled);
-    expect(harness.claims.outcomes.size).toBe(each.claimed ? 1 : 0);
+    await harness
+      .dispatcher('handler')
+      .dispatch(testCase.request, neverCancelled);
+    expect(harness.claims.outcomes.size).toBe(testCase.claimed ? 1 : 0);
   },
 );
 
--- a/src/features/services/test/serviceHarness.ts
+++ b/src/features/services/test/serviceHarness.ts
@@ -69,12 +69,12 @@
     this.behaviours = [...behaviours];
   }
 
-  dispatcher(claimPlace: ClaimOwner = 'dispatcher'): DefaultServiceDispatcher {
+  dispatcher(claimOwner: ClaimOwner = 'dispatcher'): DefaultServiceDispatcher {
     return new DefaultServiceDispatcher({
       broker: this.broker(),
       connector: this,
       claims: this.claims,
-      claimOwner: claimPlace,
+      claimOwner,
       configuration: () => ({
         ...emptyConfiguration,
         services: {stock: stockService},
