--- a/src/features/membership/test/listReading.test.ts
+++ b/src/features/membership/test/listReading.test.ts
@@ -39,7 +39,7 @@
       seconds: 21,
     },
     {
-      name: 'within the byte budget for members readers',
+      name: 'within the byte budget for many readers',
       bytes: 560_000,
       readerCount: 1_000,
       seconds: 1_120,
