--- a/measure/account.ts
+++ b/measure/account.ts
@@ -1,30 +1,40 @@
 import {readFileSync} from 'node:fs';
 
-import {accountFor, AccountRow} from './common/requestAccount.js';
+import {summarizeStreams, StreamSummaryRow} from './common/streamSummary.js';
 
-/** Prints why streams of a log were not served in time. */
+/** The `account` command: prints why streams in a log missed their latency targets. */
 
-/** Rows that are printed; the figures hold all of them. */
-const PRINTED_ROWS = 30;
+/** Number of rows printed; the returned summary contains all of them. */
+const PRINTED_ROW_LIMIT = 30;
 
-/** What to account for. */
-export interface AccountOptions {
-  /** The file with the instances' log lines. */
+/** The log to summarize and the targets of its streams. */
+export interface LogSummaryOptions {
+  /** Path of the file with the log lines of all instances. */
   readonly log: string;
-  readonly firstMilliseconds: number;
-  readonly pauseMilliseconds: number;
+  /** Target for the time to the first event. */
+  readonly firstEventMilliseconds: number;
+  /** Target for the longest pause between events. */
+  readonly longestPauseMilliseconds: number;
 }
 
-function format({outcome, late, cause, count, examples}: AccountRow): string {
+function formatRow({
+  outcome,
+  late,
+  cause,
+  count,
+  examples,
+}: StreamSummaryRow): string {
   const lateness = late === undefined ? '' : ` (${late} too long)`;
   return `${String(count).padStart(6)}  ${outcome}${lateness}; ${cause}; ${examples.join(' ')}`;
 }
 
-/** Reads the log and prints the table. @throws where the file can't be read. */
-export function accountForLog(options: AccountOptions): object {
+/** Reads the log, prints the table and returns the whole summary. @throws when the file can't be read. */
+export function summarizeLog(options: LogSummaryOptions): object {
   const texts = readFileSync(options.log, 'utf8').split('\n');
-  const account = accountFor(texts, options);
+  const account = summarizeStreams(texts, options);
   console.log(`${account.inTime} of ${account.streams} streams in time`);
-  account.rows.slice(0, PRINTED_ROWS).forEach(row => console.log(format(row)));
+  account.rows
+    .slice(0, PRINTED_ROW_LIMIT)
+    .forEach(row => console.log(formatRow(row)));
   return account;
 }
--- a/measure/common/caller.ts
+++ b/measure/common/caller.ts
@@ -1,6 +1,6 @@
 import {Pool} from 'undici';
 
-/** A caller of the router, as measures and failure rounds use it: streams a reply and times its tokens. */
+/** A client of the router, for measurements and fault tests, that streams replies and times their tokens. */
 
 /** One request to make. */
 export interface CallerRequest {
@@ -13,23 +13,24 @@
   readonly deadlineMilliseconds: number | undefined;
 }
 
-/** What a caller saw. */
+/** The result of a request as its caller observed it. */
 export interface CallerOutcome {
+  /** HTTP status; 0 when no response arrived. */
   readonly status: number;
-  /** Whether the whole reply came, with its end mark. */
+  /** Whether the reply was complete, with its end marker. */
   readonly whole: boolean;
   readonly tokens: readonly string[];
   readonly firstTokenMilliseconds: number | undefined;
-  /** Mean time between tokens; undefined with fewer than two. */
+  /** Mean time between tokens; undefined for fewer than two tokens. */
   readonly betweenTokensMilliseconds: number | undefined;
-  /** Monotonic milliseconds at which each token came. */
+  /** Arrival time of each token, in monotonic milliseconds. */
   readonly tokenTimes: readonly number[];
   readonly wholeMilliseconds: number;
-  /** `executed` of a failure body. */
+  /** The `executed` field of an error response. */
   readonly executed: string | undefined;
   readonly errorKind: string | undefined;
   readonly retryAfterMilliseconds: number | undefined;
-  /** Monotonic milliseconds at the end. */
+  /** End of the request, in monotonic milliseconds. */
   readonly endedAt: number;
 }
 
@@ -41,38 +42,38 @@
   };
 }
 
-const DONE_MARK = '[DONE]';
-const CONNECTIONS = 512;
+const END_MARKER = '[DONE]';
+const CONNECTION_LIMIT = 512;
 const TIMEOUT_MILLISECONDS = 30000;
 
-/** Calls one entry address. */
+/** Sends requests to one entry address. */
 export class Caller {
   private readonly pool: Pool;
 
   constructor(readonly address: string) {
-    this.pool = new Pool(`http://${address}`, {connections: CONNECTIONS});
+    this.pool = new Pool(`http://${address}`, {connections: CONNECTION_LIMIT});
   }
 
-  /** Streams one reply to its end; never throws. */
+  /** Streams one reply to its end. Never throws: a failure is part of the outcome. */
   async stream(request: CallerRequest): Promise<CallerOutcome> {
-    const reading = new StreamReading(performance.now());
+    const reader = new StreamReader(performance.now());
     try {
       const response = await this.pool.request({
         method: 'POST',
         path: '/v1/chat/completions',
-        headers: headersOf(request),
-        body: JSON.stringify(bodyOf(request)),
+        headers: createHeaders(request),
+        body: JSON.stringify(createBody(request)),
         headersTimeout: TIMEOUT_MILLISECONDS,
         bodyTimeout: TIMEOUT_MILLISECONDS,
       });
-      reading.status = response.statusCode;
+      reader.status = response.statusCode;
       for await (const chunk of response.body) {
-        reading.take(String(chunk));
+        reader.addText(String(chunk));
       }
     } catch {
-      reading.lost = true;
+      reader.lost = true;
     }
-    return reading.outcome();
+    return reader.outcome();
   }
 
   async close(): Promise<void> {
@@ -80,7 +81,7 @@
   }
 }
 
-function headersOf(request: CallerRequest): Record<string, string> {
+function createHeaders(request: CallerRequest): Record<string, string> {
   const headers: Record<string, string> = {
     'content-type': 'application/json',
     authorization: `Bearer ${request.bearerKey}`,
@@ -97,7 +98,7 @@
   return headers;
 }
 
-function bodyOf(request: CallerRequest): object {
+function createBody(request: CallerRequest): object {
   return {
     model: request.model,
     stream: true,
@@ -106,8 +107,8 @@
   };
 }
 
-/** Collects the events of one reply. */
-class StreamReading {
+/** Parses the server-sent events of one reply. */
+class StreamReader {
   status = 0;
   lost = false;
   private pending = '';
@@ -120,14 +121,14 @@
 
   constructor(private readonly startedAt: number) {}
 
-  take(text: string): void {
+  addText(text: string): void {
     this.pending += text;
     if (this.status !== 200) {
       return;
     }
     let end = this.pending.indexOf('\n\n');
     while (end >= 0) {
-      this.takeEvent(this.pending.slice(0, end));
+      this.handleEvent(this.pending.slice(0, end));
       this.pending = this.pending.slice(end + 2);
       end = this.pending.indexOf('\n\n');
     }
@@ -142,7 +143,7 @@
       tokens: this.tokens,
       firstTokenMilliseconds:
         this.firstAt === undefined ? undefined : this.firstAt - this.startedAt,
-      betweenTokensMilliseconds: this.betweenTokens(),
+      betweenTokensMilliseconds: this.meanTokenInterval(),
       tokenTimes: this.tokenTimes,
       wholeMilliseconds: endedAt - this.startedAt,
       executed: error?.executed,
@@ -152,29 +153,29 @@
     };
   }
 
-  private betweenTokens(): number | undefined {
+  private meanTokenInterval(): number | undefined {
     if (this.firstAt === undefined || this.tokens.length < 2) {
       return undefined;
     }
     return (this.lastAt - this.firstAt) / (this.tokens.length - 1);
   }
 
-  private takeEvent(event: string): void {
+  private handleEvent(event: string): void {
     const data = event
       .split('\n')
       .filter(line => line.startsWith('data:'))
       .map(line => line.slice('data:'.length).trim())
       .join('');
-    if (data === DONE_MARK) {
+    if (data === END_MARKER) {
       this.done = true;
       return;
     }
     if (data !== '') {
-      this.takeData(JSON.parse(data) as ChunkBody & FailureBody);
+      this.handleChunk(JSON.parse(data) as ChunkBody & FailureBody);
     }
   }
 
-  private takeData(body: ChunkBody & FailureBody): void {
+  private handleChunk(body: ChunkBody & FailureBody): void {
     if (body.error) {
       this.failure = body;
       return;
--- a/measure/common/claimLoad.ts
+++ b/measure/common/claimLoad.ts
@@ -4,23 +4,23 @@
 import {hashKey} from '../../test/support/launcher.js';
 import {sleep} from '../../test/support/sleep.js';
 import {Caller} from './caller.js';
-import {runRound} from './closedLoop.js';
+import {runClosedLoop} from './closedLoop.js';
 import {MeasuredSystem} from './measuredSystem.js';
 
-/** Calls to the platform's table for work that may not be repeated. */
+/** Measures the calls to the platform's table that non-repeatable requests cause. */
 
-/** Calls for one way of making keys at so many instances. */
+/** Table calls for one number of instances and one form of idempotency key. */
 export interface ClaimReport {
   readonly instances: number;
-  /** Whether keys began with a grant of the instance that was asked. */
+  /** Whether each idempotency key started with a grant of the instance that received the request. */
   readonly withGrants: boolean;
   readonly requestsPerSecond: number;
   readonly completed: number;
   readonly failed: number;
-  /** Calls to the table; one call may carry many rows. */
+  /** Calls to the table; one call can carry many rows. */
   readonly tableWritesPerRequest: number;
   readonly tableReadsPerRequest: number;
-  /** Calls refused by the table's limit. */
+  /** Calls that the table's rate limit refused. */
   readonly refused: number;
 }
 
@@ -28,10 +28,10 @@
 const MODEL = 'assistant';
 const OUTPUT_TOKENS = 2;
 const CONCURRENCY = 24;
-const KEEPING_MILLISECONDS = 400;
+const RECORDING_DELAY_MILLISECONDS = 400;
 const ACCOUNT = {name: 'claimer', bearerKey: 'key-claimer'};
 
-/** Runs the same requests at one, two and four instances, with plain keys and with grants. */
+/** Runs the same load on one, two and four instances, with plain keys and with keys that contain a grant. */
 export async function measureClaims(
   measured: MeasuredSystem,
   options: {readonly seed: number; readonly seconds: number},
@@ -40,7 +40,9 @@
   const reports: ClaimReport[] = [];
   for (const withGrants of [false, true]) {
     for (const instances of [1, 2, 4]) {
-      reports.push(await measureOne(measured, instances, withGrants, options));
+      reports.push(
+        await measureRound(measured, instances, withGrants, options),
+      );
     }
   }
   return reports;
@@ -66,7 +68,7 @@
   ]);
 }
 
-async function measureOne(
+async function measureRound(
   measured: MeasuredSystem,
   instances: number,
   withGrants: boolean,
@@ -74,27 +76,27 @@
 ): Promise<ClaimReport> {
   const {platform} = measured.system;
   const callers = measured.callers.slice(0, instances);
-  const grants = await Promise.all(callers.map(grantOf));
+  const grants = await Promise.all(callers.map(fetchGrant));
   const random = new SeededRandomSource(options.seed);
   await platform.resetCounts();
   const startedAt = performance.now();
   let index = 0;
   let failed = 0;
-  const {requests} = await runRound(
+  const {requests} = await runClosedLoop(
     CONCURRENCY,
     options.seconds * 1000,
     random,
     async () => {
-      const place = index++ % instances;
-      const key = `${withGrants ? `${grants[place]}.` : ''}${instances}-${withGrants}-${index}`;
-      const ended = await claimedRequest(callers[place], key);
-      failed += ended ? 0 : 1;
+      const callerIndex = index++ % instances;
+      const key = `${withGrants ? `${grants[callerIndex]}.` : ''}${instances}-${withGrants}-${index}`;
+      const isComplete = await sendClaimedRequest(callers[callerIndex], key);
+      failed += isComplete ? 0 : 1;
       return 0;
     },
   );
   const seconds = (performance.now() - startedAt) / 1000;
-  // Outcomes are recorded a little after the replies.
-  await sleep(KEEPING_MILLISECONDS);
+  // The router records outcomes shortly after it has sent the replies.
+  await sleep(RECORDING_DELAY_MILLISECONDS);
   const counts = await platform.counts();
   return {
     instances,
@@ -102,13 +104,19 @@
     requestsPerSecond: Math.round(requests / seconds),
     completed: requests - failed,
     failed,
-    tableWritesPerRequest: share(counts['table write'].total, requests),
-    tableReadsPerRequest: share(counts['table read'].total, requests),
+    tableWritesPerRequest: ratePerRequest(
+      counts['table write'].total,
+      requests,
+    ),
+    tableReadsPerRequest: ratePerRequest(counts['table read'].total, requests),
     refused: counts['table write'].refused + counts['table read'].refused,
   };
 }
 
-async function claimedRequest(caller: Caller, key: string): Promise<boolean> {
+async function sendClaimedRequest(
+  caller: Caller,
+  key: string,
+): Promise<boolean> {
   const outcome = await caller.stream({
     classOfWork: CLASS_NAME,
     bearerKey: ACCOUNT.bearerKey,
@@ -121,13 +129,13 @@
   return outcome.whole;
 }
 
-async function grantOf(caller: Caller): Promise<string | null> {
-  const answer = await request(`http://${caller.address}/v1/entrypoints`, {
+async function fetchGrant(caller: Caller): Promise<string | null> {
+  const response = await request(`http://${caller.address}/v1/entrypoints`, {
     headers: {authorization: `Bearer ${ACCOUNT.bearerKey}`},
   });
-  return ((await answer.body.json()) as {grant: string | null}).grant;
+  return ((await response.body.json()) as {grant: string | null}).grant;
 }
 
-function share(count: number, requests: number): number {
+function ratePerRequest(count: number, requests: number): number {
   return Math.round((1000 * count) / Math.max(1, requests)) / 1000;
 }
--- a/measure/common/closedLoop.ts
+++ b/measure/common/closedLoop.ts
@@ -1,32 +1,36 @@
 import {RandomSource} from '../../src/base/common/randomSource.js';
 import {sleep} from '../../test/support/sleep.js';
 
-/** So many requests at a time, each after a short random pause. */
+/** Closed-loop load: a fixed number of concurrent workers, each pausing for a short random time before a request. */
 
-/** What a round of requests came to. */
-export interface RoundWork {
+/** Totals of a closed-loop run. */
+export interface RoundTotals {
   readonly requests: number;
   readonly tokens: number;
 }
 
-/** Longest pause before a request; without it all requests of a round would start together. */
-const PAUSE_MILLISECONDS = 100;
+/** Longest pause before a request. Without pauses, all workers would send their first requests at the same time. */
+const MAXIMUM_PAUSE_MILLISECONDS = 100;
 
-/** Runs requests until the time is over and the last have ended; a request answers its tokens. */
-export async function runRound(
+/**
+ * Sends requests for the given time and waits until the last ones have ended.
+ *
+ * @param sendRequest Sends one request and resolves to the number of tokens received.
+ */
+export async function runClosedLoop(
   concurrency: number,
   milliseconds: number,
   random: RandomSource,
-  request: () => Promise<number>,
-): Promise<RoundWork> {
-  const until = performance.now() + milliseconds;
+  sendRequest: () => Promise<number>,
+): Promise<RoundTotals> {
+  const endAt = performance.now() + milliseconds;
   let requests = 0;
   let tokens = 0;
   const worker = async (): Promise<void> => {
-    while (performance.now() < until) {
-      await sleep(random.next() * PAUSE_MILLISECONDS);
-      const released = await request();
-      tokens += released;
+    while (performance.now() < endAt) {
+      await sleep(random.next() * MAXIMUM_PAUSE_MILLISECONDS);
+      const tokenCount = await sendRequest();
+      tokens += tokenCount;
       requests++;
     }
   };
--- a/measure/common/controlFleet.ts
+++ b/measure/common/controlFleet.ts
@@ -16,15 +16,19 @@
 } from '../../test/support/managedProcess.js';
 import {freeAddresses} from '../../test/support/ports.js';
 import {callJson} from '../../test/support/systemParts.js';
-import {ProcessUse, ratesBetween, readUse} from './processUse.js';
+import {
+  ProcessUsage,
+  computeUsageRates,
+  readProcessUsage,
+} from './processUsage.js';
 import {sleep} from '../../test/support/sleep.js';
 
 /**
- * Many control programs over the platform stand-in of a launched system. Entry programs are left out;
- * this process follows each control program's view in their place.
+ * A fleet of control programs over the platform stand-in of a launched system. No entry programs run;
+ * this process reads the view of each control program in their place.
  */
 
-/** Periods of the programs, in seconds. */
+/** Settings of the control programs that determine how often they read, exchange and confirm state. */
 export type ControlPeriods = Pick<
   ControlSettings,
   | 'headReadSeconds'
@@ -34,11 +38,13 @@
   | 'confirmationBoundSeconds'
 >;
 
-/** What the control programs used in a time: means over the instances. */
-export interface FleetUse {
+/** Resources used during an interval: means over the instances. */
+export interface FleetUsage {
   readonly instances: number;
+  /** Share of one core. */
   readonly cpuShare: number;
   readonly residentBytes: number;
+  /** Bytes read and written by the process. */
   readonly bytesPerSecond: number;
 }
 
@@ -51,7 +57,7 @@
 const READY_MILLISECONDS = 20_000;
 const POLL_MILLISECONDS = 25;
 
-/** Starts control programs and reads what they use. */
+/** Starts control programs and measures their resource usage. */
 export class ControlFleet {
   private readonly supervisor: ProcessSupervisor;
   private readonly members: FleetMember[] = [];
@@ -67,64 +73,82 @@
     return this.members.length;
   }
 
-  /** Starts further instances until there are so many, and waits until all listen. */
+  /** Starts instances until the fleet has the given size, and waits until all of them listen. */
   async growTo(size: number): Promise<void> {
     const addresses = [...(await freeAddresses(3 * (size - this.size)))];
     while (this.size < size) {
       const [caller, entry, control] = addresses.splice(0, 3);
       this.start(caller, entry, control);
     }
-    const members = this.members.map(one => one.member);
+    const members = this.members.map(fleetMember => fleetMember.member);
     await this.system.platform.setMembers({set: members});
     await this.awaitHealth('listens', status => status !== undefined);
   }
 
-  /** Waits until every instance serves, which needs a configuration. */
+  /** Waits until every instance is healthy, which requires a configuration. */
   async awaitServing(): Promise<void> {
     await this.awaitHealth('serves', status => status === 200);
   }
 
-  /** Lists upstreams that don't exist, in place of those listed so before. */
-  async listUpstreams(count: number, before: number): Promise<void> {
-    const names = (from: number, to: number): readonly UpstreamMember[] =>
-      Array.from({length: to - from}, (_, index) => fakeEngine(from + index));
+  /**
+   * Changes the number of nonexistent upstreams on the membership list.
+   *
+   * @param previousCount Number of such upstreams listed so far.
+   */
+  async setListedUpstreams(
+    count: number,
+    previousCount: number,
+  ): Promise<void> {
+    const createEngines = (
+      from: number,
+      to: number,
+    ): readonly UpstreamMember[] =>
+      Array.from({length: to - from}, (_, index) =>
+        createFakeEngine(from + index),
+      );
     await this.system.platform.setMembers(
-      count >= before
-        ? {set: names(before, count)}
-        : {remove: names(count, before).map(member => member.id)},
+      count >= previousCount
+        ? {set: createEngines(previousCount, count)}
+        : {
+            remove: createEngines(count, previousCount).map(
+              member => member.id,
+            ),
+          },
     );
   }
 
-  /** Means over the instances for a time. */
-  async use(milliseconds: number): Promise<FleetUse> {
-    const before = this.readings();
+  /** Measures the usage during the given time. */
+  async measureUsage(milliseconds: number): Promise<FleetUsage> {
+    const before = this.readUsage();
     await sleep(milliseconds);
-    return this.useSince(before);
+    return this.usageSince(before);
   }
 
-  /** Counts of all instances now. */
-  readings(): readonly ProcessUse[] {
-    return this.members.map(one => readUse(one.process.pid));
+  /** Reads the usage counters of all instances. */
+  readUsage(): readonly ProcessUsage[] {
+    return this.members.map(fleetMember =>
+      readProcessUsage(fleetMember.process.pid),
+    );
   }
 
-  /** Means over the instances since earlier readings. */
-  useSince(before: readonly ProcessUse[]): FleetUse {
-    const rates = this.readings().map((after, index) =>
-      ratesBetween(before[index], after),
+  /** Computes the usage since earlier counter readings. */
+  usageSince(before: readonly ProcessUsage[]): FleetUsage {
+    const rates = this.readUsage().map((after, index) =>
+      computeUsageRates(before[index], after),
     );
-    const mean = (of: (one: (typeof rates)[number]) => number): number =>
-      rates.reduce((total, one) => total + of(one), 0) / rates.length;
+    const mean = (select: (rate: (typeof rates)[number]) => number): number =>
+      rates.reduce((total, rate) => total + select(rate), 0) / rates.length;
     return {
       instances: rates.length,
-      cpuShare: mean(one => one.cpuShare),
-      residentBytes: mean(one => one.residentBytes),
+      cpuShare: mean(rate => rate.cpuShare),
+      residentBytes: mean(rate => rate.residentBytes),
       bytesPerSecond: mean(
-        one => one.readBytesPerSecond + one.writtenBytesPerSecond,
+        rate => rate.readBytesPerSecond + rate.writtenBytesPerSecond,
       ),
     };
   }
 
-  /** Puts a class to the first instance. */
+  /** Proposes a class to the first instance. */
   async putClass(name: string, requestsPerSecond: number): Promise<void> {
     const value = {
       name,
@@ -137,22 +161,24 @@
     await this.propose([{kind: 'setClass', value}]);
   }
 
-  /** Proposes operations to the first instance; throws when they aren't accepted. */
+  /** Proposes configuration operations to the first instance. @throws when the instance rejects them. */
   async propose(operations: readonly object[]): Promise<void> {
     const [first] = this.members;
     const url = `http://${first.member.controlAddress}/v1/configuration/revisions`;
-    const answer = await callJson('POST', url, {operations}, this.headers);
-    if (answer.status >= 300) {
-      throw new Error(`not accepted: ${JSON.stringify(answer.body)}`);
+    const response = await callJson('POST', url, {operations}, this.headers);
+    if (response.status >= 300) {
+      throw new Error(
+        `configuration proposal rejected: ${JSON.stringify(response.body)}`,
+      );
     }
   }
 
-  /** Resolves when the class has the value at every instance. */
-  async awaitClass(name: string, requestsPerSecond: number): Promise<void> {
+  /** Waits until the class has the given rate at every instance. */
+  async awaitClassRate(name: string, requestsPerSecond: number): Promise<void> {
     await Promise.all(
       this.members.map(async ({member}) => {
         const url = `http://${member.controlAddress}/v1/classes/${name}`;
-        while ((await this.rateOf(url)) !== requestsPerSecond) {
+        while ((await this.fetchClassRate(url)) !== requestsPerSecond) {
           await sleep(POLL_MILLISECONDS);
         }
       }),
@@ -160,19 +186,19 @@
   }
 
   dispose(): Promise<void> {
-    this.members.forEach(one => one.view.dispose());
+    this.members.forEach(fleetMember => fleetMember.view.dispose());
     return this.supervisor.dispose();
   }
 
   private async awaitHealth(
-    what: string,
+    condition: string,
     isReached: (status: number | undefined) => boolean,
   ): Promise<void> {
     for (const {member} of this.members) {
       const url = `http://${member.controlAddress}/v1/health`;
       await this.system.until(
-        `${member.id} ${what}`,
-        async () => isReached(await statusOf(url)),
+        `${member.id} ${condition}`,
+        async () => isReached(await fetchStatus(url)),
         READY_MILLISECONDS,
       );
     }
@@ -182,7 +208,7 @@
     return {authorization: `Bearer ${this.system.operatorKey}`};
   }
 
-  private async rateOf(url: string): Promise<number | undefined> {
+  private async fetchClassRate(url: string): Promise<number | undefined> {
     const {body} = await callJson('GET', url, undefined, this.headers);
     return (body as {requestsPerSecond?: number}).requestsPerSecond;
   }
@@ -203,10 +229,10 @@
     writeFileSync(file, JSON.stringify(this.settings(member)));
     const program = 'src/programs/control/main.js';
     const process = this.supervisor.start(id, program, file);
-    this.members.push({member, process, view: this.follow(control)});
+    this.members.push({member, process, view: this.startViewSource(control)});
   }
 
-  private follow(controlAddress: string): ControlViewSource {
+  private startViewSource(controlAddress: string): ControlViewSource {
     const peerKey = readFileSync(join(this.system.directory, 'peer.key'));
     const view = new ControlViewSource(
       controlAddress,
@@ -234,8 +260,8 @@
   }
 }
 
-/** Four engines to a replica, spread over seven data centres. */
-function fakeEngine(index: number): UpstreamMember {
+/** Creates an engine that does not exist: four to a replica, with the replicas spread over seven data centres. */
+function createFakeEngine(index: number): UpstreamMember {
   const replica = Math.floor(index / 4);
   return {
     role: 'engine',
@@ -248,7 +274,7 @@
   };
 }
 
-async function statusOf(url: string): Promise<number | undefined> {
+async function fetchStatus(url: string): Promise<number | undefined> {
   try {
     return (await callJson('GET', url)).status;
   } catch {
--- a/measure/common/directPipeline.ts
+++ b/measure/common/directPipeline.ts
@@ -5,18 +5,18 @@
 import {HttpEngineConnector} from '../../src/infrastructure/engine/node/httpEngineConnector.js';
 import {EngineHandle} from '../../test/support/systemParts.js';
 
-/** Drives a pipeline of engines with nothing between: what the router's own time is measured against. */
+/** Runs a pipeline directly on its engines, without a router, as the baseline for the router's overhead. */
 
-/** When the tokens of a reply came, in monotonic milliseconds. */
+/** Start of a request and arrival times of its tokens, in monotonic milliseconds. */
 export interface DirectReply {
   readonly startedAt: number;
   readonly tokenTimes: readonly number[];
 }
 
 const PRIORITY = 100;
-const CALL_MILLISECONDS = 30000;
+const STEP_TIMEOUT_MILLISECONDS = 30000;
 
-/** The stages of one replica, called in order over the router's own engine client. */
+/** Calls the stages of one replica in order through the router's engine client. */
 export class DirectPipeline {
   private readonly layerCount: number;
 
@@ -24,10 +24,12 @@
     private readonly stages: readonly EngineHandle[],
     private readonly connector: HttpEngineConnector,
   ) {
-    this.layerCount = Math.max(...stages.map(one => one.settings.layers.to));
+    this.layerCount = Math.max(
+      ...stages.map(stage => stage.settings.layers.to),
+    );
   }
 
-  /** Generates a reply; throws when a step fails. */
+  /** Generates a reply. @throws when a step fails. */
   async generate(
     prompt: readonly string[],
     outputTokens: number,
@@ -38,7 +40,7 @@
     const tokenTimes: number[] = [];
     let from = 0;
     while (tokenTimes.length < outputTokens) {
-      const token = await this.pass(requestId, tokens, from);
+      const token = await this.runPass(requestId, tokens, from);
       tokenTimes.push(performance.now());
       from = tokens.length;
       tokens.push(token);
@@ -47,8 +49,8 @@
     return {startedAt, tokenTimes};
   }
 
-  /** One pass over the positions from `from`; the token that it yields. */
-  private async pass(
+  /** Runs one pass through all stages for the positions starting at `from` and returns the generated token. */
+  private async runPass(
     requestId: string,
     tokens: readonly string[],
     from: number,
@@ -76,7 +78,7 @@
       input = output;
       previousUpstream = id;
     }
-    throw new Error('the last stage gave no token');
+    throw new Error('the last stage returned no token');
   }
 
   private async step(
@@ -84,7 +86,7 @@
     request: Parameters<ReturnType<HttpEngineConnector['connect']>['step']>[0],
   ) {
     const source = new CancellationSource();
-    source.cancelAfter(CALL_MILLISECONDS, 'took too long');
+    source.cancelAfter(STEP_TIMEOUT_MILLISECONDS, 'engine step timed out');
     const {address} = stage.settings;
     const connection = this.connector.connect(stage.id, address);
     const result = await connection.step(request, source.token);
--- a/measure/common/linearFit.ts
+++ b/measure/common/linearFit.ts
@@ -1,63 +1,65 @@
-/** Least squares fits of measured figures. */
+/** Least-squares fits of measurements. */
 
-/** One observation: a figure and what it may depend on, in the order of the coefficients. */
+/** A measurement and the values of its regressors, in the order of the coefficients. */
 export interface Observation {
-  readonly figure: number;
+  readonly measurement: number;
   readonly regressors: readonly number[];
 }
 
-/** A line through measured points and how well it explains them. */
+/** A fitted line and its goodness of fit. */
 export interface Line {
   readonly intercept: number;
   readonly slope: number;
-  /** Share of the variance explained, at most 1. */
-  readonly explained: number;
+  /** Coefficient of determination: share of the variance that the line explains, at most 1. */
+  readonly rSquared: number;
 }
 
-/** Coefficients that fit the observations best; throws when the regressors don't tell them apart. */
+/** Computes the least-squares coefficients. @throws when the regressors are linearly dependent. */
 export function fitCoefficients(
   observations: readonly Observation[],
 ): readonly number[] {
   const size = observations[0]?.regressors.length ?? 0;
   const rows = Array.from({length: size}, (_, row) => [
     ...Array.from({length: size}, (_, column) =>
-      sum(observations, one => one.regressors[row] * one.regressors[column]),
+      sum(observations, ({regressors}) => regressors[row] * regressors[column]),
+    ),
+    sum(
+      observations,
+      ({regressors, measurement}) => regressors[row] * measurement,
     ),
-    sum(observations, one => one.regressors[row] * one.figure),
   ]);
-  return solveRows(rows);
+  return solveLinearSystem(rows);
 }
 
-/** The line through points of a figure over one quantity. */
+/** Fits a line through points. */
 export function fitLine(
-  points: ReadonlyArray<{readonly at: number; readonly figure: number}>,
+  points: ReadonlyArray<{readonly x: number; readonly y: number}>,
 ): Line {
   const [intercept, slope] = fitCoefficients(
-    points.map(({at, figure}) => ({figure, regressors: [1, at]})),
+    points.map(({x, y}) => ({measurement: y, regressors: [1, x]})),
   );
-  const mean = sum(points, point => point.figure) / points.length;
-  const total = sum(points, point => (point.figure - mean) ** 2);
-  const left = sum(
+  const mean = sum(points, point => point.y) / points.length;
+  const total = sum(points, point => (point.y - mean) ** 2);
+  const residual = sum(
     points,
-    point => (point.figure - intercept - slope * point.at) ** 2,
+    point => (point.y - intercept - slope * point.x) ** 2,
   );
-  return {intercept, slope, explained: total === 0 ? 1 : 1 - left / total};
+  return {intercept, slope, rSquared: total === 0 ? 1 : 1 - residual / total};
 }
 
-/** The line's figure at a quantity. */
-export function lineAt(line: Line, at: number): number {
-  return line.intercept + line.slope * at;
+export function evaluateLine(line: Line, x: number): number {
+  return line.intercept + line.slope * x;
 }
 
-function sum<T>(items: readonly T[], of: (item: T) => number): number {
-  return items.reduce((total, item) => total + of(item), 0);
+function sum<T>(items: readonly T[], select: (item: T) => number): number {
+  return items.reduce((total, item) => total + select(item), 0);
 }
 
-/** Gauss-Jordan elimination with row exchange over an augmented matrix, in place. */
-function solveRows(rows: number[][]): readonly number[] {
+/** Solves an augmented matrix in place by Gauss-Jordan elimination with partial pivoting. */
+function solveLinearSystem(rows: number[][]): readonly number[] {
   const size = rows.length;
   for (let column = 0; column < size; column++) {
-    const pivot = largestRow(rows, column);
+    const pivot = findPivotRow(rows, column);
     [rows[column], rows[pivot]] = [rows[pivot], rows[column]];
     const divisor = rows[column][column];
     if (Math.abs(divisor) < Number.EPSILON) {
@@ -76,7 +78,7 @@
   return rows.map(row => row[size]);
 }
 
-function largestRow(rows: readonly number[][], column: number): number {
+function findPivotRow(rows: readonly number[][], column: number): number {
   let best = column;
   for (let row = column + 1; row < rows.length; row++) {
     if (Math.abs(rows[row][column]) > Math.abs(rows[best][column])) {
--- a/measure/common/measuredSystem.ts
+++ b/measure/common/measuredSystem.ts
@@ -3,14 +3,14 @@
 import {expectedReply} from '../../test/standins/referenceModel.js';
 import {hashKey, LaunchedSystem} from '../../test/support/launcher.js';
 import {SystemOptions} from '../../test/support/systemOptions.js';
-import {OfferedClass, ReplicaCapacity} from './bound.js';
+import {OfferedClass, ReplicaCapacity} from './throughputBound.js';
 import {Caller, CallerOutcome} from './caller.js';
 import {OfferedAccount} from './openLoad.js';
 
-/** The systems that measures run: real programs before engine stand-ins of known capacity. */
+/** Systems under measurement: the real programs in front of engine stand-ins of known capacity. */
 
-/** Time of a hop to a stand-in beyond its compute: connection, codec and timer. */
-export const STAND_IN_HOP_MILLISECONDS = 1.5;
+/** Time that a hop to a stand-in takes beyond its simulated compute, for connection, codec and timer. */
+export const STAND_IN_HOP_OVERHEAD_MILLISECONDS = 1.5;
 
 /** A launched system with a caller for each instance. */
 export interface MeasuredSystem {
@@ -19,13 +19,13 @@
   readonly dispose: () => Promise<void>;
 }
 
-/** Launches a system under a policy with its classes and accounts in force. */
-export async function launchMeasured(
+/** Launches a system and activates a configuration with the model, classes and client accounts. */
+export async function launchMeasuredSystem(
   options: Partial<SystemOptions>,
   classes: readonly OfferedClass[],
   accounts: readonly OfferedAccount[],
 ): Promise<MeasuredSystem> {
-  const operations = configurationOf(options, classes, accounts);
+  const operations = createConfiguration(options, classes, accounts);
   const system = await LaunchedSystem.launch(options, operations);
   const callers = system.instances.map(
     instance => new Caller(instance.member.callerAddress),
@@ -37,7 +37,7 @@
   return {system, callers, dispose};
 }
 
-function configurationOf(
+function createConfiguration(
   options: Partial<SystemOptions>,
   classes: readonly OfferedClass[],
   accounts: readonly OfferedAccount[],
@@ -69,8 +69,10 @@
   return [model, ...classOperations, ...accountOperations];
 }
 
-/** The capacity of the launched engines, replica by replica, for the bound. */
-export function capacityOf(system: LaunchedSystem): readonly ReplicaCapacity[] {
+/** Lists the capacity of each launched replica, as input for the throughput bound. */
+export function listReplicaCapacities(
+  system: LaunchedSystem,
+): readonly ReplicaCapacity[] {
   const {replicas, stagesPerReplica, accelerators, sequenceLimit} =
     system.options;
   return Array.from({length: replicas}, (_, index) => {
@@ -82,13 +84,13 @@
       decodeMilliseconds: kind.decodeMilliseconds,
       prefillMillisecondsPerToken: kind.prefillMillisecondsPerToken,
       linkMilliseconds:
-        system.options.linkMilliseconds + STAND_IN_HOP_MILLISECONDS,
+        system.options.linkMilliseconds + STAND_IN_HOP_OVERHEAD_MILLISECONDS,
     };
   });
 }
 
-/** A prompt of a class: its own words, and the length of the reply that it asks for. */
-export function promptOf(offered: OfferedClass, index: number): string {
+/** Creates a prompt of the size of the class, unique for each index, that states the reply length to the stand-in. */
+export function createPrompt(offered: OfferedClass, index: number): string {
   const words = [`[reply:${offered.outputTokens}]`, `request-${index}`];
   while (words.length < offered.promptTokens) {
     words.push(`word${(index * 31 + words.length * 17) % 997}`);
@@ -96,8 +98,8 @@
   return words.join(' ');
 }
 
-/** Whether the tokens are those that the model gives. */
-export function isRightReply(
+/** Creates a function that checks a reply against the reference model. */
+export function createReplyCheck(
   layerCount: number,
 ): (prompt: string, outcome: CallerOutcome, offered: OfferedClass) => boolean {
   return (prompt, outcome, offered) => {
--- a/measure/common/openLoad.ts
+++ b/measure/common/openLoad.ts
@@ -1,87 +1,97 @@
 import {RandomSource} from '../../src/base/common/randomSource.js';
-import {OfferedClass} from './bound.js';
+import {OfferedClass} from './throughputBound.js';
 import {Caller, CallerOutcome} from './caller.js';
 
-/** Open-loop load: arrivals don't wait for replies, as callers in a rush don't wait for each other. */
+/** Open-loop load: requests arrive independently of earlier replies, as from independent callers. */
 
-/** A client account and its part of the arrivals. */
+/** A client account and its share of the arrivals. */
 export interface OfferedAccount {
   readonly name: string;
   readonly bearerKey: string;
-  /** Part of all arrivals, 0 to 1. */
+  /** Share of all arrivals, 0 to 1. */
   readonly share: number;
 }
 
-/** What to offer. */
+/** Describes the load to generate. */
 export interface LoadPlan {
   readonly classes: readonly OfferedClass[];
   readonly accounts: readonly OfferedAccount[];
   readonly model: string;
   readonly warmUpMilliseconds: number;
   readonly countedMilliseconds: number;
-  /** Makes the prompt of the n-th request; its words are its tokens. */
+  /** Creates the prompt of the request with the given index; each word is one token. */
   readonly prompt: (offered: OfferedClass, index: number) => string;
-  /** Whether the tokens are the right reply. */
-  readonly isCorrect: (
+  readonly isCorrectReply: (
     prompt: string,
     outcome: CallerOutcome,
     offered: OfferedClass,
   ) => boolean;
 }
 
-/** One finished request of a load. */
+/** A finished request of a load. */
 export interface LoadRecord {
   readonly classOfWork: string;
   readonly clientAccount: string;
-  readonly counted: boolean;
+  /** False for requests of the warm-up. */
+  readonly isCounted: boolean;
+  /** Monotonic milliseconds. */
   readonly startedAt: number;
   readonly outcome: CallerOutcome;
-  readonly correct: boolean;
-  readonly onTime: boolean;
+  readonly isCorrect: boolean;
+  readonly isOnTime: boolean;
 }
 
 interface Arrival {
-  readonly at: number;
+  readonly offsetMilliseconds: number;
   readonly offered: OfferedClass;
   readonly account: OfferedAccount;
   readonly index: number;
 }
 
-/** Offers the plan to the callers in turn and resolves when all replies have ended. */
-export async function offerLoad(
+/** Sends the planned requests through the callers in rotation and resolves when all of them have ended. */
+export async function generateLoad(
   plan: LoadPlan,
   callers: readonly Caller[],
   random: RandomSource,
 ): Promise<readonly LoadRecord[]> {
   const start = performance.now();
   const running: Array<Promise<LoadRecord>> = [];
-  for (const arrival of planArrivals(plan, random)) {
-    await sleepUntil(start + arrival.at);
+  for (const arrival of scheduleArrivals(plan, random)) {
+    await sleepUntil(start + arrival.offsetMilliseconds);
     const caller = callers[arrival.index % callers.length];
-    running.push(makeRequest(plan, arrival, caller));
+    running.push(sendRequest(plan, arrival, caller));
   }
   return Promise.all(running);
 }
 
-/** Poisson arrivals over the warm-up and the counted time, in order. */
-function planArrivals(
+/** Schedules Poisson arrivals over the warm-up and the counted time, ordered by time. */
+function scheduleArrivals(
   plan: LoadPlan,
   random: RandomSource,
 ): readonly Arrival[] {
-  const until = plan.warmUpMilliseconds + plan.countedMilliseconds;
+  const endMilliseconds = plan.warmUpMilliseconds + plan.countedMilliseconds;
   const arrivals: Array<Omit<Arrival, 'index'>> = [];
   for (const offered of plan.classes) {
-    let at = nextGap(offered, random);
-    while (at < until) {
-      arrivals.push({at, offered, account: pickAccount(plan.accounts, random)});
-      at += nextGap(offered, random);
+    let offsetMilliseconds = nextArrivalInterval(offered, random);
+    while (offsetMilliseconds < endMilliseconds) {
+      arrivals.push({
+        offsetMilliseconds,
+        offered,
+        account: pickAccount(plan.accounts, random),
+      });
+      offsetMilliseconds += nextArrivalInterval(offered, random);
     }
   }
-  arrivals.sort((left, right) => left.at - right.at);
+  arrivals.sort(
+    (left, right) => left.offsetMilliseconds - right.offsetMilliseconds,
+  );
   return arrivals.map((arrival, index) => ({...arrival, index}));
 }
 
-function nextGap(offered: OfferedClass, random: RandomSource): number {
+function nextArrivalInterval(
+  offered: OfferedClass,
+  random: RandomSource,
+): number {
   return (-Math.log(1 - random.next()) * 1000) / offered.requestsPerSecond;
 }
 
@@ -89,17 +99,17 @@
   accounts: readonly OfferedAccount[],
   random: RandomSource,
 ): OfferedAccount {
-  let left = random.next();
+  let remaining = random.next();
   for (const account of accounts) {
-    left -= account.share;
-    if (left < 0) {
+    remaining -= account.share;
+    if (remaining < 0) {
       return account;
     }
   }
   return accounts[accounts.length - 1];
 }
 
-async function makeRequest(
+async function sendRequest(
   plan: LoadPlan,
   arrival: Arrival,
   caller: Caller,
@@ -116,19 +126,20 @@
     idempotencyKey: undefined,
     deadlineMilliseconds: undefined,
   });
-  const correct = outcome.whole && plan.isCorrect(prompt, outcome, offered);
+  const isCorrect =
+    outcome.whole && plan.isCorrectReply(prompt, outcome, offered);
   return {
     classOfWork: offered.name,
     clientAccount: account.name,
-    counted: arrival.at >= plan.warmUpMilliseconds,
+    isCounted: arrival.offsetMilliseconds >= plan.warmUpMilliseconds,
     startedAt,
     outcome,
-    correct,
-    onTime: correct && isOnTime(outcome, offered),
+    isCorrect,
+    isOnTime: isCorrect && meetsTargets(outcome, offered),
   };
 }
 
-function isOnTime(outcome: CallerOutcome, offered: OfferedClass): boolean {
+function meetsTargets(outcome: CallerOutcome, offered: OfferedClass): boolean {
   return (
     (outcome.firstTokenMilliseconds ?? Infinity) <=
       offered.firstTokenMilliseconds &&
@@ -139,8 +150,8 @@
 }
 
 async function sleepUntil(at: number): Promise<void> {
-  const left = at - performance.now();
-  if (left > 0) {
-    await new Promise(resolve => setTimeout(resolve, left));
+  const remaining = at - performance.now();
+  if (remaining > 0) {
+    await new Promise(resolve => setTimeout(resolve, remaining));
   }
 }
--- a/measure/common/processUse.ts
+++ b/measure/common/processUsage.ts
@@ -1,12 +1,12 @@
 import {readdirSync, readFileSync} from 'node:fs';
 
-/** What a process has used, as Linux counts it under /proc. */
+/** Resource usage of a process, from the counters under /proc on Linux. */
 
-/** Counts since the start of a process, and its memory now. */
-export interface ProcessUse {
-  /** Monotonic milliseconds of the reading. */
+/** Counters since the start of a process, and its current memory. */
+export interface ProcessUsage {
+  /** Time of the reading, in monotonic milliseconds. */
   readonly at: number;
-  /** Milliseconds on a core, over all threads. */
+  /** CPU time of all threads. */
   readonly cpuMilliseconds: number;
   readonly residentBytes: number;
   /** Bytes read from sockets and files. */
@@ -15,8 +15,8 @@
   readonly writtenBytes: number;
 }
 
-/** What a process used between two readings, per second. */
-export interface UseRates {
+/** Usage of a process between two readings. */
+export interface UsageRates {
   readonly seconds: number;
   /** Share of one core. */
   readonly cpuShare: number;
@@ -28,21 +28,23 @@
 const KIBIBYTE = 1024;
 const NANOSECONDS_PER_MILLISECOND = 1e6;
 
-/** Reads what a running process has used. */
-export function readUse(pid: number): ProcessUse {
+/** Reads the counters of a running process. @throws when the process has ended. */
+export function readProcessUsage(pid: number): ProcessUsage {
   const io = readFileSync(`/proc/${pid}/io`, 'utf8');
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
   return {
     at: performance.now(),
-    cpuMilliseconds: readCpu(pid),
-    residentBytes: numberAfter(status, 'VmRSS:') * KIBIBYTE,
-    readBytes: numberAfter(io, 'rchar:'),
-    writtenBytes: numberAfter(io, 'wchar:'),
+    cpuMilliseconds: readCpuMilliseconds(pid),
+    residentBytes: parseNumberAfter(status, 'VmRSS:') * KIBIBYTE,
+    readBytes: parseNumberAfter(io, 'rchar:'),
+    writtenBytes: parseNumberAfter(io, 'wchar:'),
   };
 }
 
-/** Rates between two readings. */
-export function ratesBetween(from: ProcessUse, to: ProcessUse): UseRates {
+export function computeUsageRates(
+  from: ProcessUsage,
+  to: ProcessUsage,
+): UsageRates {
   const milliseconds = to.at - from.at;
   const seconds = milliseconds / 1000;
   return {
@@ -54,8 +56,8 @@
   };
 }
 
-/** The scheduler's count is finer than the clock ticks of `stat`. */
-function readCpu(pid: number): number {
+/** Reads `schedstat`, whose nanoseconds are finer than the clock ticks of `stat`. */
+function readCpuMilliseconds(pid: number): number {
   let nanoseconds = 0;
   for (const thread of readdirSync(`/proc/${pid}/task`)) {
     const path = `/proc/${pid}/task/${thread}/schedstat`;
@@ -64,7 +66,7 @@
   return nanoseconds / NANOSECONDS_PER_MILLISECOND;
 }
 
-function numberAfter(text: string, label: string): number {
-  const line = text.split('\n').find(one => one.startsWith(label));
+function parseNumberAfter(text: string, label: string): number {
+  const line = text.split('\n').find(candidate => candidate.startsWith(label));
   return Number.parseInt(line?.slice(label.length) ?? 'NaN', 10);
 }
--- a/measure/common/recoveryFaults.ts
+++ b/measure/common/recoveryFaults.ts
@@ -1,50 +1,50 @@
 import {LaunchedSystem} from '../../test/support/launcher.js';
 import {EngineHandle, InstanceHandle} from '../../test/support/systemParts.js';
 
-/** The faults of the measure of recovery; each strikes other parts, so that one doesn't hide the next. */
+/** Faults for the recovery measurement. Each affects other replicas or instances, so that it doesn't mask the next. */
 
-/** A fault that can be injected into a running system and mended again. */
+/** A fault that can be injected into a running system and repaired. */
 export interface InjectedFault {
   readonly name: string;
   readonly inject: () => Promise<void>;
-  readonly mend: () => Promise<void>;
+  readonly repair: () => Promise<void>;
 }
 
 const SLOW_FACTOR = 6;
 const DEGRADED_LINK_MILLISECONDS = 120;
 
-/** The faults for a system of eight replicas of two stages and four instances over four data centres. */
+/** Creates the faults for a system of eight two-stage replicas and four instances in four data centres. */
 export function createFaults(system: LaunchedSystem): readonly InjectedFault[] {
   const {engines, instances} = system;
   const engine = (replica: number, stage: number): EngineHandle =>
     engines[replica * system.options.stagesPerReplica + stage];
   return [
-    // First, so that it meets nothing that other faults left behind.
-    loseDataCentre(system, 'upper'),
+    // First, so that after-effects of other faults cannot influence it.
+    createDataCentreLoss(system, 'upper'),
     {
       name: 'stage killed',
       inject: () => engine(0, 1).setFault({kind: 'die'}),
-      mend: () => engine(0, 1).setFault({kind: 'revive'}),
+      repair: () => engine(0, 1).setFault({kind: 'revive'}),
     },
     {
       name: 'stage frozen',
       inject: () => engine(1, 0).setFault({kind: 'freeze'}),
-      mend: () => clear(engine(1, 0)),
+      repair: () => clearFault(engine(1, 0)),
     },
     {
       name: 'stage slowed',
       inject: () => engine(2, 1).setFault({kind: 'slow', factor: SLOW_FACTOR}),
-      mend: () => clear(engine(2, 1)),
+      repair: () => clearFault(engine(2, 1)),
     },
     {
       name: 'link degraded',
       inject: () => degradeLink(engine(3, 0), engine(3, 1)),
-      mend: () => clear(engine(3, 1)),
+      repair: () => clearFault(engine(3, 1)),
     },
     {
       name: 'entry instance killed',
       inject: () => system.killInstance(instances[1]),
-      mend: () => restart(system, [instances[1]]),
+      repair: () => restartInstances(system, [instances[1]]),
     },
     {
       name: 'stage frozen and entry instance killed',
@@ -54,30 +54,37 @@
           system.killInstance(instances[3]),
         ]);
       },
-      mend: async () => {
-        await clear(engine(5, 0));
-        await restart(system, [instances[3]]);
+      repair: async () => {
+        await clearFault(engine(5, 0));
+        await restartInstances(system, [instances[3]]);
       },
     },
   ];
 }
 
-/** All engines and instances of a data centre are killed at once. */
-function loseDataCentre(system: LaunchedSystem, name: string): InjectedFault {
-  const lost = system.instances.filter(one => one.member.dataCentre === name);
-  const engines = system.engines.filter(one => one.member.dataCentre === name);
-  const processes = [...new Set(engines.map(one => one.process))];
+/** Kills all engines and instances of a data centre at the same time. */
+function createDataCentreLoss(
+  system: LaunchedSystem,
+  name: string,
+): InjectedFault {
+  const lostInstances = system.instances.filter(
+    instance => instance.member.dataCentre === name,
+  );
+  const engines = system.engines.filter(
+    engine => engine.member.dataCentre === name,
+  );
+  const processes = [...new Set(engines.map(engine => engine.process))];
   return {
     name: 'data centre lost',
     inject: async () => {
       await Promise.all([
-        ...processes.map(one => one.kill()),
-        ...lost.map(one => system.killInstance(one)),
+        ...processes.map(process => process.kill()),
+        ...lostInstances.map(instance => system.killInstance(instance)),
       ]);
     },
-    mend: async () => {
-      await Promise.all(processes.map(one => one.restart()));
-      await restart(system, lost);
+    repair: async () => {
+      await Promise.all(processes.map(process => process.restart()));
+      await restartInstances(system, lostInstances);
     },
   };
 }
@@ -87,11 +94,11 @@
   return to.setFault({kind: 'link', from: from.id, milliseconds});
 }
 
-function clear(engine: EngineHandle): Promise<void> {
+function clearFault(engine: EngineHandle): Promise<void> {
   return engine.setFault({kind: 'clear'});
 }
 
-async function restart(
+async function restartInstances(
   system: LaunchedSystem,
   instances: readonly InstanceHandle[],
 ): Promise<void> {
--- a/measure/common/recoveryTime.ts
+++ b/measure/common/recoveryTime.ts
@@ -1,56 +1,60 @@
-/** When targets are met again after a fault. */
+/** Computes the time from a fault until requests meet their targets again. */
 
-/** A request of a steady load, as far as it matters here; times are monotonic milliseconds. */
-export interface ArrivedRequest {
+/** Start of a request and whether it met its targets. */
+export interface TimedRequest {
+  /** Monotonic milliseconds. */
   readonly startedAt: number;
-  /** Whether the whole right reply came within its class's targets, counted from the first attempt. */
-  readonly met: boolean;
+  /** Whether the complete, correct reply met the class's targets, measured from the first attempt. */
+  readonly hasMetTargets: boolean;
 }
 
-/** How a fault passed. */
+/** Recovery from one fault. */
 export interface Recovery {
   readonly seconds: number;
-  /** False when targets were not met again before the end; `seconds` is then the whole time. */
+  /** False when targets were not met again before the end of the interval; `seconds` is then its length. */
   readonly recovered: boolean;
 }
 
 const WINDOW_MILLISECONDS = 500;
-const SHARE_MET = 0.95;
+const REQUIRED_SHARE = 0.95;
 
 /**
- * Seconds from the fault to the start of the last request that missed its targets in a window where
- * fewer than 95 in 100 met theirs. Windows are half a second of arrivals, counted from the fault; a
- * window cut short by the end joins the one before. 0 when all windows are good.
+ * Computes the time from the fault to the start of the last request that missed its targets in a degraded
+ * window, one where fewer than 95 % of the requests met them. Windows hold half a second of arrivals,
+ * starting at the fault; a shorter last window is merged into the one before. The time is 0 when no
+ * window is degraded.
  */
-export function recoveryOf(
-  requests: readonly ArrivedRequest[],
+export function computeRecovery(
+  requests: readonly TimedRequest[],
   faultAt: number,
   endAt: number,
 ): Recovery {
   const count = Math.floor((endAt - faultAt) / WINDOW_MILLISECONDS);
   const windows = Array.from(
     {length: Math.max(1, count)},
-    (): ArrivedRequest[] => [],
+    (): TimedRequest[] => [],
   );
   for (const request of requests) {
     if (request.startedAt >= faultAt && request.startedAt < endAt) {
-      const place = (request.startedAt - faultAt) / WINDOW_MILLISECONDS;
-      windows[Math.min(windows.length - 1, Math.floor(place))].push(request);
+      const position = (request.startedAt - faultAt) / WINDOW_MILLISECONDS;
+      windows[Math.min(windows.length - 1, Math.floor(position))].push(request);
     }
   }
-  const lastBad = windows.findLastIndex(isBad);
-  if (lastBad < 0) {
+  const lastDegraded = windows.findLastIndex(isDegraded);
+  if (lastDegraded < 0) {
     return {seconds: 0, recovered: true};
   }
-  if (lastBad === windows.length - 1) {
+  if (lastDegraded === windows.length - 1) {
     return {seconds: (endAt - faultAt) / 1000, recovered: false};
   }
-  const missed = windows[lastBad].filter(request => !request.met);
-  const last = Math.max(...missed.map(request => request.startedAt));
+  const misses = windows[lastDegraded].filter(
+    request => !request.hasMetTargets,
+  );
+  const last = Math.max(...misses.map(request => request.startedAt));
   return {seconds: (last - faultAt) / 1000, recovered: true};
 }
 
-function isBad(window: readonly ArrivedRequest[]): boolean {
-  const met = window.filter(request => request.met).length;
-  return met < SHARE_MET * window.length;
+function isDegraded(window: readonly TimedRequest[]): boolean {
+  const met = window.filter(request => request.hasMetTargets).length;
+  return met < REQUIRED_SHARE * window.length;
 }
--- a/measure/common/statistics.ts
+++ b/measure/common/statistics.ts
@@ -1,20 +1,20 @@
 import {build, Histogram} from 'hdr-histogram-js';
 
-/** Summaries of measured figures. */
+/** Summary statistics of measurements. */
 
-const SCALE = 1000;
-const HIGHEST_MILLISECONDS = 60000;
+const MICROSECONDS_PER_MILLISECOND = 1000;
+const MAXIMUM_MILLISECONDS = 60000;
 
-/** Times in milliseconds, kept in microseconds. */
+/** A histogram of times in milliseconds, stored in microseconds with three significant digits. */
 export class TimeHistogram {
   private readonly histogram: Histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MILLISECONDS * SCALE,
+    highestTrackableValue: MAXIMUM_MILLISECONDS * MICROSECONDS_PER_MILLISECOND,
     numberOfSignificantValueDigits: 3,
   });
 
   add(milliseconds: number): void {
-    const value = Math.round(milliseconds * SCALE);
+    const value = Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND);
     this.histogram.recordValue(Math.max(1, value));
   }
 
@@ -22,13 +22,16 @@
     return this.histogram.totalCount;
   }
 
-  /** Milliseconds under which so many in 100 lie. */
+  /** The percentile, in milliseconds. */
   percentile(percent: number): number {
-    return this.histogram.getValueAtPercentile(percent) / SCALE;
+    return (
+      this.histogram.getValueAtPercentile(percent) /
+      MICROSECONDS_PER_MILLISECOND
+    );
   }
 }
 
-/** The middle of figures; NaN of none. */
+/** The median; NaN for an empty array. */
 export function median(figures: readonly number[]): number {
   const sorted = [...figures].sort((left, right) => left - right);
   const middle = Math.floor(sorted.length / 2);
@@ -37,7 +40,7 @@
     : (sorted[middle - 1] + sorted[middle]) / 2;
 }
 
-/** Rounds for a report. */
+/** Rounds to the given number of decimal places. */
 export function round(figure: number, digits = 3): number {
   const factor = 10 ** digits;
   return Math.round(figure * factor) / factor;
--- a/measure/common/steadyLoad.ts
+++ b/measure/common/steadyLoad.ts
@@ -1,73 +1,73 @@
 import {RandomSource} from '../../src/base/common/randomSource.js';
 import {sleep} from '../../test/support/sleep.js';
-import {OfferedClass} from './bound.js';
+import {OfferedClass} from './throughputBound.js';
 import {CallerOutcome} from './caller.js';
-import {FollowedOutcome, FollowingCaller} from './followingCaller.js';
-import {promptOf} from './measuredSystem.js';
-import {ArrivedRequest} from './recoveryTime.js';
+import {RetriedOutcome, RetryingCaller} from './retryingCaller.js';
+import {createPrompt} from './measuredSystem.js';
+import {TimedRequest} from './recoveryTime.js';
 
-/** One class of work at a steady rate until stopped, by callers that follow the protocol. */
+/** Load of one class of work at a constant mean rate until stopped, by callers that follow the protocol. */
 
 /** A finished request. */
-export interface SteadyRecord extends ArrivedRequest {
-  readonly followed: FollowedOutcome;
-  readonly correct: boolean;
+export interface SteadyLoadRecord extends TimedRequest {
+  readonly callOutcome: RetriedOutcome;
+  readonly isCorrect: boolean;
 }
 
-/** What to offer. */
-export interface SteadyPlan {
+/** Describes the load to generate. */
+export interface SteadyLoadPlan {
   readonly offered: OfferedClass;
   readonly model: string;
-  readonly isCorrect: (
+  readonly isCorrectReply: (
     prompt: string,
     outcome: CallerOutcome,
     offered: OfferedClass,
   ) => boolean;
 }
 
-/** Open-loop Poisson arrivals, each by one of the callers at random. */
+/** Generates open-loop Poisson arrivals, each sent by a random caller. */
 export class SteadyLoad {
-  private readonly ended: SteadyRecord[] = [];
+  private readonly ended: SteadyLoadRecord[] = [];
   private readonly running = new Set<Promise<void>>();
   private stopped = false;
   private index = 0;
 
   constructor(
-    private readonly plan: SteadyPlan,
-    private readonly callers: readonly FollowingCaller[],
+    private readonly plan: SteadyLoadPlan,
+    private readonly callers: readonly RetryingCaller[],
     private readonly random: RandomSource,
   ) {}
 
-  /** Requests that ended so far. */
-  get records(): readonly SteadyRecord[] {
+  /** Requests that have ended so far. */
+  get records(): readonly SteadyLoadRecord[] {
     return this.ended;
   }
 
-  /** Offers until stopped. */
+  /** Sends requests until stopped. */
   async run(): Promise<void> {
-    let at = performance.now();
+    let arrivalAt = performance.now();
     while (!this.stopped) {
-      at += this.nextGap();
-      const left = at - performance.now();
-      if (left > 0) {
-        await sleep(left);
+      arrivalAt += this.nextArrivalInterval();
+      const remaining = arrivalAt - performance.now();
+      if (remaining > 0) {
+        await sleep(remaining);
       }
-      this.begin();
+      this.startRequest();
     }
   }
 
-  /** Stops offering; resolves when all requests have ended. */
+  /** Stops sending requests and resolves when all of them have ended. */
   async stop(): Promise<void> {
     this.stopped = true;
     await Promise.all(this.running);
   }
 
-  private nextGap(): number {
+  private nextArrivalInterval(): number {
     const {requestsPerSecond} = this.plan.offered;
     return (-Math.log(1 - this.random.next()) * 1000) / requestsPerSecond;
   }
 
-  private begin(): void {
+  private startRequest(): void {
     const caller = this.callers[this.random.nextInteger(this.callers.length)];
     const running = this.request(caller).finally(() => {
       this.running.delete(running);
@@ -75,9 +75,9 @@
     this.running.add(running);
   }
 
-  private async request(caller: FollowingCaller): Promise<void> {
-    const {offered, model, isCorrect} = this.plan;
-    const prompt = promptOf(offered, this.index++);
+  private async request(caller: RetryingCaller): Promise<void> {
+    const {offered, model, isCorrectReply} = this.plan;
+    const prompt = createPrompt(offered, this.index++);
     const startedAt = performance.now();
     const call = {
       classOfWork: offered.name,
@@ -87,22 +87,23 @@
       idempotencyKey: undefined,
       deadlineMilliseconds: undefined,
     };
-    const followed = await caller.follow(call, offered.deadlineMilliseconds);
-    const {last} = followed;
-    const correct = last.whole && isCorrect(prompt, last, offered);
-    const met = correct && meetsTargets(followed, offered);
-    this.ended.push({startedAt, met, followed, correct});
+    const callOutcome = await caller.callWithRetries(
+      call,
+      offered.deadlineMilliseconds,
+    );
+    const {lastAttempt} = callOutcome;
+    const isCorrect =
+      lastAttempt.whole && isCorrectReply(prompt, lastAttempt, offered);
+    const hasMetTargets = isCorrect && meetsTargets(callOutcome, offered);
+    this.ended.push({startedAt, hasMetTargets, callOutcome, isCorrect});
   }
 }
 
-function meetsTargets(
-  followed: FollowedOutcome,
-  offered: OfferedClass,
-): boolean {
-  const {last, firstTokenMilliseconds, wholeMilliseconds} = followed;
+function meetsTargets(outcome: RetriedOutcome, offered: OfferedClass): boolean {
+  const {lastAttempt, firstTokenMilliseconds, wholeMilliseconds} = outcome;
   return (
     (firstTokenMilliseconds ?? Infinity) <= offered.firstTokenMilliseconds &&
-    (last.betweenTokensMilliseconds ?? 0) <=
+    (lastAttempt.betweenTokensMilliseconds ?? 0) <=
       offered.betweenTokensMilliseconds &&
     wholeMilliseconds <= offered.deadlineMilliseconds
   );
--- a/measure/common/requestAccount.ts
+++ b/measure/common/streamSummary.ts
@@ -1,37 +1,36 @@
 import * as zod from 'zod';
 
-/** Accounts for the streams that were not served in time, from the router's decision lines. */
+/** Summarizes why streams missed their latency targets, from the decision lines of the router's log. */
 
-/** Targets of a route; the lines say how long a stream took, not what was asked. */
-export interface AccountTargets {
-  readonly firstMilliseconds: number;
-  readonly pauseMilliseconds: number;
+/** Latency targets of a route. The log lines state only the measured times. */
+export interface StreamTargets {
+  readonly firstEventMilliseconds: number;
+  readonly longestPauseMilliseconds: number;
 }
 
-/** Streams with the same end and the same cause. */
-export interface AccountRow {
-  /** `answered` late, `notRun`, `failed`, `brokenOff` or `callerLeft`, with the reason that the router gave. */
+/** Streams with the same outcome and the same cause. */
+export interface StreamSummaryRow {
+  /** `answered` (late), `notRun`, `failed`, `brokenOff` or `callerLeft`, with the reason that the router logged. */
   readonly outcome: string;
-  /** What was too long; undefined where nothing was. */
+  /** Which target was missed: time to the first event, or longest pause; undefined if neither. */
   readonly late: 'first' | 'pause' | undefined;
-  /** What befell the streams, in the order in which it first did; `nothing` where no line says. */
+  /** Events that affected the streams, in the order of first occurrence; `nothing` when no line states one. */
   readonly cause: string;
   readonly count: number;
-  /** Some request ids, to be looked up in the log. */
+  /** Request ids of a few of the streams, for searching the log. */
   readonly examples: readonly string[];
 }
 
-/** What became of all streams of a log. */
-export interface RequestAccount {
+/** Outcomes of all streams of a log. */
+export interface StreamSummary {
   readonly streams: number;
   readonly inTime: number;
-  /** Most frequent first; with those in time they add up to all. */
-  readonly rows: readonly AccountRow[];
-  /** Streams whose log ends before they did, as on an instance that was killed. */
+  /** Most frequent first. The counts of all rows and `inTime` add up to `streams`. */
+  readonly rows: readonly StreamSummaryRow[];
+  /** Streams without an end line, such as those of an instance that was killed. Not part of `streams`. */
   readonly withoutEnd: number;
 }
 
-/** Examples of each row. */
 const EXAMPLE_LIMIT = 3;
 
 const lineSchema = zod.looseObject({
@@ -47,11 +46,11 @@
   longestPause: zod.number().optional(),
 });
 
-/** One decision line about a request. */
+/** A decision line of the log about one request. */
 type DecisionLine = zod.infer<typeof lineSchema>;
 
-/** What a line adds to the cause; undefined where it is part of every request. */
-function causeOf(line: DecisionLine): string | undefined {
+/** Describes the event of a line as a cause; undefined for events that every request has. */
+function describeCause(line: DecisionLine): string | undefined {
   switch (line.decision) {
     case 'pathChosen':
       return line.cause === 'first' ? undefined : line.cause;
@@ -71,7 +70,7 @@
   }
 }
 
-/** The line that a text holds behind whatever a collector put before it. */
+/** Parses a log line, ignoring any prefix that a log collector added. Returns undefined for other lines. */
 export function parseDecisionLine(text: string): DecisionLine | undefined {
   const start = text.indexOf('{');
   if (start === -1) {
@@ -80,38 +79,41 @@
   try {
     return lineSchema.safeParse(JSON.parse(text.slice(start))).data;
   } catch {
-    // Lines that were cut off, or of another program, are no decision lines.
+    // Truncated lines and lines of other programs are not decision lines.
     return undefined;
   }
 }
 
-function lateness(
+function classifyLateness(
   {first = 0, longestPause = 0}: DecisionLine,
-  targets: AccountTargets,
-): AccountRow['late'] {
-  if (first > targets.firstMilliseconds) {
+  targets: StreamTargets,
+): StreamSummaryRow['late'] {
+  if (first > targets.firstEventMilliseconds) {
     return 'first';
   }
-  return longestPause > targets.pauseMilliseconds ? 'pause' : undefined;
+  return longestPause > targets.longestPauseMilliseconds ? 'pause' : undefined;
 }
 
-function rowOf(
+function createRow(
   lines: readonly DecisionLine[],
   end: DecisionLine,
-  targets: AccountTargets,
-): AccountRow {
-  const causes = new Set(lines.flatMap(line => causeOf(line) ?? []));
+  targets: StreamTargets,
+): StreamSummaryRow {
+  const causes = new Set(lines.flatMap(line => describeCause(line) ?? []));
   const {outcome = 'unknown', reason} = end;
   return {
     outcome: reason === undefined ? outcome : `${outcome}, ${reason}`,
-    late: lateness(end, targets),
+    late: classifyLateness(end, targets),
     cause: [...causes].join(' + ') || 'nothing',
     count: 1,
     examples: [end.request],
   };
 }
 
-function added(known: AccountRow | undefined, row: AccountRow): AccountRow {
+function mergeRow(
+  known: StreamSummaryRow | undefined,
+  row: StreamSummaryRow,
+): StreamSummaryRow {
   return known === undefined
     ? row
     : {
@@ -121,11 +123,11 @@
       };
 }
 
-/** Groups lines by request and sorts the streams that were not in time by how they ended and why. */
-export function accountFor(
+/** Groups the lines by request, and the streams that missed their targets by outcome and cause. */
+export function summarizeStreams(
   texts: Iterable<string>,
-  targets: AccountTargets,
-): RequestAccount {
+  targets: StreamTargets,
+): StreamSummary {
   const byRequest = new Map<string, DecisionLine[]>();
   for (const text of texts) {
     const line = parseDecisionLine(text);
@@ -135,7 +137,7 @@
       byRequest.set(line.request, lines);
     }
   }
-  const rows = new Map<string, AccountRow>();
+  const rows = new Map<string, StreamSummaryRow>();
   let inTime = 0;
   let streams = 0;
   let withoutEnd = 0;
@@ -148,12 +150,12 @@
         : 0;
     } else if (isStream) {
       streams++;
-      const row = rowOf(lines, end, targets);
+      const row = createRow(lines, end, targets);
       if (row.outcome.startsWith('answered') && row.late === undefined) {
         inTime++;
       } else {
         const name = `${row.outcome} ${row.late} ${row.cause}`;
-        rows.set(name, added(rows.get(name), row));
+        rows.set(name, mergeRow(rows.get(name), row));
       }
     }
   }
--- a/measure/common/bound.ts
+++ b/measure/common/throughputBound.ts
@@ -1,20 +1,21 @@
 import {lessEq, Model, solve} from 'yalps';
 
-/** The most on-time work that owned capacity can carry, as a linear program. */
+/** Upper bound of on-time throughput for a given engine capacity, computed as a linear program. */
 
-/** A replica of a model: stages alike, each with as many sequence slots. */
+/** A replica of a model, whose stages are identical. */
 export interface ReplicaCapacity {
   readonly replica: string;
   readonly stages: number;
+  /** Sequences that a stage can hold at a time. */
   readonly sequenceLimit: number;
-  /** Milliseconds of one decode step at one stage. */
+  /** Duration of one decode step at one stage. */
   readonly decodeMilliseconds: number;
   readonly prefillMillisecondsPerToken: number;
-  /** Milliseconds of one hop. */
+  /** Duration of one network hop between stages. */
   readonly linkMilliseconds: number;
 }
 
-/** A class of work as offered. */
+/** A class of work: its arrival rate, request size and latency targets. */
 export interface OfferedClass {
   readonly name: string;
   readonly requestsPerSecond: number;
@@ -25,11 +26,11 @@
   readonly deadlineMilliseconds: number;
 }
 
-/** What the best possible router could finish on time. */
-export interface Bound {
-  /** Output tokens a second over all classes. */
+/** On-time throughput of an optimal router. */
+export interface ThroughputBound {
+  /** Output tokens per second over all classes. */
   readonly tokensPerSecond: number;
-  /** Requests a second by class in that optimum. */
+  /** On-time requests per second of each class at the optimum. */
   readonly requestsPerSecond: Readonly<Record<string, number>>;
 }
 
@@ -39,15 +40,15 @@
   readonly whole: number;
 }
 
-/** Maximises on-time output tokens over the owned capacity; work that can't be on time anywhere is left out. */
-export function solveBound(
+/** Maximizes on-time output tokens. Excludes a class from replicas that can't meet its targets even when idle. */
+export function solveThroughputBound(
   replicas: readonly ReplicaCapacity[],
   classes: readonly OfferedClass[],
-): Bound {
-  const solution = solve(createModel(replicas, classes));
+): ThroughputBound {
+  const solution = solve(createLinearProgram(replicas, classes));
   const requestsPerSecond: Record<string, number> = {};
   for (const offered of classes) {
-    requestsPerSecond[offered.name] = sumOfClass(
+    requestsPerSecond[offered.name] = sumRatesOfClass(
       solution.variables,
       offered.name,
     );
@@ -55,8 +56,8 @@
   return {tokensPerSecond: Math.max(0, solution.result), requestsPerSecond};
 }
 
-/** Times of one class on an idle replica. */
-export function idleTimes(
+/** Estimates the token times, in milliseconds, of a request of the class on an idle replica. */
+export function estimateIdleTimes(
   replica: ReplicaCapacity,
   offered: OfferedClass,
 ): PipelineTimes {
@@ -68,7 +69,7 @@
   return {firstToken, betweenTokens, whole};
 }
 
-function createModel(
+function createLinearProgram(
   replicas: readonly ReplicaCapacity[],
   classes: readonly OfferedClass[],
 ): Model {
@@ -80,7 +81,7 @@
   for (const replica of replicas) {
     constraints[`slots ${replica.replica}`] = lessEq(replica.sequenceLimit);
     for (const offered of classes) {
-      const times = idleTimes(replica, offered);
+      const times = estimateIdleTimes(replica, offered);
       if (!isOnTime(times, offered)) {
         continue;
       }
@@ -102,7 +103,7 @@
   );
 }
 
-function sumOfClass(
+function sumRatesOfClass(
   variables: ReadonlyArray<[string, number]>,
   name: string,
 ): number {
--- a/measure/control.ts
+++ b/measure/control.ts
@@ -4,83 +4,90 @@
 import {SystemOptions} from '../test/support/systemOptions.js';
 import {callJson} from '../test/support/systemParts.js';
 import {sleep} from '../test/support/sleep.js';
-import {ControlFleet, ControlPeriods, FleetUse} from './common/controlFleet.js';
-import {fitCoefficients, fitLine, lineAt} from './common/linearFit.js';
+import {
+  ControlFleet,
+  ControlPeriods,
+  FleetUsage,
+} from './common/controlFleet.js';
+import {fitCoefficients, fitLine, evaluateLine} from './common/linearFit.js';
 import {median, round} from './common/statistics.js';
 
 /**
- * What the control program uses, as slopes over the instances, the listed upstreams and the client
- * accounts, and worked out at the size that the users expect. Bytes are those read and written by the
- * process: bodies and headers, without the network's own. Entry programs are left out.
+ * Measures the resource usage of the control program as a linear function of the numbers of instances,
+ * listed upstreams and client accounts, and extrapolates it to the size that the users expect. Bytes are
+ * those that the process reads and writes: bodies and headers, without the overhead of the network
+ * protocols. No entry programs run.
  */
 
-/** Settings of a run. */
 export interface ControlOptions {
   readonly seed: number;
-  /** Seconds of each reading. */
+  /** Duration of each reading. */
   readonly seconds: number;
 }
 
-/** How the share of a core depends on the size. */
+/** CPU usage, as a share of one core, depending on the size of the system. */
 export interface ControlCpu {
   readonly base: number;
   readonly perInstance: number;
-  /** Of one reading of the list, for each member in it. */
+  /** CPU time of one read of the membership list, per member listed. */
   readonly millisecondsPerMemberRead: number;
-  /** At the expected size, with the list read as often as the byte budget allows. */
+  /** At the expected size, with the list read as often as its byte budget allows. */
   readonly expected: number;
 }
 
-/** How the bytes a second depend on the size; those of list readings are counted apart. */
+/** Bytes per second depending on the size of the system, with the reads of the membership list kept separate. */
 export interface ControlBytes {
   readonly base: number;
   readonly perInstance: number;
   readonly expectedWithoutList: number;
-  /** Readings of the whole list at the expected size, by the rule of the program. */
+  /** For reads of the whole list at the expected size, at the interval that the control program would use. */
   readonly expectedForList: number;
 }
 
-/** Resident memory hardly depends on the size beside what a process keeps free, so the highest reading is stated. */
+/**
+ * Resident memory. It depends less on the size of the system than on the free memory that a process retains,
+ * so the report states the highest reading.
+ */
 export interface ControlMemory {
   readonly highestBytes: number;
   readonly perAccount: number;
 }
 
-/** Changes of the configuration. */
+/** Latency and cost of configuration changes. */
 export interface ChangeReport {
   readonly instances: number;
   readonly accounts: number;
-  /** From the proposal's sending until in force at the last instance. */
+  /** Time from sending the proposal until the change is active at every instance. */
   readonly medianSeconds: number;
   readonly worstSeconds: number;
-  /** Over all instances together, beyond what they use without changes. */
+  /** CPU time of a change, summed over all instances, beyond their usage without changes. */
   readonly cpuMilliseconds: number;
+  /** Bytes of a change, summed and compared in the same way. */
   readonly bytes: number;
 }
 
-/** The outcome of a run. */
 export interface ControlReport {
   readonly seed: number;
   readonly periods: ControlPeriods;
-  readonly readings: readonly Reading[];
+  readonly readings: readonly FleetReading[];
   readonly cpuShare: ControlCpu;
   readonly residentBytes: ControlMemory;
   readonly bytesPerSecond: ControlBytes;
   readonly changes: readonly ChangeReport[];
 }
 
-/** What a fleet used and what it may depend on. */
-export interface Reading extends FleetUse {
+/** Usage of a fleet and the sizes that it can depend on. */
+export interface FleetReading extends FleetUsage {
   readonly upstreams: number;
   readonly accounts: number;
-  /** Readings of the list by one instance, as the platform counted them. */
+  /** Reads of the membership list by one instance, from the counters of the platform stand-in. */
   readonly listReadsPerSecond: number;
-  /** Of one reading. */
+  /** Size of the membership list. */
   readonly listBytes: number;
 }
 
-/** The size that the users expect within two years. */
-export const EXPECTED = {
+/** System size that the users expect within two years. */
+export const EXPECTED_SIZE = {
   instances: 370,
   upstreams: 2400,
   accounts: 5800,
@@ -94,7 +101,7 @@
   confirmationBoundSeconds: 12,
 };
 
-/** Fleets side by side, so that all can settle: instances, and listed upstreams. */
+/** Instances and listed upstreams of each fleet. The fleets run concurrently and so share one settling time. */
 const FLEETS: ReadonlyArray<readonly [number, number]> = [
   [28, 0],
   [14, 50],
@@ -103,84 +110,84 @@
 ];
 const ACCOUNTS = 5800;
 const ACCOUNTS_PER_PROPOSAL = 1000;
-/** Records that changed are told for 20 s. */
+/** Longer than the 20 s for which control programs exchange changed records. */
 const SETTLE_MILLISECONDS = 25_000;
 const PAUSE_MILLISECONDS = 1000;
 const TIMED_CHANGES = 4;
 const COUNTED_CHANGES = 4;
 const CHANGE_SPACING_MILLISECONDS = 250;
-const STAND_INS: Partial<SystemOptions> = {
+const SYSTEM: Partial<SystemOptions> = {
   instances: 0,
   replicas: 1,
   stagesPerReplica: 1,
   services: [],
   ledgerFiles: false,
 };
-const LONG_LIST_BYTES = 100_000;
+const MAXIMUM_FITTED_LIST_BYTES = 100_000;
 const PROBE_CLASS = 'probe';
 
-/** Runs fleets of control programs and reads what they use. */
+/** Runs fleets of control programs and measures their resource usage. */
 export async function measureControl(
   options: ControlOptions,
 ): Promise<ControlReport> {
   const launched = await Promise.allSettled(
     FLEETS.map(([instances, upstreams]) =>
-      FleetBench.launch(instances, upstreams),
+      FleetBenchmark.launch(instances, upstreams),
     ),
   );
   try {
-    const benches = launched.map(one => {
-      if (one.status === 'rejected') {
-        throw one.reason;
+    const benchmarks = launched.map(launch => {
+      if (launch.status === 'rejected') {
+        throw launch.reason;
       }
-      return one.value;
+      return launch.value;
     });
-    return await runFleets(benches, options);
+    return await runFleets(benchmarks, options);
   } finally {
-    for (const one of launched) {
-      if (one.status === 'fulfilled') {
-        await one.value.dispose();
+    for (const launch of launched) {
+      if (launch.status === 'fulfilled') {
+        await launch.value.dispose();
       }
     }
   }
 }
 
 async function runFleets(
-  benches: readonly FleetBench[],
+  benchmarks: readonly FleetBenchmark[],
   options: ControlOptions,
 ): Promise<ControlReport> {
   await sleep(SETTLE_MILLISECONDS);
   const readings = await Promise.all(
-    benches.map(one => one.read(options.seconds)),
+    benchmarks.map(benchmark => benchmark.read(options.seconds)),
   );
-  const [largest] = benches;
+  const [largest] = benchmarks;
   const before = readings[0];
-  const changes = [await largest.readChanges(before)];
+  const changes = [await largest.measureChanges(before)];
   await largest.setAccounts(ACCOUNTS);
   await sleep(PAUSE_MILLISECONDS);
   const after = await largest.read(options.seconds / 2);
-  changes.push(await largest.readChanges(after));
-  const resident = [...readings, after].map(one => one.residentBytes);
+  changes.push(await largest.measureChanges(after));
+  const resident = [...readings, after].map(reading => reading.residentBytes);
   return {
     seed: options.seed,
     periods: PERIODS,
     readings: [...readings, after],
-    cpuShare: cpuSlopes(readings),
+    cpuShare: fitCpu(readings),
     residentBytes: {
       highestBytes: Math.round(Math.max(...resident)),
       perAccount: Math.round(
         (after.residentBytes - before.residentBytes) / ACCOUNTS,
       ),
     },
-    bytesPerSecond: byteSlopes(readings),
+    bytesPerSecond: fitBytes(readings),
     changes,
   };
 }
 
-/** One fleet over a platform of its own. */
-class FleetBench {
+/** A fleet with its own platform stand-in. */
+class FleetBenchmark {
   private accounts = 0;
-  private changes = 0;
+  private changeCount = 0;
 
   private constructor(
     private readonly system: LaunchedSystem,
@@ -191,18 +198,18 @@
   static async launch(
     instances: number,
     upstreams: number,
-  ): Promise<FleetBench> {
-    const system = await LaunchedSystem.launch(STAND_INS);
+  ): Promise<FleetBenchmark> {
+    const system = await LaunchedSystem.launch(SYSTEM);
     const fleet = new ControlFleet(system, PERIODS);
-    const bench = new FleetBench(system, fleet, upstreams);
+    const benchmark = new FleetBenchmark(system, fleet, upstreams);
     try {
-      await fleet.listUpstreams(upstreams, 0);
+      await fleet.setListedUpstreams(upstreams, 0);
       await fleet.growTo(instances);
-      await bench.changeClass();
+      await benchmark.changeClass();
       await fleet.awaitServing();
-      return bench;
+      return benchmark;
     } catch (error) {
-      await bench.dispose();
+      await benchmark.dispose();
       throw error;
     }
   }
@@ -212,10 +219,10 @@
     await this.system.dispose();
   }
 
-  async read(seconds: number): Promise<Reading> {
+  async read(seconds: number): Promise<FleetReading> {
     const {platform} = this.system;
     await platform.resetCounts();
-    const use = await this.fleet.use(seconds * 1000);
+    const use = await this.fleet.measureUsage(seconds * 1000);
     const reads = (await platform.counts())['membership read'].total;
     const listReadsPerSecond = reads / seconds / this.fleet.size;
     const listBytes = await this.listBytes();
@@ -234,113 +241,124 @@
       const until = Math.min(count, this.accounts + ACCOUNTS_PER_PROPOSAL);
       const operations = Array.from(
         {length: until - this.accounts},
-        (_, index) => accountOperation(this.accounts + index),
+        (_, index) => createAccountOperation(this.accounts + index),
       );
       await this.fleet.propose(operations);
       this.accounts = until;
     }
   }
 
-  /** The time until a change is in force everywhere, then the cost of changes without anybody asking. */
-  async readChanges(quiet: Reading): Promise<ChangeReport> {
+  /** Times some changes until they are active everywhere, then measures the cost of further changes without polling. */
+  async measureChanges(baseline: FleetReading): Promise<ChangeReport> {
     const seconds: number[] = [];
     for (let count = 0; count < TIMED_CHANGES; count++) {
       const from = performance.now();
       const value = await this.changeClass();
-      await this.fleet.awaitClass(PROBE_CLASS, value);
+      await this.fleet.awaitClassRate(PROBE_CLASS, value);
       seconds.push((performance.now() - from) / 1000);
     }
-    const before = this.fleet.readings();
+    const before = this.fleet.readUsage();
     for (let count = 0; count < COUNTED_CHANGES; count++) {
       await this.changeClass();
       await sleep(CHANGE_SPACING_MILLISECONDS);
     }
     await sleep(PAUSE_MILLISECONDS);
-    const use = this.fleet.useSince(before);
-    const passed = (performance.now() - before[0].at) / 1000;
-    const perChange = (passed * this.fleet.size) / COUNTED_CHANGES;
+    const use = this.fleet.usageSince(before);
+    const elapsedSeconds = (performance.now() - before[0].at) / 1000;
+    const perChange = (elapsedSeconds * this.fleet.size) / COUNTED_CHANGES;
     return {
       instances: this.fleet.size,
       accounts: this.accounts,
       medianSeconds: round(median(seconds)),
       worstSeconds: round(Math.max(...seconds)),
       cpuMilliseconds: round(
-        (use.cpuShare - quiet.cpuShare) * perChange * 1000,
+        (use.cpuShare - baseline.cpuShare) * perChange * 1000,
         1,
       ),
       bytes: Math.round(
-        (use.bytesPerSecond - quiet.bytesPerSecond) * perChange,
+        (use.bytesPerSecond - baseline.bytesPerSecond) * perChange,
       ),
     };
   }
 
   private async changeClass(): Promise<number> {
-    this.changes++;
-    await this.fleet.putClass(PROBE_CLASS, this.changes);
-    return this.changes;
+    this.changeCount++;
+    await this.fleet.putClass(PROBE_CLASS, this.changeCount);
+    return this.changeCount;
   }
 }
 
-function cpuSlopes(readings: readonly Reading[]): ControlCpu {
+function fitCpu(readings: readonly FleetReading[]): ControlCpu {
   const [base, perInstance, perMemberRead] = fitCoefficients(
-    readings.map(one => ({
-      figure: one.cpuShare,
-      regressors: [1, one.instances, membersOf(one) * one.listReadsPerSecond],
+    readings.map(reading => ({
+      measurement: reading.cpuShare,
+      regressors: [
+        1,
+        reading.instances,
+        countMembers(reading) * reading.listReadsPerSecond,
+      ],
     })),
   );
-  const {membersPerSecond} = expectedList(readings);
+  const {membersPerSecond} = predictListReads(readings);
   return {
     base,
     perInstance,
     millisecondsPerMemberRead: perMemberRead * 1000,
     expected:
       base +
-      perInstance * EXPECTED.instances +
+      perInstance * EXPECTED_SIZE.instances +
       perMemberRead * membersPerSecond,
   };
 }
 
 /**
- * Bytes of list readings are known from their count and size, so that a rare reading doesn't hide the
- * rest; a reading of a long list that the time cuts in two would, so fleets with such a list are left out.
+ * Fits the bytes per second after subtracting the list reads, computed from their count and size, since a
+ * rare list read would distort the fit. Fleets with a long list are excluded: a read that is in progress
+ * when the interval starts or ends is counted wrongly, and its error would exceed the other traffic.
  */
-function byteSlopes(readings: readonly Reading[]): ControlBytes {
-  const short = readings.filter(one => one.listBytes <= LONG_LIST_BYTES);
+function fitBytes(readings: readonly FleetReading[]): ControlBytes {
+  const short = readings.filter(
+    reading => reading.listBytes <= MAXIMUM_FITTED_LIST_BYTES,
+  );
   const line = fitLine(
-    short.map(one => ({
-      at: one.instances,
-      figure: one.bytesPerSecond - one.listReadsPerSecond * one.listBytes,
+    short.map(reading => ({
+      x: reading.instances,
+      y:
+        reading.bytesPerSecond - reading.listReadsPerSecond * reading.listBytes,
     })),
   );
   return {
     base: line.intercept,
     perInstance: line.slope,
-    expectedWithoutList: lineAt(line, EXPECTED.instances),
-    expectedForList: expectedList(readings).bytesPerSecond,
+    expectedWithoutList: evaluateLine(line, EXPECTED_SIZE.instances),
+    expectedForList: predictListReads(readings).bytesPerSecond,
   };
 }
 
-/** An instance reads as often as its budget allows, yet all together not more often than needed. */
-function expectedList(readings: readonly Reading[]): {
+/**
+ * Predicts the list reads of an instance at the expected size: as frequent as the byte budget of the instance
+ * allows, but by all instances together no more frequent than the configured read interval requires.
+ */
+function predictListReads(readings: readonly FleetReading[]): {
   readonly bytesPerSecond: number;
   readonly membersPerSecond: number;
 } {
-  const longest = readings.reduce((best, one) =>
-    one.listBytes > best.listBytes ? one : best,
+  const longest = readings.reduce((best, reading) =>
+    reading.listBytes > best.listBytes ? reading : best,
   );
-  const members = EXPECTED.instances + EXPECTED.upstreams;
-  const bytes = (members * longest.listBytes) / membersOf(longest);
+  const members = EXPECTED_SIZE.instances + EXPECTED_SIZE.upstreams;
+  const bytes = (members * longest.listBytes) / countMembers(longest);
   const affordable = bytes / PERIODS.membershipReadBytesPerSecond;
-  const shared = EXPECTED.instances * PERIODS.membershipReadSeconds;
+  const shared = EXPECTED_SIZE.instances * PERIODS.membershipReadSeconds;
   const seconds = Math.min(affordable, shared);
   return {bytesPerSecond: bytes / seconds, membersPerSecond: members / seconds};
 }
 
-function membersOf(reading: Reading): number {
+function countMembers(reading: FleetReading): number {
   return reading.instances + reading.upstreams;
 }
 
-function accountOperation(index: number): object {
+function createAccountOperation(index: number): object {
   const name = `account-${index}`;
   const keyHash = createHash('sha256').update(name).digest('hex');
   return {kind: 'setClientAccount', value: {name, keyHash}};
--- a/measure/main.ts
+++ b/measure/main.ts
@@ -1,17 +1,17 @@
 import {parseArgs} from 'node:util';
 
-import {accountForLog} from './account.js';
+import {summarizeLog} from './account.js';
 import {measureControl} from './control.js';
 import {measureOverhead} from './overhead.js';
 import {measureRecovery} from './recovery.js';
 import {measureSlopes} from './slopes.js';
 import {measureThroughput} from './throughput.js';
 
-/** Runs one measure and prints its figures as one JSON line, the last line of its output. */
+/** Runs one measurement and prints its report as JSON on the last line of the output. */
 
 const DEFAULT_SEED = 20261202;
 
-/** Targets of the users' stream routes: time to the first event, and the shortest pause that any of them allows. */
+/** Targets of the users' stream routes: time to the first event, and the strictest limit on pauses of any route. */
 const FIRST_MILLISECONDS = 500;
 const PAUSE_MILLISECONDS = 200;
 
@@ -26,7 +26,7 @@
 
 interface Measure {
   readonly run: (options: MeasureOptions) => Promise<object>;
-  /** Seconds of one part of it, where none are given. */
+  /** Default of the option `--seconds`: duration of each step of the measurement. */
   readonly seconds: number;
 }
 
@@ -51,10 +51,10 @@
     },
   });
   if (positionals[0] === 'account' && values.log !== undefined) {
-    const account = accountForLog({
+    const account = summarizeLog({
       log: values.log,
-      firstMilliseconds: Number(values.first ?? FIRST_MILLISECONDS),
-      pauseMilliseconds: Number(values.pause ?? PAUSE_MILLISECONDS),
+      firstEventMilliseconds: Number(values.first ?? FIRST_MILLISECONDS),
+      longestPauseMilliseconds: Number(values.pause ?? PAUSE_MILLISECONDS),
     });
     console.log(JSON.stringify(account));
     return 0;
--- a/measure/overhead.ts
+++ b/measure/overhead.ts
@@ -6,60 +6,60 @@
 import {HttpEngineConnector} from '../src/infrastructure/engine/node/httpEngineConnector.js';
 import {sleep} from '../test/support/sleep.js';
 import {SystemOptions} from '../test/support/systemOptions.js';
-import {OfferedClass} from './common/bound.js';
-import {RoundWork, runRound} from './common/closedLoop.js';
+import {OfferedClass} from './common/throughputBound.js';
+import {RoundTotals, runClosedLoop} from './common/closedLoop.js';
 import {DirectPipeline} from './common/directPipeline.js';
 import {fitCoefficients, Observation} from './common/linearFit.js';
 import {
-  launchMeasured,
+  launchMeasuredSystem,
   MeasuredSystem,
-  promptOf,
+  createPrompt,
 } from './common/measuredSystem.js';
 import {OfferedAccount} from './common/openLoad.js';
-import {readUse} from './common/processUse.js';
+import {readProcessUsage} from './common/processUsage.js';
 import {round, TimeHistogram} from './common/statistics.js';
 
 /**
- * Time that the router adds over calling the same engines directly, at rising concurrency. Direct and
- * routed rounds take turns, so that the load of the machine touches both alike. The direct side runs
- * the router's own engine client in the measuring process.
+ * Measures the latency that the router adds to direct calls of the same engines, at increasing concurrency.
+ * Direct and routed rounds alternate, so that other load on the machine affects both equally. Direct calls
+ * use the router's engine client in the measuring process.
  */
 
-/** Settings of a run. */
 export interface OverheadOptions {
   readonly seed: number;
-  /** Seconds of each round. */
+  /** Duration of each round. */
   readonly seconds: number;
 }
 
-/** Milliseconds that the router adds at one percentile. */
-export interface AddedTime {
+/** Median and 95th percentile of a latency, or of the latency that the router adds, in milliseconds. */
+export interface PercentileTimes {
   readonly median: number;
   readonly p95: number;
 }
 
-/** One concurrency's outcome. */
-export interface OverheadReport {
+/** Results at one level of concurrency. */
+export interface LevelReport {
   readonly concurrency: number;
   readonly requests: number;
   readonly failed: number;
-  readonly addedFirstTokenMilliseconds: AddedTime;
-  readonly addedBetweenTokensMilliseconds: AddedTime;
-  readonly directFirstTokenMilliseconds: AddedTime;
-  readonly directBetweenTokensMilliseconds: AddedTime;
-  /** CPU of the entry program over the tokens of its rounds. */
+  readonly addedFirstTokenMilliseconds: PercentileTimes;
+  readonly addedBetweenTokensMilliseconds: PercentileTimes;
+  readonly directFirstTokenMilliseconds: PercentileTimes;
+  readonly directBetweenTokensMilliseconds: PercentileTimes;
+  /** CPU time of the entry program divided by the number of tokens in its rounds. */
   readonly entryCpuMillisecondsPerToken: number;
+  /** CPU usage of the entry program, as a share of one core. */
   readonly entryCpuShare: number;
 }
 
-/** The outcome of a run. */
-export interface OverheadReports {
+/** Results at all levels. */
+export interface OverheadReport {
   readonly seed: number;
-  readonly levels: readonly OverheadReport[];
-  /** Worst over the levels, at the median. */
+  readonly levels: readonly LevelReport[];
+  /** Highest median of all levels. */
   readonly addedFirstTokenMilliseconds: number;
   readonly addedBetweenTokensMilliseconds: number;
-  /** CPU of the entry program by request and by token, by least squares over all rounds. */
+  /** CPU time of the entry program per request, token and idle second, by a least-squares fit over all rounds. */
   readonly entryCpuMilliseconds: {
     readonly perRequest: number;
     readonly perToken: number;
@@ -68,14 +68,14 @@
 }
 
 const CONCURRENCIES = [1, 8, 32, 64];
-/** Output tokens of the requests of a round; the rounds differ so that a request's cost shows beside a token's. */
+/** Output tokens per request of each round; they differ to let the fit separate the cost per request and per token. */
 const OUTPUT_TOKENS = [12, 32, 12];
 const PROMPT_TOKENS = 16;
 const IDLE_MILLISECONDS = 1500;
 
 const SYSTEM: Partial<SystemOptions> = {
   instances: 1,
-  // One pipeline, so that both sides load the same engines alike.
+  // A single pipeline, so that direct and routed rounds put the same load on the same engines.
   replicas: 1,
   stagesPerReplica: 2,
   accelerators: [
@@ -101,35 +101,35 @@
 
 const ACCOUNT: OfferedAccount = {name: 'one', bearerKey: 'key-one', share: 1};
 
-/** Runs all levels and gives the times added. */
+/** Measures the added latency at all levels of concurrency. */
 export async function measureOverhead(
   options: OverheadOptions,
-): Promise<OverheadReports> {
-  const measured = await launchMeasured(SYSTEM, [CLASS], [ACCOUNT]);
-  const bench = new OverheadBench(measured, options);
+): Promise<OverheadReport> {
+  const measured = await launchMeasuredSystem(SYSTEM, [CLASS], [ACCOUNT]);
+  const benchmark = new OverheadBenchmark(measured, options);
   try {
-    return await bench.run();
+    return await benchmark.run();
   } finally {
-    bench.dispose();
+    benchmark.dispose();
     await measured.dispose();
   }
 }
 
-/** Times of one side at one level. */
-class SideTimes {
+/** Token latencies of the direct or the routed rounds of one level. */
+class TokenTimes {
   readonly first = new TimeHistogram();
-  readonly between = new TimeHistogram();
+  readonly betweenTokens = new TimeHistogram();
   failed = 0;
 
   add(startedAt: number, tokenTimes: readonly number[]): void {
     this.first.add(tokenTimes[0] - startedAt);
     for (let index = 1; index < tokenTimes.length; index++) {
-      this.between.add(tokenTimes[index] - tokenTimes[index - 1]);
+      this.betweenTokens.add(tokenTimes[index] - tokenTimes[index - 1]);
     }
   }
 }
 
-class OverheadBench {
+class OverheadBenchmark {
   private readonly connector = new HttpEngineConnector();
   private readonly pipelines: readonly DirectPipeline[];
   private readonly observations: Observation[] = [];
@@ -149,10 +149,10 @@
     });
   }
 
-  async run(): Promise<OverheadReports> {
+  async run(): Promise<OverheadReport> {
     await this.warmUp();
     await this.observeIdle();
-    const levels: OverheadReport[] = [];
+    const levels: LevelReport[] = [];
     for (const concurrency of CONCURRENCIES) {
       levels.push(await this.runLevel(concurrency));
     }
@@ -180,19 +180,19 @@
     this.connector.dispose();
   }
 
-  /** Compiles the hot code of both sides and opens connections. */
+  /** Lets the JIT compiler optimize both code paths, and opens connections. */
   private async warmUp(): Promise<void> {
     const milliseconds = this.roundMilliseconds;
-    const top = Math.max(...CONCURRENCIES);
-    await this.round(top, milliseconds, () =>
-      this.direct(new SideTimes(), CLASS.outputTokens),
+    const maximumConcurrency = Math.max(...CONCURRENCIES);
+    await this.runRound(maximumConcurrency, milliseconds, () =>
+      this.sendDirect(new TokenTimes(), CLASS.outputTokens),
     );
-    await this.round(top, milliseconds, () =>
-      this.routed(new SideTimes(), CLASS.outputTokens),
+    await this.runRound(maximumConcurrency, milliseconds, () =>
+      this.sendRouted(new TokenTimes(), CLASS.outputTokens),
     );
   }
 
-  /** What the entry program uses without requests. */
+  /** Observes the CPU time of the entry program without requests. */
   private async observeIdle(): Promise<void> {
     await this.observed(async () => {
       await sleep(IDLE_MILLISECONDS);
@@ -200,35 +200,41 @@
     });
   }
 
-  private async runLevel(concurrency: number): Promise<OverheadReport> {
-    const direct = new SideTimes();
-    const routed = new SideTimes();
+  private async runLevel(concurrency: number): Promise<LevelReport> {
+    const direct = new TokenTimes();
+    const routed = new TokenTimes();
     let tokens = 0;
-    let cpu = 0;
+    let cpuMilliseconds = 0;
     let milliseconds = 0;
     for (const outputTokens of OUTPUT_TOKENS) {
-      await this.round(concurrency, this.roundMilliseconds, () =>
-        this.direct(direct, outputTokens),
+      await this.runRound(concurrency, this.roundMilliseconds, () =>
+        this.sendDirect(direct, outputTokens),
       );
       const observation = await this.observed(() =>
-        this.round(concurrency, this.roundMilliseconds, () =>
-          this.routed(routed, outputTokens),
+        this.runRound(concurrency, this.roundMilliseconds, () =>
+          this.sendRouted(routed, outputTokens),
         ),
       );
       tokens += observation.regressors[1];
-      cpu += observation.figure;
+      cpuMilliseconds += observation.measurement;
       milliseconds += observation.regressors[2] * 1000;
     }
     return {
       concurrency,
       requests: routed.first.count,
       failed: direct.failed + routed.failed,
-      addedFirstTokenMilliseconds: added(routed.first, direct.first),
-      addedBetweenTokensMilliseconds: added(routed.between, direct.between),
-      directFirstTokenMilliseconds: timesOf(direct.first),
-      directBetweenTokensMilliseconds: timesOf(direct.between),
-      entryCpuMillisecondsPerToken: round(cpu / tokens),
-      entryCpuShare: round(cpu / milliseconds),
+      addedFirstTokenMilliseconds: subtractPercentiles(
+        routed.first,
+        direct.first,
+      ),
+      addedBetweenTokensMilliseconds: subtractPercentiles(
+        routed.betweenTokens,
+        direct.betweenTokens,
+      ),
+      directFirstTokenMilliseconds: readPercentiles(direct.first),
+      directBetweenTokensMilliseconds: readPercentiles(direct.betweenTokens),
+      entryCpuMillisecondsPerToken: round(cpuMilliseconds / tokens),
+      entryCpuShare: round(cpuMilliseconds / milliseconds),
     };
   }
 
@@ -236,30 +242,32 @@
     return this.options.seconds * 1000;
   }
 
-  private round(
+  private runRound(
     concurrency: number,
     milliseconds: number,
     request: () => Promise<number>,
-  ): Promise<RoundWork> {
-    return runRound(concurrency, milliseconds, this.random, request);
+  ): Promise<RoundTotals> {
+    return runClosedLoop(concurrency, milliseconds, this.random, request);
   }
 
-  private async observed(run: () => Promise<RoundWork>): Promise<Observation> {
+  private async observed(
+    run: () => Promise<RoundTotals>,
+  ): Promise<Observation> {
     const {pid} = this.measured.system.instances[0].entry;
-    const before = readUse(pid);
+    const before = readProcessUsage(pid);
     const {requests, tokens} = await run();
-    const after = readUse(pid);
+    const after = readProcessUsage(pid);
     const seconds = (after.at - before.at) / 1000;
     const observation = {
-      figure: after.cpuMilliseconds - before.cpuMilliseconds,
+      measurement: after.cpuMilliseconds - before.cpuMilliseconds,
       regressors: [requests, tokens, seconds],
     };
     this.observations.push(observation);
     return observation;
   }
 
-  private async direct(
-    times: SideTimes,
+  private async sendDirect(
+    times: TokenTimes,
     outputTokens: number,
   ): Promise<number> {
     const pipeline = this.pipelines[this.index % this.pipelines.length];
@@ -270,8 +278,8 @@
     return reply.tokenTimes.length;
   }
 
-  private async routed(
-    times: SideTimes,
+  private async sendRouted(
+    times: TokenTimes,
     outputTokens: number,
   ): Promise<number> {
     const [caller] = this.measured.callers;
@@ -295,18 +303,21 @@
 
   private nextPrompt(outputTokens: number): string {
     this.index++;
-    return promptOf({...CLASS, outputTokens}, this.index);
+    return createPrompt({...CLASS, outputTokens}, this.index);
   }
 }
 
-function added(routed: TimeHistogram, direct: TimeHistogram): AddedTime {
+function subtractPercentiles(
+  routed: TimeHistogram,
+  direct: TimeHistogram,
+): PercentileTimes {
   return {
     median: round(routed.percentile(50) - direct.percentile(50)),
     p95: round(routed.percentile(95) - direct.percentile(95)),
   };
 }
 
-function timesOf(histogram: TimeHistogram): AddedTime {
+function readPercentiles(histogram: TimeHistogram): PercentileTimes {
   return {
     median: round(histogram.percentile(50)),
     p95: round(histogram.percentile(95)),
--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -4,55 +4,54 @@
 import {LaunchedSystem} from '../test/support/launcher.js';
 import {sleep} from '../test/support/sleep.js';
 import {SystemOptions} from '../test/support/systemOptions.js';
-import {OfferedClass, solveBound} from './common/bound.js';
-import {FollowingCaller} from './common/followingCaller.js';
+import {OfferedClass, solveThroughputBound} from './common/throughputBound.js';
+import {RetryingCaller} from './common/retryingCaller.js';
 import {
-  capacityOf,
-  isRightReply,
-  launchMeasured,
+  listReplicaCapacities,
+  createReplyCheck,
+  launchMeasuredSystem,
   MeasuredSystem,
 } from './common/measuredSystem.js';
 import {OfferedAccount} from './common/openLoad.js';
 import {createFaults, InjectedFault} from './common/recoveryFaults.js';
-import {recoveryOf} from './common/recoveryTime.js';
+import {computeRecovery} from './common/recoveryTime.js';
 import {median, round} from './common/statistics.js';
 import {SteadyLoad} from './common/steadyLoad.js';
 
 /**
- * Seconds from a fault until targets are met again, as recoveryTime.ts defines it, under a steady load
- * of 0.6 of capacity. The own and the naive version run side by side and get each fault at the same
- * moment. The list goes on naming what failed, as the platform's does for a while.
+ * Measures the time from a fault until targets are met again, as defined in recoveryTime.ts, under a steady
+ * load of 0.6 of capacity. A system with the router's own policy and one with the naive policy run
+ * concurrently and get each fault at the same time. The membership list keeps the failed members, as the
+ * platform's list does for some time after a failure.
  */
 
-/** Settings of a run. */
 export interface RecoveryOptions {
   readonly seed: number;
-  /** Longest time that a fault is watched. */
+  /** Longest time that a fault stays injected. */
   readonly seconds: number;
 }
 
-/** One fault's outcome. */
+/** Results for one fault. */
 export interface FaultReport {
   readonly fault: string;
   readonly seconds: number;
   readonly naiveSeconds: number;
-  /** False when the version missed targets to the end of the watched time, which `seconds` then states. */
+  /** False when targets were still missed at the end of the fault; `seconds` is then its whole duration. */
   readonly recovered: boolean;
   readonly naiveRecovered: boolean;
-  /** Requests that arrived in the watched time and the parts of them that met their targets. */
+  /** Requests that arrived during the fault; `met` and `naiveMet` are the shares that met their targets. */
   readonly requests: number;
   readonly met: number;
   readonly naiveMet: number;
 }
 
-/** The outcome of a run. */
 export interface RecoveryReport {
   readonly seed: number;
   readonly requestsPerSecond: number;
   readonly cases: readonly FaultReport[];
   readonly medianSeconds: number;
   readonly worstSeconds: number;
-  /** Quarantines and new plans for running work while nothing was wrong. */
+  /** Quarantines, and pipelines planned anew for running requests, during the interval without faults. */
   readonly falseDetections: number;
   readonly faultFreeSeconds: number;
   readonly faultFreeMet: number;
@@ -61,16 +60,16 @@
 }
 
 const LAYER_COUNT = 8;
-const LOAD = 0.6;
+const LOAD_SHARE = 0.6;
 const WARM_UP_MILLISECONDS = 2500;
 const FAULT_FREE_MILLISECONDS = 3000;
-/** Longer than engines keep the slots of sequences that nobody goes on with. */
+/** Longer than engines keep the slots of abandoned sequences. */
 const SETTLE_MILLISECONDS = 1800;
 const POLL_MILLISECONDS = 100;
-/** A request that is on time has ended after this. */
-const REPLY_MILLISECONDS = 900;
-/** A fault may end when both versions have been good for so long. */
-const QUIET_MILLISECONDS = 2000;
+/** Requests that started longer ago than this have ended if they are on time. */
+const MAXIMUM_REPLY_MILLISECONDS = 900;
+/** A fault is repaired early when both systems have met their targets for this time. */
+const STABLE_MILLISECONDS = 2000;
 const ENGINE_IDLE_MILLISECONDS = 1000;
 const ACCOUNTS: readonly OfferedAccount[] = Array.from(
   {length: 12},
@@ -97,7 +96,7 @@
   ],
   sequenceLimit: 6,
   enginesPerProcess: 2,
-  // Nobody ends the sequences of a killed entry instance; until then they hold their slots.
+  // No caller cancels the sequences of a killed entry instance: they hold their slots until this timeout.
   engineSettings: {idleMilliseconds: ENGINE_IDLE_MILLISECONDS},
   cellSize: 8,
   services: [],
@@ -116,79 +115,85 @@
   deadlineMilliseconds: 3000,
 };
 
-/** Injects each fault into both versions and gives the times. */
+/** Injects each fault into both systems and reports their recovery times. */
 export async function measureRecovery(
   options: RecoveryOptions,
 ): Promise<RecoveryReport> {
   const offered = {...CLASS, requestsPerSecond: 200};
   const launched = await Promise.allSettled([
-    launchMeasured(SYSTEM, [offered], ACCOUNTS),
-    launchMeasured({...SYSTEM, policy: 'naive'}, [offered], ACCOUNTS),
+    launchMeasuredSystem(SYSTEM, [offered], ACCOUNTS),
+    launchMeasuredSystem({...SYSTEM, policy: 'naive'}, [offered], ACCOUNTS),
   ]);
   try {
-    const [own, naive] = launched.map(one => {
-      if (one.status === 'rejected') {
-        throw one.reason;
+    const [own, naive] = launched.map(launch => {
+      if (launch.status === 'rejected') {
+        throw launch.reason;
       }
-      return new WatchedSystem(one.value, options.seed);
+      return new SystemUnderTest(launch.value, options.seed);
     });
-    return await new RecoveryBench(own, naive, options).run();
+    return await new RecoveryBenchmark(own, naive, options).run();
   } finally {
-    for (const one of launched) {
-      if (one.status === 'fulfilled') {
-        await one.value.dispose();
+    for (const launch of launched) {
+      if (launch.status === 'fulfilled') {
+        await launch.value.dispose();
       }
     }
   }
 }
 
-/** One version with its load and its faults. */
-class WatchedSystem {
+/** A system with its load and its faults. */
+class SystemUnderTest {
   readonly load: SteadyLoad;
   readonly requestsPerSecond: number;
   readonly faults: readonly InjectedFault[];
-  private readonly callers: readonly FollowingCaller[];
+  private readonly callers: readonly RetryingCaller[];
   private readonly system: LaunchedSystem;
 
   constructor(measured: MeasuredSystem, seed: number) {
     const {system} = measured;
     this.system = system;
-    const capacity = capacityOf(system);
+    const capacity = listReplicaCapacities(system);
     const unbounded = {...CLASS, requestsPerSecond: 1e6};
-    const bound = solveBound(capacity, [unbounded]);
-    this.requestsPerSecond = LOAD * bound.requestsPerSecond[CLASS.name];
+    const bound = solveThroughputBound(capacity, [unbounded]);
+    this.requestsPerSecond = LOAD_SHARE * bound.requestsPerSecond[CLASS.name];
     this.callers = ACCOUNTS.map((account, index) => {
-      const addresses = system.instances.map(one => one.member.callerAddress);
+      const addresses = system.instances.map(
+        instance => instance.member.callerAddress,
+      );
       const start = index % addresses.length;
       const seeds = [...addresses.slice(start), ...addresses.slice(0, start)];
-      return new FollowingCaller(seeds, account.bearerKey);
+      return new RetryingCaller(seeds, account.bearerKey);
     });
     const offered = {...CLASS, requestsPerSecond: this.requestsPerSecond};
     this.load = new SteadyLoad(
-      {offered, model: 'assistant', isCorrect: isRightReply(LAYER_COUNT)},
+      {
+        offered,
+        model: 'assistant',
+        isCorrectReply: createReplyCheck(LAYER_COUNT),
+      },
       this.callers,
       new SeededRandomSource(seed),
     );
     this.faults = createFaults(system);
   }
 
-  /** Lines that tell of a detected fault. */
-  detections(): number {
+  /** Counts the log lines that report a detected fault. */
+  countDetections(): number {
     return this.system.instances
       .map(instance => readFileSync(instance.entry.logFile, 'utf8'))
       .flatMap(text => text.split('\n'))
       .filter(isDetection).length;
   }
 
-  /** Share of the requests of a time that met their targets. */
-  met(
+  /** Counts the requests that started in an interval, and the share of them that met their targets. */
+  measureMet(
     from: number,
     to: number,
   ): {readonly count: number; readonly share: number} {
     const all = this.load.records.filter(
-      one => one.startedAt >= from && one.startedAt < to,
+      record => record.startedAt >= from && record.startedAt < to,
     );
-    const met = all.filter(one => one.met).length;
+    const met = all.filter(record => record.hasMetTargets).length;
     return {count: all.length, share: round(met / Math.max(1, all.length))};
   }
 
@@ -198,39 +203,39 @@
   }
 }
 
-interface WatchedTime {
+interface FaultInterval {
   readonly fault: string;
   readonly from: number;
   readonly to: number;
 }
 
-class RecoveryBench {
-  private readonly both: readonly WatchedSystem[];
+class RecoveryBenchmark {
+  private readonly both: readonly SystemUnderTest[];
 
   constructor(
-    private readonly own: WatchedSystem,
-    private readonly naive: WatchedSystem,
+    private readonly own: SystemUnderTest,
+    private readonly naive: SystemUnderTest,
     private readonly options: RecoveryOptions,
   ) {
     this.both = [own, naive];
   }
 
   async run(): Promise<RecoveryReport> {
-    const loads = this.both.map(one => one.load.run());
+    const loads = this.both.map(system => system.load.run());
     await sleep(WARM_UP_MILLISECONDS);
     const quietFrom = performance.now();
-    const before = this.own.detections();
+    const before = this.own.countDetections();
     await sleep(FAULT_FREE_MILLISECONDS);
-    const falseDetections = this.own.detections() - before;
+    const falseDetections = this.own.countDetections() - before;
     const quietTo = performance.now();
-    const watched: WatchedTime[] = [];
+    const intervals: FaultInterval[] = [];
     for (let index = 0; index < this.own.faults.length; index++) {
-      watched.push(await this.watch(index));
+      intervals.push(await this.watch(index));
     }
-    await Promise.all(this.both.map(one => one.close()));
+    await Promise.all(this.both.map(system => system.close()));
     await Promise.all(loads);
-    const cases = watched.map(time => this.report(time));
-    const seconds = cases.map(one => one.seconds);
+    const cases = intervals.map(time => this.report(time));
+    const seconds = cases.map(report => report.seconds);
     return {
       seed: this.options.seed,
       requestsPerSecond: round(this.own.requestsPerSecond, 1),
@@ -239,44 +244,50 @@
       worstSeconds: Math.max(...seconds),
       falseDetections,
       faultFreeSeconds: FAULT_FREE_MILLISECONDS / 1000,
-      faultFreeMet: this.own.met(quietFrom, quietTo).share,
-      naiveFaultFreeMet: this.naive.met(quietFrom, quietTo).share,
+      faultFreeMet: this.own.measureMet(quietFrom, quietTo).share,
+      naiveFaultFreeMet: this.naive.measureMet(quietFrom, quietTo).share,
       wrongReplies: this.both
-        .flatMap(one => one.load.records)
-        .filter(one => one.followed.last.whole && !one.correct).length,
+        .flatMap(system => system.load.records)
+        .filter(
+          record => record.callOutcome.lastAttempt.whole && !record.isCorrect,
+        ).length,
     };
   }
 
-  /** Injects one fault into both, waits until both are good again or the time is over, and mends it. */
-  private async watch(index: number): Promise<WatchedTime> {
-    const faults = this.both.map(one => one.faults[index]);
+  /** Injects one fault into both systems, waits for both to recover or for the time limit, and repairs it. */
+  private async watch(index: number): Promise<FaultInterval> {
+    const faults = this.both.map(system => system.faults[index]);
     await Promise.all(faults.map(fault => fault.inject()));
     const from = performance.now();
     const limit = from + this.options.seconds * 1000;
-    while (performance.now() < limit && !this.areGood(from)) {
+    while (performance.now() < limit && !this.haveRecovered(from)) {
       await sleep(POLL_MILLISECONDS);
     }
     const to = performance.now();
-    await Promise.all(faults.map(fault => fault.mend()));
+    await Promise.all(faults.map(fault => fault.repair()));
     if (index < this.own.faults.length - 1) {
       await sleep(SETTLE_MILLISECONDS);
     }
     return {fault: faults[0].name, from, to};
   }
 
-  /** Whether both have met targets for some time, as far as requests have had time to end. */
-  private areGood(from: number): boolean {
-    const until = performance.now() - REPLY_MILLISECONDS;
-    return this.both.every(one => {
-      const {seconds, recovered} = recoveryOf(one.load.records, from, until);
-      return recovered && until - from - seconds * 1000 >= QUIET_MILLISECONDS;
+  /** Whether both systems have met their targets for the stable time, judged by requests that have had time to end. */
+  private haveRecovered(from: number): boolean {
+    const until = performance.now() - MAXIMUM_REPLY_MILLISECONDS;
+    return this.both.every(system => {
+      const {seconds, recovered} = computeRecovery(
+        system.load.records,
+        from,
+        until,
+      );
+      return recovered && until - from - seconds * 1000 >= STABLE_MILLISECONDS;
     });
   }
 
-  private report({fault, from, to}: WatchedTime): FaultReport {
-    const own = recoveryOf(this.own.load.records, from, to);
-    const naive = recoveryOf(this.naive.load.records, from, to);
-    const met = this.own.met(from, to);
+  private report({fault, from, to}: FaultInterval): FaultReport {
+    const own = computeRecovery(this.own.load.records, from, to);
+    const naive = computeRecovery(this.naive.load.records, from, to);
+    const met = this.own.measureMet(from, to);
     return {
       fault,
       seconds: round(own.seconds),
@@ -285,7 +296,7 @@
       naiveRecovered: naive.recovered,
       requests: met.count,
       met: met.share,
-      naiveMet: this.naive.met(from, to).share,
+      naiveMet: this.naive.measureMet(from, to).share,
     };
   }
 }
--- a/measure/slopes.ts
+++ b/measure/slopes.ts
@@ -6,76 +6,78 @@
 import {sleep} from '../test/support/sleep.js';
 import {SystemOptions} from '../test/support/systemOptions.js';
 import {InstanceHandle} from '../test/support/systemParts.js';
-import {OfferedClass} from './common/bound.js';
+import {OfferedClass} from './common/throughputBound.js';
 import {Caller} from './common/caller.js';
 import {ClaimReport, measureClaims} from './common/claimLoad.js';
-import {runRound} from './common/closedLoop.js';
+import {runClosedLoop} from './common/closedLoop.js';
 import {fitCoefficients, fitLine, Observation} from './common/linearFit.js';
 import {
-  launchMeasured,
+  launchMeasuredSystem,
   MeasuredSystem,
-  promptOf,
+  createPrompt,
 } from './common/measuredSystem.js';
 import {OfferedAccount} from './common/openLoad.js';
-import {ratesBetween, readUse, UseRates} from './common/processUse.js';
+import {
+  computeUsageRates,
+  readProcessUsage,
+  UsageRates,
+} from './common/processUsage.js';
 import {round} from './common/statistics.js';
 
 /**
- * What the entry program and the platform's services are asked for, as slopes: requests, tokens,
- * reservations, client accounts, upstreams, claims, instances. One cell of one data centre, so that one
- * instance owns it and the others reserve there.
+ * Measures how the load on the entry program and the platform's services grows with the numbers of
+ * requests, tokens, reservations, client accounts, upstreams, claims and instances. There is a single cell
+ * in a single data centre, so that one instance owns it and the others reserve capacity there.
  */
 
-/** Settings of a run. */
 export interface SlopesOptions {
   readonly seed: number;
-  /** Seconds of each round. */
+  /** Duration of each round. */
   readonly seconds: number;
 }
 
-/** CPU milliseconds of an entry program. */
+/** CPU time of an entry program, in milliseconds. */
 export interface EntryCpu {
   readonly perRequest: number;
   readonly perToken: number;
 }
 
-/** The outcome of a run. */
 export interface SlopesReport {
   readonly seed: number;
-  /** Of the instance that callers ask, which reserves at the owner. */
+  /** Of an instance that receives requests and reserves capacity at the cell owner. */
   readonly requesterCpuMilliseconds: EntryCpu;
-  /** Of the owner when callers ask it, so that it reserves in its own process. */
+  /** Of the cell owner when it receives the requests itself and reserves within its process. */
   readonly ownerCpuMilliseconds: EntryCpu;
-  /** What a reservation of another instance costs the owner. */
+  /** Cost to the cell owner of a reservation by another instance. */
   readonly reservation: {
     readonly ownerCpuMilliseconds: number;
-    /** Read and written by the owner, for reserving and releasing. */
+    /** Bytes that the owner reads and writes for the reservation and its release. */
     readonly bytes: number;
   };
-  /** By client accounts in force. */
+  /** By number of configured client accounts. */
   readonly accounts: {
     readonly residentBytesPerAccount: number;
     readonly readings: readonly AccountReading[];
   };
-  /** By engines whose load reports the owner asks for. */
+  /** By number of engines whose load reports the cell owner requests. */
   readonly followedEngines: {
     readonly idleCpuSharePerEngine: number;
     readonly bytesPerSecondPerEngine: number;
-    readonly readings: ReadonlyArray<UseRates & {readonly engines: number}>;
+    readonly readings: ReadonlyArray<UsageRates & {readonly engines: number}>;
   };
-  /** By listed upstreams that this instance doesn't follow. */
+  /** By number of listed upstreams whose load reports the instance doesn't request. */
   readonly knownUpstreams: {
     readonly residentBytesPerUpstream: number;
     readonly idleCpuSharePerUpstream: number;
-    /** Milliseconds to divide 2,400 engines into cells after a change of the list. */
+    /** Time to partition 2,400 engines into cells, as after each change of the membership list. */
     readonly divisionMilliseconds: number;
   };
   readonly claims: readonly ClaimReport[];
-  /** Calls of one instance without requests. */
+  /** Calls to the platform by one instance that receives no requests. */
   readonly platformCallsPerSecond: Readonly<Record<string, number>>;
 }
 
-/** Use at one number of accounts. */
+/** Usage with one number of client accounts. */
 export interface AccountReading {
   readonly accounts: number;
   readonly residentBytes: number;
@@ -83,14 +85,14 @@
   readonly cpuMillisecondsPerRequest: number;
 }
 
-interface Round {
+interface RoundShape {
   readonly concurrency: number;
   readonly outputTokens: number;
 }
 
 const INSTANCES = 4;
 const REPLICAS = 24;
-/** Listed in turn; requests are made with the first number, a cell of eight replicas. */
+/** Numbers of engines listed one after the other. Requests run with the first number, a cell of eight replicas. */
 const ENGINES = [16, 32, 48];
 const KNOWN_UPSTREAMS = [0, 3000];
 const EXPECTED_ENGINES = 2400;
@@ -98,7 +100,7 @@
 const ACCOUNTS = [10, 1000, 5800];
 const ACCOUNTS_PER_CHANGE = 1000;
 const SETTLE_MILLISECONDS = 800;
-const ROUNDS: readonly Round[] = [
+const ROUNDS: readonly RoundShape[] = [
   {concurrency: 6, outputTokens: 4},
   {concurrency: 12, outputTokens: 32},
   {concurrency: 16, outputTokens: 4},
@@ -132,19 +134,19 @@
 
 const ACCOUNT: OfferedAccount = {name: 'one', bearerKey: 'key-one', share: 1};
 
-/** Launches one system and reads its slopes. */
+/** Launches one system and runs all measurements on it. */
 export async function measureSlopes(
   options: SlopesOptions,
 ): Promise<SlopesReport> {
-  const measured = await launchMeasured(SYSTEM, [CLASS], [ACCOUNT]);
+  const measured = await launchMeasuredSystem(SYSTEM, [CLASS], [ACCOUNT]);
   try {
-    return await new SlopesBench(measured, options).run();
+    return await new SlopesBenchmark(measured, options).run();
   } finally {
     await measured.dispose();
   }
 }
 
-class SlopesBench {
+class SlopesBenchmark {
   private readonly owner: number;
   private readonly requester: number;
   private readonly random;
@@ -155,26 +157,26 @@
     private readonly options: SlopesOptions,
   ) {
     this.random = new SeededRandomSource(options.seed);
-    this.owner = ownerOf(measured);
+    this.owner = findOwnerIndex(measured);
     this.requester = (this.owner + 1) % INSTANCES;
   }
 
   async run(): Promise<SlopesReport> {
     await this.listEngines(ENGINES[0]);
     await this.warmUp();
-    const platformCallsPerSecond = await this.readPlatformCalls();
-    const idle = await this.idleAt(this.owner);
+    const platformCallsPerSecond = await this.measurePlatformCalls();
+    const idle = await this.measureIdle(this.owner);
     const remote = await this.observeRounds(this.requester);
     const local = await this.observeRounds(this.owner);
     const claims = await measureClaims(this.measured, this.options);
-    const accounts = await this.readAccounts();
-    const followedEngines = await this.readFollowedEngines();
-    const knownUpstreams = await this.readKnownUpstreams();
+    const accounts = await this.measureAccounts();
+    const followedEngines = await this.measureFollowedEngines();
+    const knownUpstreams = await this.measureKnownUpstreams();
     return {
       seed: this.options.seed,
-      requesterCpuMilliseconds: entryCpu(remote.own),
-      ownerCpuMilliseconds: entryCpu(local.own),
-      reservation: reservationCost(remote, idle),
+      requesterCpuMilliseconds: fitEntryCpu(remote.own),
+      ownerCpuMilliseconds: fitEntryCpu(local.own),
+      reservation: computeReservationCost(remote, idle),
       accounts,
       followedEngines,
       knownUpstreams,
@@ -194,13 +196,15 @@
   private async warmUp(): Promise<void> {
     await Promise.all(
       [this.owner, this.requester].map(index =>
-        this.round(index, {concurrency: 8, outputTokens: 8}),
+        this.runRound(index, {concurrency: 8, outputTokens: 8}),
       ),
     );
     await sleep(SETTLE_MILLISECONDS);
   }
 
-  private async readPlatformCalls(): Promise<Readonly<Record<string, number>>> {
+  private async measurePlatformCalls(): Promise<
+    Readonly<Record<string, number>>
+  > {
     const {platform} = this.measured.system;
     await platform.resetCounts();
     await sleep(this.milliseconds * 2);
@@ -212,47 +216,47 @@
     return Object.fromEntries(perSecond);
   }
 
-  private async idleAt(index: number): Promise<UseRates> {
+  private async measureIdle(index: number): Promise<UsageRates> {
     const {pid} = this.instance(index).entry;
-    const before = readUse(pid);
+    const before = readProcessUsage(pid);
     await sleep(this.milliseconds);
-    return ratesBetween(before, readUse(pid));
+    return computeUsageRates(before, readProcessUsage(pid));
   }
 
-  /** Rounds at one instance; what it and the owner used. */
+  /** Sends rounds of requests to one instance and observes the usage of that instance and of the cell owner. */
   private async observeRounds(index: number): Promise<ObservedRounds> {
     const own: Observation[] = [await this.observeIdle(index)];
     const atOwner: OwnerObservation[] = [];
     for (const shape of ROUNDS) {
       const {pid} = this.instance(index).entry;
       const ownerPid = this.instance(this.owner).entry.pid;
-      const before = readUse(pid);
-      const ownerBefore = readUse(ownerPid);
-      const {requests, tokens} = await this.round(index, shape);
-      const after = readUse(pid);
-      const rates = ratesBetween(ownerBefore, readUse(ownerPid));
+      const before = readProcessUsage(pid);
+      const ownerBefore = readProcessUsage(ownerPid);
+      const {requests, tokens} = await this.runRound(index, shape);
+      const after = readProcessUsage(pid);
+      const rates = computeUsageRates(ownerBefore, readProcessUsage(ownerPid));
       const seconds = (after.at - before.at) / 1000;
       own.push({
-        figure: after.cpuMilliseconds - before.cpuMilliseconds,
+        measurement: after.cpuMilliseconds - before.cpuMilliseconds,
         regressors: [requests, tokens, seconds],
       });
       atOwner.push({requests, rates});
     }
-    return {own, atOwner};
+    return {own, ownerObservations: atOwner};
   }
 
   private async observeIdle(index: number): Promise<Observation> {
-    const idle = await this.idleAt(index);
+    const idle = await this.measureIdle(index);
     return {
-      figure: idle.cpuShare * idle.seconds * 1000,
+      measurement: idle.cpuShare * idle.seconds * 1000,
       regressors: [0, 0, idle.seconds],
     };
   }
 
-  private round(index: number, shape: Round) {
+  private runRound(index: number, shape: RoundShape) {
     const caller = this.measured.callers[index];
     const {concurrency, outputTokens} = shape;
-    return runRound(concurrency, this.milliseconds, this.random, () =>
+    return runClosedLoop(concurrency, this.milliseconds, this.random, () =>
       this.request(caller, outputTokens),
     );
   }
@@ -263,7 +267,7 @@
       classOfWork: CLASS.name,
       bearerKey: ACCOUNT.bearerKey,
       model: 'assistant',
-      prompt: promptOf({...CLASS, outputTokens}, this.index),
+      prompt: createPrompt({...CLASS, outputTokens}, this.index),
       maximumOutputTokens: outputTokens,
       idempotencyKey: undefined,
       deadlineMilliseconds: undefined,
@@ -271,18 +275,19 @@
     return outcome.tokens.length;
   }
 
-  private async readAccounts(): Promise<SlopesReport['accounts']> {
+  private async measureAccounts(): Promise<SlopesReport['accounts']> {
     const readings: AccountReading[] = [];
     let known = 1;
     for (const accounts of ACCOUNTS) {
       await this.addAccounts(known, accounts);
       known = accounts;
       await sleep(SETTLE_MILLISECONDS);
-      const idle = await this.idleAt(this.requester);
+      const idle = await this.measureIdle(this.requester);
       const {pid} = this.instance(this.requester).entry;
-      const before = readUse(pid);
-      const {requests} = await this.round(this.requester, ROUNDS[0]);
-      const used = readUse(pid).cpuMilliseconds - before.cpuMilliseconds;
+      const before = readProcessUsage(pid);
+      const {requests} = await this.runRound(this.requester, ROUNDS[0]);
+      const used =
+        readProcessUsage(pid).cpuMilliseconds - before.cpuMilliseconds;
       readings.push({
         accounts,
         residentBytes: idle.residentBytes,
@@ -291,7 +296,10 @@
       });
     }
     const line = fitLine(
-      readings.map(one => ({at: one.accounts, figure: one.residentBytes})),
+      readings.map(reading => ({
+        x: reading.accounts,
+        y: reading.residentBytes,
+      })),
     );
     return {residentBytesPerAccount: Math.round(line.slope), readings};
   }
@@ -310,14 +318,18 @@
     }
   }
 
-  /** Plain services stand for upstreams that are known and not followed. */
-  private async readKnownUpstreams(): Promise<SlopesReport['knownUpstreams']> {
-    const readings: UseRates[] = [];
+  /** Lists plain services, as upstreams that are known but whose load reports are not requested. */
+  private async measureKnownUpstreams(): Promise<
+    SlopesReport['knownUpstreams']
+  > {
+    const readings: UsageRates[] = [];
     for (const count of KNOWN_UPSTREAMS) {
-      const set = Array.from({length: count}, (_, index) => listed(index));
+      const set = Array.from({length: count}, (_, index) =>
+        createListedService(index),
+      );
       await this.measured.system.platform.setMembers({set});
       await sleep(SETTLE_MILLISECONDS * 2);
-      readings.push(await this.idleAt(this.requester));
+      readings.push(await this.measureIdle(this.requester));
     }
     const [few, many] = readings;
     const more = KNOWN_UPSTREAMS[1] - KNOWN_UPSTREAMS[0];
@@ -339,20 +351,22 @@
     await sleep(SETTLE_MILLISECONDS * 2);
   }
 
-  private async readFollowedEngines(): Promise<
+  private async measureFollowedEngines(): Promise<
     SlopesReport['followedEngines']
   > {
-    const readings: Array<UseRates & {readonly engines: number}> = [];
+    const readings: Array<UsageRates & {readonly engines: number}> = [];
     for (const count of ENGINES) {
       await this.listEngines(count);
-      readings.push({...(await this.idleAt(this.owner)), engines: count});
+      readings.push({...(await this.measureIdle(this.owner)), engines: count});
     }
-    const slope = (of: (one: UseRates) => number): number =>
-      fitLine(readings.map(one => ({at: one.engines, figure: of(one)}))).slope;
+    const slope = (select: (reading: UsageRates) => number): number =>
+      fitLine(
+        readings.map(reading => ({x: reading.engines, y: select(reading)})),
+      ).slope;
     return {
-      idleCpuSharePerEngine: slope(one => one.cpuShare),
+      idleCpuSharePerEngine: slope(reading => reading.cpuShare),
       bytesPerSecondPerEngine: slope(
-        one => one.readBytesPerSecond + one.writtenBytesPerSecond,
+        reading => reading.readBytesPerSecond + reading.writtenBytesPerSecond,
       ),
       readings,
     };
@@ -361,40 +375,44 @@
 
 interface OwnerObservation {
   readonly requests: number;
-  readonly rates: UseRates;
+  readonly rates: UsageRates;
 }
 
 interface ObservedRounds {
   readonly own: readonly Observation[];
-  readonly atOwner: readonly OwnerObservation[];
+  readonly ownerObservations: readonly OwnerObservation[];
 }
 
-function entryCpu(observations: readonly Observation[]): EntryCpu {
+function fitEntryCpu(observations: readonly Observation[]): EntryCpu {
   const [perRequest, perToken] = fitCoefficients(observations);
   return {perRequest: round(perRequest), perToken: round(perToken)};
 }
 
-/** What the owner used beyond its idle use, over the requests of others. */
-function reservationCost(
-  {atOwner}: ObservedRounds,
-  idle: UseRates,
+/** Divides the usage of the owner beyond its idle usage by the number of requests to the other instance. */
+function computeReservationCost(
+  {ownerObservations: atOwner}: ObservedRounds,
+  idle: UsageRates,
 ): SlopesReport['reservation'] {
-  const total = (of: (rates: UseRates) => number): number => {
+  const meanPerRequest = (select: (rates: UsageRates) => number): number => {
     const used = atOwner.reduce(
-      (sum, {rates}) => sum + (of(rates) - of(idle)) * rates.seconds,
+      (sum, {rates}) => sum + (select(rates) - select(idle)) * rates.seconds,
       0,
     );
-    return used / atOwner.reduce((sum, one) => sum + one.requests, 0);
+    return (
+      used / atOwner.reduce((sum, observation) => sum + observation.requests, 0)
+    );
   };
   return {
-    ownerCpuMilliseconds: round(total(rates => rates.cpuShare) * 1000),
+    ownerCpuMilliseconds: round(meanPerRequest(rates => rates.cpuShare) * 1000),
     bytes: Math.round(
-      total(rates => rates.readBytesPerSecond + rates.writtenBytesPerSecond),
+      meanPerRequest(
+        rates => rates.readBytesPerSecond + rates.writtenBytesPerSecond,
+      ),
     ),
   };
 }
 
-function ownerOf({system}: MeasuredSystem): number {
+function findOwnerIndex({system}: MeasuredSystem): number {
   const members = system.engines.map(engine => engine.member);
   const cells = divideIntoCells(members, system.options.cellSize);
   const views = system.instances.map(({member}) => ({
@@ -404,10 +422,10 @@
   }));
   const [cell] = cells.values();
   const [owner] = new CellOwnership(views).ownersOf(cell, 1);
-  return system.instances.findIndex(one => one.id === owner.id);
+  return system.instances.findIndex(instance => instance.id === owner.id);
 }
 
-function listed(index: number): UpstreamMember {
+function createListedService(index: number): UpstreamMember {
   return {
     role: 'service',
     id: `service-${index}`,
@@ -421,7 +439,7 @@
 
 function divisionMilliseconds(): number {
   const engines = Array.from({length: EXPECTED_ENGINES}, (_, index) => ({
-    ...listed(index),
+    ...createListedService(index),
     role: 'engine' as const,
     dataCentre: `centre-${Math.floor(index / 4) % 7}`,
     group: `replica-${Math.floor(index / 4)}`,
--- a/measure/throughput.ts
+++ b/measure/throughput.ts
@@ -1,32 +1,31 @@
 import {SeededRandomSource} from '../src/base/common/randomSource.js';
 import {SystemOptions} from '../test/support/systemOptions.js';
 import {
-  Bound,
+  ThroughputBound,
   OfferedClass,
   ReplicaCapacity,
-  solveBound,
-} from './common/bound.js';
+  solveThroughputBound,
+} from './common/throughputBound.js';
 import {
-  capacityOf,
-  isRightReply,
-  launchMeasured,
+  listReplicaCapacities,
+  createReplyCheck,
+  launchMeasuredSystem,
   MeasuredSystem,
-  promptOf,
+  createPrompt,
 } from './common/measuredSystem.js';
-import {LoadRecord, OfferedAccount, offerLoad} from './common/openLoad.js';
+import {LoadRecord, OfferedAccount, generateLoad} from './common/openLoad.js';
 
-/** On-time work against the bound at several loads, beside the naive version in the same run. */
+/** Compares on-time throughput with its upper bound at several loads, for the router and for the naive policy. */
 
-/** Settings of a run. */
 export interface ThroughputOptions {
   readonly seed: number;
-  /** Seconds counted at each load. */
+  /** Duration of the counted time at each load, after the warm-up. */
   readonly seconds: number;
-  /** Loads as multiples of the bound. */
+  /** Loads as multiples of the highest rate that the capacity can serve on time. */
   readonly loads?: readonly number[];
 }
 
-/** One load's outcome; ratios are on-time work over the bound for what arrived. */
+/** Results at one load. Ratios are on-time work divided by the bound for the requests that arrived. */
 export interface LoadReport {
   readonly offered: number;
   readonly requests: number;
@@ -41,7 +40,7 @@
   readonly worstSmallAccountRatio: number;
   readonly naiveWorstSmallAccountRatio: number;
   readonly wrongReplies: number;
-  /** Replies that were taken and ended late, over those taken. */
+  /** Share of the accepted requests that did not end on time. */
   readonly lateShare: number;
   /** Failures by error kind. */
   readonly failures: Readonly<Record<string, number>>;
@@ -74,7 +73,7 @@
   controlSettings: {observation: {logLevel: 'error'}},
 };
 
-/** Classes at the shape of the load; rates are parts of the whole. */
+/** The mix of classes. Each rate is the share of the class in the total rate. */
 const CLASS_SHAPES: readonly OfferedClass[] = [
   {
     name: 'tight',
@@ -105,13 +104,13 @@
   })),
 ];
 
-/** Runs all loads on both systems in turn and gives one report for each load. */
+/** Runs each load on both systems, one after the other, and returns one report per load. */
 export async function measureThroughput(
   options: ThroughputOptions,
 ): Promise<{readonly seed: number; readonly loads: readonly LoadReport[]}> {
-  const classes = scaledClasses(CLASS_SHAPES, 20);
-  const own = await launchMeasured(SYSTEM, classes, ACCOUNTS);
-  const naive = await launchMeasured(
+  const classes = scaleClasses(CLASS_SHAPES, 20);
+  const own = await launchMeasuredSystem(SYSTEM, classes, ACCOUNTS);
+  const naive = await launchMeasuredSystem(
     {...SYSTEM, policy: 'naive'},
     classes,
     ACCOUNTS,
@@ -134,30 +133,30 @@
   naive: MeasuredSystem,
   options: ThroughputOptions,
 ): Promise<LoadReport> {
-  const capacity = capacityOf(own.system);
-  const rate = offered * capacityRate(capacity);
-  const classes = scaledClasses(CLASS_SHAPES, rate);
+  const capacity = listReplicaCapacities(own.system);
+  const rate = offered * findCapacityRate(capacity);
+  const classes = scaleClasses(CLASS_SHAPES, rate);
   const records = await runLoad(own, classes, options);
   const naiveRecords = await runLoad(naive, classes, options);
-  const bound = boundOf(records, capacity, options);
-  const naiveBound = boundOf(naiveRecords, capacity, options);
-  const counted = records.filter(record => record.counted);
+  const bound = solveBoundForArrivals(records, capacity, options);
+  const naiveBound = solveBoundForArrivals(naiveRecords, capacity, options);
+  const counted = records.filter(record => record.isCounted);
   return {
     offered,
     requests: counted.length,
-    classes: classReports(records, bound, options),
-    ratio: round(tokenRate(records, options) / bound.tokensPerSecond),
+    classes: reportClasses(records, bound, options),
+    ratio: round(onTimeTokenRate(records, options) / bound.tokensPerSecond),
     naiveRatio: round(
-      tokenRate(naiveRecords, options) / naiveBound.tokensPerSecond,
+      onTimeTokenRate(naiveRecords, options) / naiveBound.tokensPerSecond,
     ),
-    worstSmallAccountRatio: worstSmallAccount(records),
-    naiveWorstSmallAccountRatio: worstSmallAccount(naiveRecords),
+    worstSmallAccountRatio: worstSmallAccountShare(records),
+    naiveWorstSmallAccountRatio: worstSmallAccountShare(naiveRecords),
     wrongReplies: records.filter(
-      record => record.outcome.whole && !record.correct,
+      record => record.outcome.whole && !record.isCorrect,
     ).length,
     lateShare: lateShare(counted),
-    failures: failuresOf(counted),
-    naiveFailures: failuresOf(naiveRecords),
+    failures: countFailures(counted),
+    naiveFailures: countFailures(naiveRecords),
   };
 }
 
@@ -166,32 +165,33 @@
   classes: readonly OfferedClass[],
   options: ThroughputOptions,
 ): Promise<readonly LoadRecord[]> {
-  return offerLoad(
+  return generateLoad(
     {
       classes,
       accounts: ACCOUNTS,
       model: 'assistant',
       warmUpMilliseconds: WARM_UP_MILLISECONDS,
       countedMilliseconds: options.seconds * 1000,
-      prompt: promptOf,
-      isCorrect: isRightReply(LAYER_COUNT),
+      prompt: createPrompt,
+      isCorrectReply: createReplyCheck(LAYER_COUNT),
     },
     measured.callers,
     new SeededRandomSource(options.seed),
   );
 }
 
-/** Requests a second of the mix that the capacity just carries. */
-export function capacityRate(capacity: readonly ReplicaCapacity[]): number {
+/** Finds the highest request rate of the mix that the capacity can serve on time, by bisection. */
+export function findCapacityRate(capacity: readonly ReplicaCapacity[]): number {
   let low = 0;
   let high = 10000;
   for (let step = 0; step < SEARCH_STEPS; step++) {
     const middle = (low + high) / 2;
-    const classes = scaledClasses(CLASS_SHAPES, middle);
-    const bound = solveBound(capacity, classes);
+    const classes = scaleClasses(CLASS_SHAPES, middle);
+    const bound = solveThroughputBound(capacity, classes);
     const isCarried = classes.every(
-      one =>
-        bound.requestsPerSecond[one.name] >= one.requestsPerSecond * 0.9999,
+      offered =>
+        bound.requestsPerSecond[offered.name] >=
+        offered.requestsPerSecond * 0.9999,
     );
     low = isCarried ? middle : low;
     high = isCarried ? high : middle;
@@ -199,7 +199,7 @@
   return low;
 }
 
-function scaledClasses(
+function scaleClasses(
   shapes: readonly OfferedClass[],
   requestsPerSecond: number,
 ): readonly OfferedClass[] {
@@ -209,37 +209,37 @@
   }));
 }
 
-/** The bound for what really arrived in the counted time. */
-function boundOf(
+/** Computes the bound for the requests that actually arrived in the counted time. */
+function solveBoundForArrivals(
   records: readonly LoadRecord[],
   capacity: readonly ReplicaCapacity[],
   options: ThroughputOptions,
-): Bound {
+): ThroughputBound {
   const arrived = CLASS_SHAPES.map(shape => ({
     ...shape,
     requestsPerSecond:
       records.filter(
-        record => record.counted && record.classOfWork === shape.name,
+        record => record.isCounted && record.classOfWork === shape.name,
       ).length / options.seconds,
   }));
-  return solveBound(capacity, arrived);
+  return solveThroughputBound(capacity, arrived);
 }
 
-function tokenRate(
+function onTimeTokenRate(
   records: readonly LoadRecord[],
   options: ThroughputOptions,
 ): number {
   let tokens = 0;
   for (const record of records) {
     tokens +=
-      record.counted && record.onTime ? record.outcome.tokens.length : 0;
+      record.isCounted && record.isOnTime ? record.outcome.tokens.length : 0;
   }
   return tokens / options.seconds;
 }
 
-function classReports(
+function reportClasses(
   records: readonly LoadRecord[],
-  bound: Bound,
+  bound: ThroughputBound,
   options: ThroughputOptions,
 ): LoadReport['classes'] {
   const reports: Record<string, LoadReport['classes'][string]> = {};
@@ -247,7 +247,7 @@
     const onTime =
       records.filter(
         record =>
-          record.counted && record.onTime && record.classOfWork === name,
+          record.isCounted && record.isOnTime && record.classOfWork === name,
       ).length / options.seconds;
     const limit = bound.requestsPerSecond[name];
     reports[name] = {
@@ -259,15 +259,15 @@
   return reports;
 }
 
-/** The least share of its requests that a small account got on time; all of them are within its fair share. */
-function worstSmallAccount(records: readonly LoadRecord[]): number {
+/** The lowest on-time share of any small account. Their demand is within their fair share, so all should be on time. */
+function worstSmallAccountShare(records: readonly LoadRecord[]): number {
   const shares = ACCOUNTS.filter(account => account.name !== 'large').map(
     account => {
       const own = records.filter(
-        record => record.counted && record.clientAccount === account.name,
+        record => record.isCounted && record.clientAccount === account.name,
       );
       return (
-        own.filter(record => record.onTime).length / Math.max(1, own.length)
+        own.filter(record => record.isOnTime).length / Math.max(1, own.length)
       );
     },
   );
@@ -276,11 +276,11 @@
 
 function lateShare(records: readonly LoadRecord[]): number {
   const taken = records.filter(record => record.outcome.status === 200);
-  const late = taken.filter(record => !record.onTime);
+  const late = taken.filter(record => !record.isOnTime);
   return round(late.length / Math.max(1, taken.length));
 }
 
-function failuresOf(
+function countFailures(
   records: readonly LoadRecord[],
 ): Readonly<Record<string, number>> {
   const failures: Record<string, number> = {};
